--- a/src/replicas/fleet-demand.ts
+++ b/src/replicas/fleet-demand.ts
@@ -1,34 +1,34 @@
 /**
- * What is asked of a service at all boxes together. In a large fleet one box sees a request or two a second: what it
- * alone makes of them says little, and two boxes differ.
+ * Pools the demand for a service over all boxes. In a large fleet, one box receives only one or two requests a
+ * second: its own estimates are noisy and differ from those of other boxes.
  */
 import {medianOf} from '../base/median.js';
 import {sumOf} from '../base/sum.js';
 import type {Demand} from './service-demand.js';
 
-/** What is asked of a service at all boxes together. */
+/** Demand for a service, pooled over all boxes. */
 export type FleetDemand = Pick<Demand, 'requests' | 'reading' | 'readRate' | 'goal'> & {
-	/** Milliseconds that a replica still reads when a request finds it reading, on average; zero where too little was seen. */
+	/** Mean time in milliseconds until a busy replica has read the prompt that a new request finds in progress; zero without enough samples. */
 	readonly residualReading: number;
-	/** Requests a second that come, answered in time or not. */
+	/** Requests a second that arrive, whether or not they are answered in time. */
 	readonly rate: number;
-	/** Part of the requests whose answers begin late, or that replicas are too short to serve; zero where none came. */
+	/** Fraction of requests that are answered late or rejected for lack of replica capacity; zero without enough requests. */
 	readonly missedPart: number;
-	/** Boxes whose word it is. */
+	/** Number of boxes whose demand is included. */
 	readonly boxes: number;
 };
 
-/** Requests a second below which the part that is missed says nothing. */
+/** Requests a second below which the missed fraction is too noisy to use. */
 const leastOutcomes = 2;
 const millisecondsPerSecond = 1000;
 
 /**
- * @param told - What each box tells of one service.
- * @returns What is asked of it.
+ * @param told - Demand for one service at each box.
+ * @returns The pooled demand.
  */
 export function pooledDemand(told: readonly Demand[]): FleetDemand {
 	const total = (valueOf: (demand: Demand) => number): number => sumOf(told.map(demand => valueOf(demand)));
-	// A box that saw only prompts that others had read before says too much.
+	// The median excludes outliers: a box whose prompts were already cached by the replicas overestimates the read rate.
 	const readRate = medianOf(told.map(demand => demand.readRate).filter(rate => rate > 0));
 	const active = told.filter(({goal}) => goal > 0);
 	const meanTokens = total(demand => demand.meanTokens);
--- a/src/replicas/limit-slots.ts
+++ b/src/replicas/limit-slots.ts
@@ -1,13 +1,13 @@
 /**
- * Who may send the next request to a replica that takes few: time is cut into slots, one for each request that the limit allows, and each slot belongs to
- * one box. All boxes work that out from their common time and their shares of the demand, without a word between them.
+ * Divides the request limit of a replica among boxes. Time is cut into slots, one for each request that the limit allows, and each slot belongs to one
+ * box. Every box computes its own slots from the common time and the boxes' shares of the demand, without coordination.
  *
  * @remarks Source: docs/DESIGN.md, "Limits that replicas name".
  */
 import {shareOf} from '../base/rendezvous.js';
 import {sumOf} from '../base/sum.js';
 
-/** The part of all slots that belongs to one box: those whose place is on this stretch of a line of length one, which closes in a ring. */
+/** Part of a ring of length one that belongs to one box: the box owns each slot whose position lies in this part. */
 export type Stretch = {
 	/** From 0 to 1. */
 	readonly from: number;
@@ -15,46 +15,46 @@
 	readonly length: number;
 };
 
-/** The slots of one replica, as one box sees them. */
+/** Input for computing one box's slots at one replica. */
 export type SlotPlan = {
-	/** Names the start of the replica: the slots of different replicas begin at different times, and go to the boxes in another order. */
+	/** Incarnation of the replica. It offsets the slots in time and permutes their owners, so that the slots of different replicas do not coincide. */
 	readonly start: string;
-	/** Requests a second; above zero. */
+	/** Requests a second that the replica accepts from all boxes; above zero. */
 	readonly limit: number;
 	readonly stretch: Stretch;
 };
 
 /** A slot of this box. */
 export type Slot = {
-	/** Milliseconds of the boxes' common time at which it begins. */
+	/** Milliseconds of the boxes' common time at which the slot begins. */
 	readonly at: number;
-	/** Requests that may be sent in it. */
+	/** Requests that may be sent in the slot. */
 	readonly requests: number;
 };
 
-/** Slots a second at most; a greater limit has more requests in each. */
+/** Slots a second; a higher limit puts several requests into each slot. */
 const mostSlots = 64;
-/** Places follow each other by the golden section: any stretch then gets its slots as evenly as can be, however few there are. */
+/** Distance between the positions of consecutive slots. The golden ratio spreads the slots of any part of the ring evenly over time. */
 const placeStep = (Math.sqrt(5) - 1) / 2;
-/** Slots after which places are counted anew, so that their fractions keep their digits. */
+/** Slots after which positions repeat; limits the loss of floating-point precision. */
 const placesCounted = 2 ** 20;
-/** Milliseconds for which a slot may be used at least: a box has to have a request by then. */
+/** Milliseconds for which a slot may be used, at least: a box without a waiting request needs time to receive one. */
 const leastLifetime = 1000;
 const millisecondsPerSecond = 1000;
 
 /**
  * @param limit - Requests a second; above zero.
- * @returns Milliseconds for which a slot may be used.
+ * @returns Milliseconds after its beginning for which a slot may be used.
  */
 export function slotLifetime(limit: number): number {
 	return Math.max(leastLifetime, millisecondsPerSecond / limit);
 }
 
 /**
- * @param plan - The slots.
- * @param after - Milliseconds of the common time.
- * @param until - The same; not before `after`.
- * @returns The slots of this box that begin later than `after`, up to `until`.
+ * @param plan - The replica, its limit and this box's part of the ring.
+ * @param after - Milliseconds of the common time, exclusive.
+ * @param until - Milliseconds of the common time, inclusive; not before `after`.
+ * @returns This box's slots that begin later than `after` and not later than `until`.
  */
 export function ownSlots({start, limit, stretch}: SlotPlan, after: number, until: number): readonly Slot[] {
 	const requests = Math.ceil(limit / mostSlots);
@@ -66,15 +66,15 @@
 	return Array.from({length: count}, (_, index) => first + index)
 		.filter(number => owns(number))
 		.map(number => ({at: (number + phase) * interval, requests}))
-		// A number worked out from the beginning of a slot may be that slot's again, by the last digit: it would be used without end.
+		// Rounding can yield the slot that begins at `after` once more; returning it would allow its reuse without limit.
 		.filter(({at}) => at > after);
 }
 
 /**
- * Divides the line among boxes.
+ * Divides the ring among boxes in proportion to their weights.
  *
- * @param weights - What is asked for at each box, by name.
- * @returns The stretch of each box, side by side; the same wherever the same is known.
+ * @param weights - Demand at each box, by box name.
+ * @returns The part of each box, adjacent in the order of the names; the same on every box that knows the same weights.
  */
 export function divideLine(weights: ReadonlyMap<string, number>): ReadonlyMap<string, Stretch> {
 	const total = sumOf([...weights.values()]);
--- a/src/replicas/replica-choice.ts
+++ b/src/replicas/replica-choice.ts
@@ -1,42 +1,42 @@
 /**
- * Decides which replica gets a request.
+ * Selects a replica for each request.
  */
 import {hashText} from '../base/rendezvous.js';
 import {sumOf} from '../base/sum.js';
 import type {Replica} from './replica.js';
 
-/** A part of a prompt, as far as the choice is concerned. */
+/** A prompt part, as far as the choice of a replica depends on it. */
 export type ChoicePart = {
 	readonly id: string;
 	readonly tokens: number;
 };
 
-/** What a choice needs to know of a request. */
+/** Properties of a request that the choice of a replica depends on. */
 export type ChoiceRequest = {
-	/** Tokens of the prompt; zero where the request is no generation. */
+	/** Tokens of the prompt; zero if the request generates no text. */
 	readonly promptTokens: number;
-	/** Parts of the prompt that other requests share, in order. */
+	/** Leading parts of the prompt that other requests may share, in order. */
 	readonly sharedParts: readonly ChoicePart[];
 };
 
-/** Decides which replica gets a request. */
+/** Selects a replica for each request. */
 export abstract class ReplicaChoice {
 	/**
-	 * @param candidates - Replicas that may get it; at least one.
+	 * @param candidates - Eligible replicas; at least one.
 	 * @param request - The request.
-	 * @returns The one that gets it.
+	 * @returns The selected replica.
 	 */
 	abstract choose(candidates: readonly Replica[], request: ChoiceRequest): Replica;
 
 	/**
 	 * @param replica - A replica.
 	 * @param request - The request.
-	 * @returns Tokens of its prompt that the replica has to read, as far as is known.
+	 * @returns Estimated prompt tokens that the replica does not have in its cache.
 	 */
 	abstract unreadTokens(replica: Replica, request: ChoiceRequest): number;
 
 	/**
-	 * Notes that a replica has read a prompt.
+	 * Records that a replica has read a prompt.
 	 *
 	 * @param replica - The replica.
 	 * @param request - The request.
@@ -44,57 +44,59 @@
 	abstract noteRead(replica: Replica, request: ChoiceRequest): void;
 }
 
-/** Prompt tokens a replica reads in a millisecond, where nothing is known; only relations count. */
+/** Prompt tokens that a replica reads in a millisecond; an assumption that only weighs tokens against the other costs. */
 const assumedReadRate = 50;
-/** How much more than its time a shared part counts that is read again: it takes the place of others, and is paid for. */
+/** Additional weight of shared tokens that are not cached: reading them again evicts others from the cache and is billed. */
 const rereadWeight = 2;
-/** Milliseconds that a request beside others costs. */
+/** Milliseconds by which each concurrent request delays a generation. */
 const costBeside = 3;
-/** Milliseconds a request holds a slot, where none was measured. */
+/** Milliseconds that a request occupies a slot, until the latency of the replica has been measured. */
 const assumedServiceTime = 40;
-/** Milliseconds that another data centre costs. */
+/** Milliseconds of latency added by a replica in another data centre. */
 const dataCentreCost = 2;
-/** Milliseconds for which a part is believed to be kept. */
+/** Milliseconds for which a replica is assumed to keep a prompt part in its cache. */
 const partLifetime = 30_000;
+/** Prompt parts whose readers are tracked. */
 const mostPartsKept = 4096;
-/** Milliseconds of penalty for a replica that fails all its requests. */
+/** Milliseconds of penalty for a replica that fails all its requests; proportional to the error share above the mean. */
 const errorCost = 400;
 
-/** Replicas drawn by lot where what is known of their work is old. */
+/** Replicas sampled at random when load information is stale. */
 const drawnCount = 4;
-/** Replicas looked at besides those because they keep the last shared part. */
+/** Replicas compared in addition to the sample because they have the last shared part in their cache. */
 const mostKeepers = 3;
 
-/** What the choice needs. */
+/** Dependencies of the choice. */
 export type ChoiceServices = {
 	/** Data centre of this box. */
 	readonly dataCentre: string;
 	/** @returns Monotonic milliseconds. */
 	readonly now: () => number;
-	/** @returns A number from 0 to 1. */
+	/** @returns A random number from 0 up to 1, exclusive. */
 	readonly random?: () => number;
-	/** @returns Whether many boxes act on the same old word of the replicas' work. */
+	/** @returns Whether many boxes base their choice on the same stale information about the replicas' load. */
 	readonly isWorkOld?: () => boolean;
 };
 
 /**
- * Takes the replica with the least expected wait: work there, prompt tokens to read, data centre and errors.
+ * Selects the replica with the lowest estimated wait, which is the sum of its current load, the prompt tokens it has to read, the distance to its
+ * data centre and a penalty for errors.
  *
  * @remarks
- * Where boxes know of each other's work by old words alone, all of them would run to the same replica. Then only a few
- * drawn by lot are compared, with those that keep the prompt. Source: M. Mitzenmacher, "How useful is old
- * information?", IEEE Transactions on Parallel and Distributed Systems, 2000; measured in docs/DESIGN.md.
+ * If all boxes know each other's load only from the same stale information, they all select the same replica. In that case, only a few
+ * random replicas and those that have the prompt in their cache are compared. Source: M. Mitzenmacher, "How useful is old
+ * information?", IEEE Transactions on Parallel and Distributed Systems, 2000; docs/DESIGN.md.
  */
 export class LeastWaitChoice extends ReplicaChoice {
 	/**
-	 * @param services - What it needs.
+	 * @param services - Dependencies.
 	 * @returns The choice.
 	 */
 	static create({dataCentre, now, random = Math.random, isWorkOld = () => false}: ChoiceServices): LeastWaitChoice {
 		return new LeastWaitChoice(dataCentre, now, random, isWorkOld);
 	}
 
-	/** When a replica last read a part, by part and start of the replica. */
+	/** Monotonic milliseconds at which a replica last read a part, by part ID and incarnation of the replica. */
 	private readonly readAt = new Map<string, Map<string, number>>();
 
 	private constructor(
@@ -122,7 +124,7 @@
 		for (const {id} of sharedParts) {
 			const replicas = this.readAt.get(id) ?? new Map<string, number>();
 			replicas.set(replica.start, this.now());
-			// Set anew, so that the parts used last stand last.
+			// Re-inserted to keep the map ordered by last use; the first key is evicted.
 			this.readAt.delete(id);
 			this.readAt.set(id, replicas);
 		}
@@ -158,7 +160,7 @@
 		return read + beside + queue + errors + (dataCentre === this.dataCentre ? 0 : dataCentreCost) + this.random();
 	}
 
-	/** Tokens at the start of the prompt that the replica is believed to keep. */
+	/** Tokens at the beginning of the prompt that the replica is assumed to have in its cache. */
 	private keptTokens(replica: Replica, {sharedParts}: ChoiceRequest, home: Replica | undefined): number {
 		const since = this.now() - partLifetime;
 		const firstMissing = sharedParts.findIndex(({id}) => (this.readAt.get(id)?.get(replica.start) ?? Number.NEGATIVE_INFINITY) < since);
@@ -167,7 +169,7 @@
 	}
 }
 
-/** The same on every box, so that boxes agree where a part is kept without talking. */
+/** Selects by rendezvous hashing the replica that caches a prompt part, the same on every box without coordination. */
 function homeOf(candidates: readonly Replica[], {sharedParts}: ChoiceRequest): Replica | undefined {
 	const part = sharedParts.at(-1);
 	return part && candidates
--- a/src/replicas/replica-connections.ts
+++ b/src/replicas/replica-connections.ts
@@ -1,38 +1,38 @@
 /**
- * Connections to one replica. A connection is handed out only when it stands, so that a failure before proves that
- * nothing was sent; one on which anything unexpected comes is closed.
+ * Connection pool of one replica. A connection is handed out only after it is established, so a failure before that
+ * proves that nothing was sent. An idle connection is closed on any unexpected event.
  */
 import {connect, type Socket} from 'node:net';
 import * as Data from 'effect/Data';
 import * as Effect from 'effect/Effect';
 import type {Clock} from '../base/clock.js';
 
-/** Milliseconds for a connection to stand. */
+/** Milliseconds within which a connection has to be established. */
 const connectTimeout = 700;
-/** Milliseconds an idle connection is kept where the replica says nothing. */
+/** Milliseconds that an idle connection is kept if the replica names no keep-alive time. */
 const assumedIdleLifetime = 4000;
-/** Part of what the replica says that is used, so that its own close is not met. */
+/** Fraction of the replica's keep-alive time that is used, so that no request is sent while the replica closes the connection. */
 const idleLifetimePart = 0.6;
-/** Milliseconds after which an idle connection is too old for a request that must not be sent again. */
+/** Idle milliseconds after which a connection is not used for a request that cannot be retried. */
 const freshIdleTime = 1000;
-/** Connections that a box keeps idle at most, whatever the replica takes. */
+/** Idle connections that a box keeps to one replica, whatever the number of its slots. */
 export const largestIdleCount = 24;
 
-/** No connection to a replica could be made; nothing was sent. */
+/** No connection to a replica could be established; nothing was sent. */
 export class ConnectionFailure extends Data.TaggedError('ConnectionFailure')<{
 	readonly detail: string;
-	/** Whether the replica's box said that nobody listens. */
+	/** Whether the host refused the connection because no process listens on the port. */
 	readonly isRefused: boolean;
 }> {}
 
-/** A connection that stands. */
+/** An established connection. */
 export type Connection = {
 	readonly socket: Socket;
-	/** Whether it carried a request before. */
+	/** Whether the connection has carried a request before. */
 	readonly isReused: boolean;
 };
 
-/** Whether a replica listens: `silent` where its box said nothing either way. */
+/** Whether a replica listens: `standing` if it accepted a connection, `refused` if its host rejected it, `silent` on timeout or another error. */
 export type ProbeResult = 'standing' | 'refused' | 'silent';
 
 type Idle = {
@@ -42,14 +42,14 @@
 	readonly forget: () => void;
 };
 
-/** Connections to one replica. */
+/** Connection pool of one replica. */
 export class ReplicaConnections {
 	/**
-	 * @param host - IP number.
+	 * @param host - IP address.
 	 * @param port - TCP port.
-	 * @param clock - For idle times.
-	 * @param mostIdle - Asked how many connections may be kept idle.
-	 * @returns No connections yet.
+	 * @param clock - Measures idle times.
+	 * @param mostIdle - Returns how many idle connections may be kept.
+	 * @returns An empty pool.
 	 */
 	static create(host: string, port: number, clock: Clock, mostIdle: () => number = () => largestIdleCount): ReplicaConnections {
 		return new ReplicaConnections(host, port, clock, mostIdle);
@@ -58,15 +58,15 @@
 	/** Connections opened so far. */
 	opened = 0;
 	private idle: readonly Idle[] = [];
-	/** Those that carry a request. */
+	/** Connections that carry a request. */
 	private readonly inUse = new Set<Socket>();
 	private isClosed = false;
 
 	private constructor(private readonly host: string, private readonly port: number, private readonly clock: Clock, private readonly mostIdle: () => number) {}
 
 	/**
-	 * @param needsFresh - Whether the request must not be sent again, so that an old idle connection is not good enough.
-	 * @returns A connection that stands.
+	 * @param needsFresh - Whether the request cannot be retried, which excludes connections that have been idle for long.
+	 * @returns An established connection.
 	 */
 	acquire(needsFresh: boolean): Effect.Effect<Connection, ConnectionFailure> {
 		return Effect.suspend(() => {
@@ -78,9 +78,9 @@
 	}
 
 	/**
-	 * Finds out whether anybody listens, on a connection of its own, which is kept where it stands.
+	 * Checks whether the replica listens, over a new connection, which is kept idle if established.
 	 *
-	 * @returns What was found.
+	 * @returns The result of the check.
 	 */
 	probe(): Effect.Effect<ProbeResult> {
 		return this.open().pipe(
@@ -93,10 +93,10 @@
 	}
 
 	/**
-	 * Takes a connection back after a whole answer.
+	 * Returns a connection to the pool after a complete response.
 	 *
 	 * @param socket - The connection.
-	 * @param lifetime - Milliseconds for which the replica keeps it; `undefined` where it did not say.
+	 * @param lifetime - Keep-alive time of the replica in milliseconds; `undefined` if it names none.
 	 */
 	release(socket: Socket, lifetime: number | undefined): void {
 		this.inUse.delete(socket);
@@ -111,7 +111,7 @@
 			this.idle = this.idle.filter(other => other.socket !== socket);
 		};
 
-		// Whatever comes while no request is waiting belongs to none.
+		// Data that arrives while no request is in progress belongs to no request.
 		const events = ['data', 'end', 'error', 'close', 'timeout'] as const;
 		for (const event of events) {
 			socket.on(event, drop);
@@ -133,7 +133,7 @@
 		}];
 	}
 
-	/** Closes the idle ones; those in use are closed as they come back. */
+	/** Closes the idle connections; those in use are closed on release. */
 	close(): void {
 		this.isClosed = true;
 		for (const {socket} of this.idle) {
@@ -143,7 +143,7 @@
 		this.idle = [];
 	}
 
-	/** Cuts those in use: nobody answers on them any more. */
+	/** Destroys the connections in use, whose requests will not be answered. */
 	abandon(): void {
 		for (const socket of this.inUse) {
 			socket.destroy();
@@ -153,7 +153,7 @@
 	private takeIdle(needsFresh: boolean): Socket | undefined {
 		const now = this.clock.monotonic();
 		const wokenAt = this.clock.lastWake();
-		// The replica has counted a suspension, and may have closed the connection.
+		// While this process was suspended, the replica's keep-alive time went on, so it may have closed the connection.
 		const usable = this.idle.filter(({socket, since, until}) => !socket.destroyed && now < until && since >= wokenAt
 			&& (!needsFresh || now - since < freshIdleTime));
 		const taken = usable.at(-1);
@@ -209,5 +209,5 @@
 	}
 }
 
-/** An error of a connection that is being closed says nothing new. */
+/** Errors of a connection that is being destroyed carry no information. */
 const ignore = () => undefined;
--- a/src/replicas/replica-directory.ts
+++ b/src/replicas/replica-directory.ts
@@ -1,49 +1,49 @@
 /**
- * All replicas this box knows of. One that was seen draining never becomes ready again; one whose entry went does
- * only where a newer entry says so.
+ * All replicas that this box knows. A replica that was seen draining never becomes ready again; one whose entry was
+ * removed becomes ready again only by a newer entry.
  */
 import type {Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
 import {Replica, type ReplicaEntry} from './replica.js';
 import type {StatementSource} from './replica-statement.js';
 
-/** Milliseconds for which departures are kept and told to peers. */
+/** Milliseconds for which departures are kept and can be sent to other boxes. */
 const departureMemory = 10_000;
-/** Milliseconds after its departure for which a replica may still be sent to where there is no other. */
+/** Milliseconds for which a leaving replica may still get requests if its service has no other. */
 const lastResort = 600;
 
-/** Starts of replicas that are kept as leaving by their own announcement at most. */
+/** Announcements that are kept; the oldest are evicted. */
 const mostAnnouncements = 4096;
 
-/** A replica's announcement that it leaves. */
+/** A replica's own announcement that it is leaving. */
 export type Announcement = {
-	/** Names the start of the replica. */
+	/** Incarnation of the replica. */
 	readonly start: string;
-	/** Monotonic milliseconds at which the replica made it. */
+	/** Monotonic milliseconds at which the replica made the announcement. */
 	readonly at: number;
 	readonly source: StatementSource;
 };
 
-/** A replica that began to leave. */
+/** A replica that is draining or was removed. */
 export type Departure = {
 	readonly id: string;
-	/** Number of the change by which it did. */
+	/** Revision of the list at which the replica began to leave. */
 	readonly revision: number;
-	/** Names the start that left; absent where that is not known. */
+	/** Incarnation that left; absent if unknown. */
 	readonly start?: string;
 };
 
 type KnownDeparture = Departure & {readonly at: number};
 
-/** Called with a replica that has gone. */
+/** Called with a replica that was removed or replaced. */
 export type ReplicaListener = (replica: Replica) => void;
 
-/** The replicas. */
+/** Directory of the replicas that this box knows. */
 export class ReplicaDirectory {
 	/**
-	 * @param clock - For ages.
-	 * @param log - Where changes are told.
-	 * @returns A directory that knows of none.
+	 * @param clock - Measures ages.
+	 * @param log - Receives an event for each change.
+	 * @returns An empty directory.
 	 */
 	static create(clock: Clock, log: EventLog): ReplicaDirectory {
 		return new ReplicaDirectory(clock, log);
@@ -51,10 +51,10 @@
 
 	private readonly replicas = new Map<string, Replica>();
 	private readonly departures = new Map<string, KnownDeparture>();
-	/** By start of the replica; an entry that still says that it is ready does not undo it. */
+	/** Announcements by incarnation; an entry that still lists the replica as ready does not revoke its announcement. */
 	private readonly announced = new Map<string, Announcement>();
 	private lately: readonly Replica[] = [];
-	/** When a replica of a service was last found ready. */
+	/** Monotonic milliseconds at which a service last had a ready replica, by name of the service. */
 	private readonly servedAt = new Map<string, number>();
 	private readonly goneListeners: ReplicaListener[] = [];
 	private known = false;
@@ -64,19 +64,19 @@
 		this.lastListedAt = clock.monotonic();
 	}
 
-	/** Whether a list has been read. */
+	/** Whether a list of replicas has been received. */
 	get isKnown(): boolean {
 		return this.known;
 	}
 
-	/** All that are listed. */
+	/** All listed replicas. */
 	get all(): readonly Replica[] {
 		return [...this.replicas.values()];
 	}
 
 	/**
 	 * @param within - Milliseconds.
-	 * @returns Those that began to leave in that time.
+	 * @returns The replicas that began to leave in this time.
 	 */
 	departedWithin(within = departureMemory): readonly Departure[] {
 		const now = this.clock.monotonic();
@@ -89,25 +89,25 @@
 		return [...this.departures.values()].filter(({at}) => at >= now - within).map(({at, ...departure}) => departure);
 	}
 
-	/** What listed replicas announced of their leaving. */
+	/** Announcements of the listed replicas. */
 	get announcements(): readonly Announcement[] {
 		return this.announced.size === 0 ? [] : this.all.flatMap(({start}) => this.announced.get(start) ?? []);
 	}
 
-	/** Milliseconds since a replica was last listed for the first time. */
+	/** Milliseconds since an entry last added a replica to the directory. */
 	get settledFor(): number {
 		return this.clock.monotonic() - this.lastListedAt;
 	}
 
-	/** @param listener - Called with a replica that is listed no longer. */
+	/** @param listener - Called with each replica that is removed from the list, or replaced by a newer incarnation. */
 	onDidGo(listener: ReplicaListener): void {
 		this.goneListeners.push(listener);
 	}
 
 	/**
 	 * @param service - Name of a service.
-	 * @returns Its replicas that may get work. Where there are none, those that have only just gone, or whose entries
-	 * have only lapsed: they still serve for a while.
+	 * @returns Its replicas that may get requests. If none is ready: those that began to leave or were removed a moment
+	 * ago, since they still serve for a short time.
 	 */
 	ready(service: string): readonly Replica[] {
 		const listed = this.all.filter(replica => replica.entry.service === service && !replica.isLeaving);
@@ -122,7 +122,7 @@
 
 	/**
 	 * @param service - Name of a service.
-	 * @returns Milliseconds since one of its replicas was last found ready; zero where none ever was.
+	 * @returns Milliseconds since the service last had a ready replica; zero if it never had one.
 	 */
 	absentFor(service: string): number {
 		const now = this.clock.monotonic();
@@ -130,7 +130,7 @@
 	}
 
 	/**
-	 * @param replica - A replica that was chosen.
+	 * @param replica - A replica that was selected earlier.
 	 * @returns Whether a request may still be sent to it.
 	 */
 	mayBeSent({isLeaving, leavingFor, isReplaced}: Replica): boolean {
@@ -139,15 +139,15 @@
 
 	/**
 	 * @param id - Id of a replica.
-	 * @returns The replica; `undefined` where it is not listed.
+	 * @returns The replica; `undefined` if it is not listed.
 	 */
 	named(id: string): Replica | undefined {
 		return this.replicas.get(id);
 	}
 
 	/**
-	 * @param start - Names a start of a replica.
-	 * @returns The replica; `undefined` where that start is not listed.
+	 * @param start - Incarnation of a replica.
+	 * @returns The replica; `undefined` if this incarnation is not listed.
 	 */
 	ofStart(start: string): Replica | undefined {
 		const born = start.lastIndexOf('/');
@@ -155,7 +155,7 @@
 	}
 
 	/**
-	 * @param entries - All that are listed now.
+	 * @param entries - All entries of the current list.
 	 * @param revision - Revision of the list.
 	 */
 	replaceAll(entries: readonly ReplicaEntry[], revision: number): void {
@@ -174,20 +174,20 @@
 	}
 
 	/**
-	 * Dates departures by a list of a store that came back from a copy: entries in it may be older than the departures, and do not undo them.
+	 * Raises the revisions of departures to that of a list of a store that was restored from a backup: its entries may be older than the departures, which stay.
 	 *
-	 * @param position - Position of the list.
+	 * @param position - Revision of the list.
 	 */
 	keepDepartures(position: number): void {
 		for (const [id, departure] of this.departures) {
-			// Of an unknown start it cannot be told whether the entry is its own.
+			// Without a known incarnation, the entry may belong to a newer one that has not left.
 			if (departure.start !== undefined) {
 				this.departures.set(id, {...departure, revision: Math.max(departure.revision, position)});
 			}
 		}
 	}
 
-	/** @param entry - A replica that is new or has changed. */
+	/** @param entry - A new or changed entry of the list. */
 	put(entry: ReplicaEntry): void {
 		const replica = this.replicas.get(entry.id);
 		if (replica && isOlder(entry, replica.entry)) {
@@ -211,7 +211,7 @@
 
 		const added = this.create(entry);
 		const departure = this.departures.get(entry.id);
-		// An entry that lapsed and was written again is newer than its departure.
+		// An entry that expired and was written again has a newer revision than the departure, which then does not apply.
 		if (departure && isOfDeparture(added, departure)) {
 			added.leave();
 		}
@@ -224,18 +224,18 @@
 	}
 
 	/**
-	 * Keeps a replica in use whose entry is missing, though it may be written again.
+	 * Keeps a replica in use whose entry is missing and may be written again.
 	 *
-	 * @param id - Id of the replica.
-	 * @param until - Monotonic milliseconds until which it is used.
+	 * @param id - ID of the replica.
+	 * @param until - Monotonic milliseconds until which it stays in use.
 	 */
 	hold(id: string, until: number): void {
 		this.replicas.get(id)?.hold(until);
 	}
 
 	/**
-	 * @param id - Id of a replica that is listed no longer.
-	 * @param revision - Number of the change by which it went.
+	 * @param id - ID of a replica that is no longer listed.
+	 * @param revision - Revision of the list at which it was removed.
 	 */
 	remove(id: string, revision: number): void {
 		const replica = this.replicas.get(id);
@@ -256,10 +256,10 @@
 	}
 
 	/**
-	 * Notes what somebody else knows: a replica is draining or gone.
+	 * Marks a replica as leaving that another box or the replica itself reports as draining or removed.
 	 *
-	 * @param departure - The replica, and the change by which it began to leave.
-	 * @param source - Who said so.
+	 * @param departure - The replica, and the revision at which it began to leave.
+	 * @param source - Sender of the report.
 	 */
 	noteLeaving(departure: Departure, source: 'peer' | 'replica'): void {
 		const replica = this.replicas.get(departure.id);
@@ -272,9 +272,9 @@
 	}
 
 	/**
-	 * Notes that a replica has announced in an answer that it leaves. That holds until it starts again: its entry may be older, or the store may be down.
+	 * Records a replica's announcement that it is leaving. It holds for this incarnation: the listed entry may be older, or the store unavailable.
 	 *
-	 * @param announcement - What it announced, and how this box learnt of it.
+	 * @param announcement - The announcement, and how this box received it.
 	 */
 	noteAnnouncement(announcement: Announcement): void {
 		const {start, at, source} = announcement;
@@ -296,7 +296,7 @@
 		});
 	}
 
-	/** @returns A replica of which nothing else is known than what its start has announced. */
+	/** @returns A new replica, leaving if its incarnation has announced that. */
 	private create(entry: ReplicaEntry): Replica {
 		const replica = Replica.create(entry, this.clock);
 		if (this.announced.has(replica.start)) {
@@ -307,8 +307,8 @@
 	}
 
 	/**
-	 * A replica that starts again under its id holds and knows nothing of before, and neither does what is believed of it. What
-	 * was chosen for the start before is not sent to it: its process is gone.
+	 * Replaces a replica by a newer incarnation, which inherits no cached prompts, limits or measurements. Requests that
+	 * were assigned to the old incarnation are not sent to it, since its process is gone.
 	 */
 	private replace(replica: Replica, entry: ReplicaEntry): void {
 		replica.noteReplaced();
@@ -332,12 +332,12 @@
 	}
 }
 
-/** Whether a departure is that of a replica as it is listed, not of a start or an entry before. */
+/** Whether a departure applies to the listed entry and incarnation of a replica, not to earlier ones. */
 function isOfDeparture({entry, start}: Replica, departure: Departure): boolean {
 	return entry.revision <= departure.revision && (departure.start ?? start) === start;
 }
 
-/** Whether an entry is of an earlier start; nobody can tell where one does not say when it was born. */
+/** Whether an entry is of an earlier incarnation; false if either entry has no start time. */
 function isOlder({bornAt: left}: ReplicaEntry, {bornAt: right}: ReplicaEntry): boolean {
 	return left !== undefined && right !== undefined && left < right;
 }
--- a/src/replicas/replica-limits.ts
+++ b/src/replicas/replica-limits.ts
@@ -1,5 +1,5 @@
 /**
- * What replicas in need say of how many requests a second they take of all boxes together, and when this box may send to them.
+ * Request limits that overloaded replicas name in their responses, as a rate over all boxes, and the slots in which this box may send to them.
  *
  * @remarks Source: docs/DESIGN.md, "Limits that replicas name".
  */
@@ -13,38 +13,38 @@
 import {ReplicaLog} from './replica-log.js';
 import {newsTime, type StatementSource} from './replica-statement.js';
 
-/** A replica's word on its limit as boxes tell it; the newest counts. */
+/** A replica's limit as boxes send it to each other; the newest one applies. */
 export type ToldLimit = {
-	/** Names the start of the replica. */
+	/** Incarnation of the replica. */
 	readonly start: string;
-	/** Requests a second; `undefined` where the replica names no limit any more. */
+	/** Requests a second; `undefined` if the replica no longer names a limit. */
 	readonly limit: number | undefined;
-	/** Milliseconds since it said so. */
+	/** Milliseconds since the replica's response. */
 	readonly age: number;
 };
 
-/** What the limits need. */
+/** Dependencies of the limits. */
 export type ReplicaLimitServices = {
 	readonly clock: Clock;
 	readonly log: EventLog;
 	/** @returns Milliseconds of the boxes' common time. */
 	readonly commonTime: () => number;
-	/** @returns The part of the slots at replicas of a service that is this box's. */
+	/** @returns This box's part of the slots at the replicas of a service. */
 	readonly stretch: (service: string) => Stretch;
-	/** @returns The listed replica of a start. */
+	/** @returns The listed replica of an incarnation. */
 	readonly listed: (start: string) => Replica | undefined;
 };
 
-/** A word that is known. */
+/** The latest known limit of a replica. */
 type LimitWord = {
 	readonly limit: number | undefined;
 	/**
-	 * Monotonic milliseconds: when a limit was heard, and when the request was sent whose answer names none, since that answer may have been made before one
-	 * that names a limit and was heard first.
+	 * Monotonic milliseconds at which the limit was received. If the response names no limit, the time at which its request was sent: the response may have
+	 * been produced before another one that names a limit but arrived first.
 	 */
 	readonly at: number;
 	readonly source: StatementSource;
-	/** Monotonic milliseconds since which this limit has been known. */
+	/** Monotonic milliseconds at which the limit last changed. */
 	readonly changedAt: number;
 };
 
@@ -54,46 +54,46 @@
 	readonly until: number;
 };
 
-/** This box's slots at a replica. */
+/** State of this box's slots at a replica. */
 type SlotBook = {
 	/**
-	 * Common time up to which slots were looked for. Each is given to a box as it begins, and is not looked at again: limits and parts change, and a
-	 * slot that two boxes each came to own for a while would be used twice.
+	 * Common time up to which slots have been computed. A slot is assigned when it begins and is not computed again: limits and shares change, and a
+	 * slot that belongs to two boxes in turn would be used twice.
 	 */
 	readonly lookedUntil: number;
 	readonly open: readonly OpenSlot[];
 };
 
-/** Requests a second that are sent whatever is named: who gets none cannot say that it is well again. */
+/** Requests a second that are sent even at a lower limit: a replica without requests cannot report that it has recovered. */
 const trialRate = 0.1;
-/** Milliseconds without a word of a limited replica, from any box, after which it gets a request before others do: nothing else tells when it is well again. */
+/** Milliseconds without a response of a limited replica to any box after which it gets the next request, as the only way to learn that it has recovered. */
 const trialAge = 5000;
-/** Milliseconds behind the end of a slot in which a request that took it may still be sent: a connection has to come up. */
+/** Milliseconds after the end of a slot for which its request may still be sent: a connection has to be established first. */
 const sendingTime = 500;
-/** Milliseconds by which common time may be set back, when others are heard, without slots being looked for anew. */
+/** Milliseconds by which the common time may be set back by clock synchronisation without slots being computed again. */
 const longestSetback = 1000;
-/** Milliseconds for which it is told that a replica names no limit any more. */
+/** Milliseconds for which the end of a limit is sent to other boxes. */
 const endMemory = 10_000;
-/** Words kept at most of replicas that are not listed yet. */
+/** Limits that are kept for replicas that are not listed yet. */
 const mostUnlisted = 1024;
-/** Milliseconds for which the limited replicas are not looked for anew: an aggregator is asked for their services with each message that it answers. */
+/** Milliseconds for which the set of limited replicas is cached: an aggregator reads it for each message that it answers. */
 const findingTime = 100;
 
-/** The limited replicas that were found, and when, in monotonic milliseconds. */
+/** The cached set of limited replicas, with the monotonic milliseconds at which it was computed. */
 type Finding = {readonly replicas: readonly Replica[]; readonly at: number};
 const nothingFound: Finding = {replicas: [], at: Number.NEGATIVE_INFINITY};
 
-/** The limits that replicas have named. */
+/** Limits of all replicas, and this box's slots at them. */
 export class ReplicaLimits {
 	/**
-	 * @param services - What they need.
-	 * @returns Limits of which none is known.
+	 * @param services - Dependencies.
+	 * @returns A registry without limits.
 	 */
 	static create(services: ReplicaLimitServices): ReplicaLimits {
 		return new ReplicaLimits(services);
 	}
 
-	/** By start of the replica. */
+	/** Limits by incarnation of the replica. */
 	private readonly words = new Map<string, LimitWord>();
 	private readonly books = new Map<string, SlotBook>();
 	private readonly lines: ReplicaLog;
@@ -109,7 +109,7 @@
 		return [...new Set(this.limited.map(({entry}) => entry.service))];
 	}
 
-	/** Listed replicas that have named limits. */
+	/** Listed replicas that have a limit. */
 	get limited(): readonly Replica[] {
 		const now = this.parts.clock.monotonic();
 		if (now - this.found.at >= findingTime) {
@@ -122,7 +122,7 @@
 
 	/**
 	 * @param replica - A replica.
-	 * @returns Requests a second that it takes of all boxes; `undefined` where it has named no limit.
+	 * @returns Requests a second that the replica accepts from all boxes; `undefined` if it has no limit.
 	 */
 	limitOf({start}: Replica): number | undefined {
 		return this.words.size === 0 ? undefined : this.words.get(start)?.limit;
@@ -130,7 +130,7 @@
 
 	/**
 	 * @param replica - A replica.
-	 * @returns Requests a second that are this box's part of its limit; without end where it has named none.
+	 * @returns Requests a second that this box may send to the replica; infinite if it has no limit.
 	 */
 	partOf(replica: Replica): number {
 		const limit = this.limitOf(replica);
@@ -139,7 +139,7 @@
 
 	/**
 	 * @param replica - A replica.
-	 * @returns Whether this box may send it a request now, as far as its limit is concerned.
+	 * @returns Whether the limit of the replica allows this box to send a request now.
 	 */
 	hasRoom(replica: Replica): boolean {
 		return this.limitOf(replica) === undefined || this.openSlots(replica).length > 0;
@@ -147,7 +147,7 @@
 
 	/**
 	 * @param replica - A replica.
-	 * @returns Whether it should get the next request for the sake of its answer.
+	 * @returns Whether the replica should get the next request as a probe of its limit.
 	 */
 	isDue(replica: Replica): boolean {
 		const word = this.words.get(replica.start);
@@ -155,10 +155,10 @@
 	}
 
 	/**
-	 * Takes this box's slot for a request.
+	 * Acquires a slot of this box for a request.
 	 *
 	 * @param replica - A replica that has room.
-	 * @returns The slot; `undefined` where it has named no limit.
+	 * @returns The slot; `undefined` if the replica has no limit or this box has no open slot.
 	 */
 	take(replica: Replica): Slot | undefined {
 		if (this.limitOf(replica) === undefined) {
@@ -175,11 +175,11 @@
 	}
 
 	/**
-	 * Looks again when a request is about to be sent: a connection may have taken its time, and a limit may have come meanwhile.
+	 * Checks the slot right before a request is sent: establishing the connection may have taken long, or a limit may have been received in the meantime.
 	 *
-	 * @param replica - Where it goes.
-	 * @param slot - What was taken for it.
-	 * @returns Whether it may be sent.
+	 * @param replica - Destination of the request.
+	 * @param slot - The slot that was acquired for the request.
+	 * @returns Whether the request may be sent.
 	 */
 	maySend(replica: Replica, slot: Slot | undefined): boolean {
 		const limit = this.limitOf(replica);
@@ -192,10 +192,10 @@
 	}
 
 	/**
-	 * @param replicas - Replicas that have named limits.
-	 * @param place - Requests of this box that go before.
+	 * @param replicas - Replicas that have limits.
+	 * @param place - Requests of this box that are queued ahead.
 	 * @param horizon - Milliseconds to look ahead.
-	 * @returns Milliseconds until one of them has room; without end where that is behind the horizon.
+	 * @returns Milliseconds until one of the replicas has room; infinite if that is beyond the horizon.
 	 */
 	untilRoom(replicas: readonly Replica[], place: number, horizon: number): number {
 		const now = this.parts.commonTime();
@@ -209,11 +209,11 @@
 	}
 
 	/**
-	 * Notes what an answer says.
+	 * Records the limit of a response.
 	 *
-	 * @param replica - Whose answer it is.
-	 * @param limit - What it names.
-	 * @param sentAt - Monotonic milliseconds at which its request was sent.
+	 * @param replica - The replica that responded.
+	 * @param limit - The limit that it names.
+	 * @param sentAt - Monotonic milliseconds at which the request was sent.
 	 */
 	noteAnswer(replica: Replica, limit: number | 'unreadable' | undefined, sentAt: number): void {
 		if (limit === 'unreadable') {
@@ -227,10 +227,10 @@
 	}
 
 	/**
-	 * @param isWhole - Whether all is told, not only what has changed lately.
-	 * @param sources - Whose words are told.
-	 * @param most - Limits to tell at most.
-	 * @returns What to tell other boxes; `undefined` where that is nothing.
+	 * @param isWhole - Whether to include all limits, not only those that changed within `newsTime`.
+	 * @param sources - Sources of the limits to include.
+	 * @param most - Maximum number of limits to include.
+	 * @returns Limits to send to other boxes; `undefined` if there are none.
 	 */
 	told(isWhole: boolean, sources: readonly StatementSource[], most: number): readonly ToldLimit[] | undefined {
 		if (this.words.size === 0) {
@@ -246,10 +246,10 @@
 	}
 
 	/**
-	 * Takes what another box tells.
+	 * Merges limits that another box sent; the newest one of each replica applies.
 	 *
-	 * @param words - What it tells.
-	 * @param source - Whether it tells what it has heard from replicas itself.
+	 * @param words - The limits.
+	 * @param source - `box` if the sender received them from the replicas itself, `digest` if an aggregator forwarded them.
 	 */
 	takeTold(words: readonly ToldLimit[], source: StatementSource): void {
 		const now = this.parts.clock.monotonic();
@@ -258,20 +258,20 @@
 		}
 	}
 
-	/** Looks for this box's slots at all limited replicas; to be called a few times a second, so that each is looked for soon after it begins. */
+	/** Opens this box's slots at all limited replicas. To be called a few times a second, so that each slot opens soon after it begins. */
 	lookForSlots(): void {
 		for (const replica of this.limited) {
 			this.openSlots(replica);
 		}
 	}
 
-	/** @param replica - A replica that is listed no longer, or another start of which has taken its id. */
+	/** @param replica - A replica that was removed from the list, or replaced by a newer incarnation. */
 	forget(replica: Replica): void {
 		const {start} = replica;
 		this.words.delete(start);
 		this.books.delete(start);
 		this.lines.forget(replica);
-		// Its slots would else be looked for once more, and kept for good.
+		// The cache still holds the replica; opening its slots once more would create an entry that is never removed.
 		this.found = nothingFound;
 	}
 
@@ -309,7 +309,7 @@
 		}
 	}
 
-	/** A word may come before the list that names its replica; of those whose replica never comes the oldest go. */
+	/** Evicts the oldest limits of replicas that are not listed: a limit may arrive before the list that contains its replica. */
 	private dropUnlisted(): void {
 		const unlisted = [...this.words.keys()].filter(start => !this.parts.listed(start));
 		for (const start of unlisted.slice(0, Math.max(0, unlisted.length - mostUnlisted))) {
@@ -318,7 +318,7 @@
 		}
 	}
 
-	/** This box's slots that have begun and may still be used. */
+	/** Returns this box's slots that have begun and may still be used. */
 	private openSlots(replica: Replica): readonly OpenSlot[] {
 		const now = this.parts.commonTime();
 		const limit = usedLimit(this.limitOf(replica) ?? 0);
--- a/src/replicas/replica-log.ts
+++ b/src/replicas/replica-log.ts
@@ -1,5 +1,5 @@
 /**
- * Lines on single replicas, bounded for each: a replica may say something else with every answer.
+ * Log of events of single replicas, rate limited for each replica, since every response of a replica may cause an event.
  */
 import type {Clock} from '../base/clock.js';
 import type {EventName} from '../base/event-catalogue.js';
@@ -7,31 +7,31 @@
 import {getOrCreate} from '../base/get-or-create.js';
 import type {Replica} from './replica.js';
 
-/** Milliseconds between two lines of one event on one replica. */
+/** Minimum milliseconds between two log lines of the same event and replica. */
 const lineInterval = 1000;
 
-/** The lines on all replicas. */
+/** Rate-limited log of replica events. */
 export class ReplicaLog {
 	/**
-	 * @param clock - For the time between lines.
-	 * @param log - Where lines go.
+	 * @param clock - Measures the time between log lines.
+	 * @param log - Receives the events.
 	 * @returns The log.
 	 */
 	static create(clock: Clock, log: EventLog): ReplicaLog {
 		return new ReplicaLog(clock, log);
 	}
 
-	/** Monotonic milliseconds at which each event was last logged, by start of the replica. */
+	/** Monotonic milliseconds at which each event was last logged, by incarnation of the replica. */
 	private readonly loggedAt = new Map<string, Map<EventName, number>>();
 
 	private constructor(private readonly clock: Clock, private readonly log: EventLog) {}
 
 	/**
-	 * Writes a line, unless the same event was just logged for the replica.
+	 * Logs an event unless the same event was logged for the replica within the last second.
 	 *
-	 * @param event - What happened.
-	 * @param replica - To which replica.
-	 * @param fields - Details.
+	 * @param event - The event.
+	 * @param replica - The replica that the event concerns.
+	 * @param fields - Additional fields.
 	 */
 	write(event: EventName, {start, entry}: Replica, fields: EventFields = {}): void {
 		const now = this.clock.monotonic();
@@ -42,7 +42,7 @@
 		}
 	}
 
-	/** @param replica - A replica of which nothing is to be kept. */
+	/** @param replica - A replica whose state is to be removed. */
 	forget({start}: Replica): void {
 		this.loggedAt.delete(start);
 	}
--- a/src/replicas/replica-pauses.ts
+++ b/src/replicas/replica-pauses.ts
@@ -1,54 +1,54 @@
 /**
- * Times in which replicas want no requests: a replica that turns a box away may ask that box for one.
+ * Pauses that replicas ask for: a replica that rejects a request may ask the box to send none for some time.
  */
 import type {Clock} from '../base/clock.js';
 import {getOrCreate} from '../base/get-or-create.js';
 import type {Replica} from './replica.js';
 
-/** A time without requests. */
+/** A period in which a box sends no requests to a replica. */
 type Pause = {
-	/** Monotonic milliseconds at which it was asked for. */
+	/** Monotonic milliseconds at which the replica asked for the pause. */
 	readonly at: number;
-	/** Monotonic milliseconds at which it ends. */
+	/** Monotonic milliseconds at which the pause ends. */
 	readonly until: number;
 };
 
-/** A pause that this box was asked for, as it tells it to others. */
+/** A pause that a replica asked this box for, as sent to other boxes. */
 export type ToldPause = {
-	/** Names the start of the replica. */
+	/** Incarnation of the replica. */
 	readonly start: string;
-	/** Milliseconds that were asked for. */
+	/** Duration in milliseconds. */
 	readonly length: number;
-	/** Milliseconds since. */
+	/** Milliseconds since the replica asked for the pause. */
 	readonly age: number;
 };
 
-/** Stands for this box. */
+/** Key of this box. */
 const self = '';
 
-/** The pauses that replicas asked boxes for. Only the one of this box binds it; those of others say where its next request may fail. */
+/** Pauses that replicas asked boxes for. A box is bound only by its own; those of other boxes indicate where its next request may be rejected. */
 export class ReplicaPauses {
 	/**
-	 * @param clock - For their ends.
-	 * @returns Pauses of which none is known.
+	 * @param clock - Measures the pauses.
+	 * @returns A registry without pauses.
 	 */
 	static create(clock: Clock): ReplicaPauses {
 		return new ReplicaPauses(clock);
 	}
 
-	/** By start of the replica and name of the box. */
+	/** Pauses by incarnation of the replica and name of the box. */
 	private readonly pauses = new Map<string, Map<string, Pause>>();
 
 	private constructor(private readonly clock: Clock) {}
 
 	/**
-	 * Notes that a replica asked for a pause. It ends by time alone: an answer that comes later may have been made before.
+	 * Records a pause. It ends only by time, since a response that arrives later may have been produced earlier.
 	 *
 	 * @param replica - The replica.
-	 * @param length - Milliseconds.
-	 * @param age - Milliseconds since it asked.
-	 * @param box - Name of the box that was asked; this one where absent.
-	 * @returns Whether the pause is longer than what was known of it.
+	 * @param length - Duration in milliseconds.
+	 * @param age - Milliseconds since the replica asked for the pause.
+	 * @param box - Name of the box that was asked; this box by default.
+	 * @returns Whether the pause ends later than the known one.
 	 */
 	note({start}: Replica, length: number, age = 0, box = self): boolean {
 		const at = this.clock.monotonic() - age;
@@ -64,7 +64,7 @@
 
 	/**
 	 * @param replica - A replica.
-	 * @returns Milliseconds for which it still wants no requests from this box; zero where it takes them.
+	 * @returns Remaining milliseconds of the pause that the replica asked this box for; zero without one.
 	 */
 	left({start}: Replica): number {
 		const until = this.pauses.size === 0 ? undefined : this.pauses.get(start)?.get(self)?.until;
@@ -73,7 +73,7 @@
 
 	/**
 	 * @param replica - A replica.
-	 * @returns How many boxes it wants no requests from, as far as is known, this one too.
+	 * @returns Number of boxes, including this one, that the replica is known to have asked for a pause that has not ended.
 	 */
 	boxesOf({start}: Replica): number {
 		const ofReplica = this.pauses.size === 0 ? undefined : this.pauses.get(start);
@@ -95,7 +95,7 @@
 		return ofReplica.size;
 	}
 
-	/** Those of this box that have not ended. */
+	/** Pauses of this box that have not ended. */
 	get told(): readonly ToldPause[] {
 		const now = this.clock.monotonic();
 		return [...this.pauses].flatMap(([start, ofReplica]) => {
@@ -104,7 +104,7 @@
 		});
 	}
 
-	/** @param replica - A replica that is listed no longer, or another start of which has taken its id. */
+	/** @param replica - A replica that was removed from the list, or replaced by a newer incarnation. */
 	forget({start}: Replica): void {
 		this.pauses.delete(start);
 	}
--- a/src/replicas/replica-statement.ts
+++ b/src/replicas/replica-statement.ts
@@ -1,44 +1,47 @@
 /**
- * What a replica says of itself in the head of an answer.
+ * Statements of a replica about itself in the headers of a response.
  */
 
-/** What one answer says; `unreadable` where a value makes no sense. */
+/** The statements of one response; `unreadable` if a value is invalid. */
 export type ReplicaStatement = {
-	/** Requests a second that the replica takes of all boxes together, for as long as its answers say so; `undefined` where it names no limit. */
+	/** Requests a second that the replica accepts from all boxes together, until a response names no limit; `undefined` if it names none. */
 	readonly limit: number | 'unreadable' | undefined;
-	/** Whether it is about to end and wants no new work. */
+	/** Whether the replica is about to terminate and accepts no new requests. */
 	readonly isLeaving: boolean | 'unreadable';
-	/** Milliseconds for which it wants no requests from this box; `undefined` where it does not say. */
+	/** Milliseconds for which the replica asks this box to send no requests; `undefined` if it asks for no pause. */
 	readonly pause: number | 'unreadable' | undefined;
 };
 
-/** How a box learnt a statement. What came in a digest is not forwarded: each hop would reset its age. */
+/**
+ * How a box received a statement: in a response of the replica, from another box, or in the digest of an aggregator.
+ * Those of a digest are not forwarded, since each hop would reset their age.
+ */
 export type StatementSource = 'answer' | 'box' | 'digest';
 
 export const statementKinds = ['limit', 'leaving', 'pause'] as const;
 
-/** One statement of a replica, as boxes tell it to each other. */
+/** One statement of a replica, as boxes send it to each other. */
 export type ToldStatement = {
-	/** Names the start of the replica. */
+	/** Incarnation of the replica. */
 	readonly start: string;
 	readonly kind: typeof statementKinds[number];
 	/**
-	 * Requests a second for a limit, `undefined` where the replica names none any more; milliseconds for a pause, which it asked the sender for; `undefined` for
-	 * a replica that leaves.
+	 * For a limit, requests a second, or `undefined` if the replica no longer names one; for a pause, milliseconds, for which the replica asked the sender;
+	 * for a leaving replica, `undefined`.
 	 */
 	readonly value: number | undefined;
-	/** Milliseconds since the replica said so. */
+	/** Milliseconds since the replica made the statement. */
 	readonly age: number;
 };
 
 /**
- * Milliseconds for which a large fleet is told of a new statement, or of a replica that leaves, with each message: some rounds. Boxes that miss them learn it
- * from whole states and from the list; where a whole data centre leaves, each message would carry it for long.
+ * Milliseconds for which a new statement or departure is included in each message of a large fleet; spans several gossip rounds. Boxes that miss it
+ * receive it with a full state or the list. The bound keeps messages small after a whole data centre has left.
  */
 export const newsTime = 2500;
 
-/** Statements of one kind in one message at most; which of more are told changes from one to the next. */
+/** Maximum statements of one kind in one message, by fleet size; if there are more, successive messages rotate through them. */
 export const mostStatementsTold = {small: 64, large: 12} as const;
 
-/** A statement that says nothing. */
+/** The statement of a response without such headers. */
 export const noStatement: ReplicaStatement = {limit: undefined, isLeaving: false, pause: undefined};
--- a/src/replicas/replica-statements.ts
+++ b/src/replicas/replica-statements.ts
@@ -1,5 +1,5 @@
 /**
- * What replicas say of themselves in their answers: the one place that applies it and tells other boxes of it.
+ * Applies the statements that replicas make about themselves in their responses, and exchanges them with other boxes.
  */
 import type {Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
@@ -13,7 +13,7 @@
 	newsTime, type ReplicaStatement, type StatementSource, type ToldStatement,
 } from './replica-statement.js';
 
-/** What the statements need. */
+/** Dependencies of the statements. */
 export type ReplicaStatementServices = {
 	readonly clock: Clock;
 	readonly log: EventLog;
@@ -21,14 +21,14 @@
 	readonly replicas: ReplicaDirectory;
 };
 
-/** Milliseconds of a pause from which on it is logged as a warning: the replica is of no use for so long. */
+/** Milliseconds above which a pause is logged as a warning, since the replica is unavailable for this long. */
 const longPause = 60_000;
 
-/** The statements of all replicas. */
+/** Statements of all replicas. */
 export class ReplicaStatements {
 	/**
-	 * @param services - What they need.
-	 * @returns Statements of which none is known.
+	 * @param services - Dependencies.
+	 * @returns A registry without statements.
 	 */
 	static create(services: ReplicaStatementServices): ReplicaStatements {
 		return new ReplicaStatements(services);
@@ -44,11 +44,11 @@
 	}
 
 	/**
-	 * Notes what an answer says.
+	 * Records the statements of a response.
 	 *
-	 * @param replica - Whose answer it is.
-	 * @param statement - What it says.
-	 * @param sentAt - Monotonic milliseconds at which its request was sent.
+	 * @param replica - The replica that responded.
+	 * @param statement - Its statements.
+	 * @param sentAt - Monotonic milliseconds at which the request was sent.
 	 */
 	noteAnswer(replica: Replica, {limit, isLeaving, pause}: ReplicaStatement, sentAt: number): void {
 		this.services.limits.noteAnswer(replica, limit, sentAt);
@@ -57,10 +57,10 @@
 	}
 
 	/**
-	 * @param isWhole - Whether all is told, not only what has changed lately.
-	 * @param sources - How what is told was learnt.
-	 * @param most - Statements of one kind to tell at most.
-	 * @returns What to tell other boxes; `undefined` where that is nothing.
+	 * @param isWhole - Whether to include all statements, not only those that changed within `newsTime`.
+	 * @param sources - Sources of the statements to include.
+	 * @param most - Maximum number of statements of each kind.
+	 * @returns Statements to send to other boxes; `undefined` if there are none.
 	 */
 	told(isWhole: boolean, sources: readonly StatementSource[], most: number): readonly ToldStatement[] | undefined {
 		const {clock, limits, replicas} = this.services;
@@ -83,11 +83,11 @@
 	}
 
 	/**
-	 * Takes what another box tells.
+	 * Merges statements that another box sent.
 	 *
-	 * @param box - Its name.
-	 * @param statements - What it tells.
-	 * @param source - Whether replicas have told it that themselves.
+	 * @param box - Name of the box.
+	 * @param statements - The statements.
+	 * @param source - `box` if the sender received them from the replicas itself, `digest` if an aggregator forwarded them.
 	 */
 	takeTold(box: string, statements: readonly ToldStatement[], source: StatementSource): void {
 		const {clock, limits, replicas} = this.services;
@@ -106,7 +106,7 @@
 
 	/**
 	 * @param replica - A replica.
-	 * @returns Whether this box may send it a request now, as far as the replica's own statements are concerned.
+	 * @returns Whether the replica's limit and pause allow this box to send a request now.
 	 */
 	hasRoom(replica: Replica): boolean {
 		return this.pauses.left(replica) === 0 && this.services.limits.hasRoom(replica);
@@ -114,7 +114,7 @@
 
 	/**
 	 * @param replica - A replica.
-	 * @returns Milliseconds for which it still wants no requests from this box; zero where it takes them.
+	 * @returns Remaining milliseconds of the pause that the replica asked this box for; zero without one.
 	 */
 	pauseLeft(replica: Replica): number {
 		return this.pauses.left(replica);
@@ -122,7 +122,7 @@
 
 	/**
 	 * @param replica - A replica.
-	 * @returns How many boxes it wants no requests from, as far as is known, this one too.
+	 * @returns Number of boxes, including this one, that the replica is known to have asked for a pause that has not ended.
 	 */
 	boxesPaused(replica: Replica): number {
 		return this.pauses.boxesOf(replica);
@@ -130,9 +130,9 @@
 
 	/**
 	 * @param replicas - Replicas without room.
-	 * @param place - Requests of this box that go before.
+	 * @param place - Requests of this box that are queued ahead.
 	 * @param horizon - Milliseconds to look ahead for slots of limits.
-	 * @returns Milliseconds until one of them may have room; without end where that is not known.
+	 * @returns Milliseconds until one of the replicas may have room; infinite if unknown.
 	 */
 	untilRoom(replicas: readonly Replica[], place: number, horizon: number): number {
 		const pauses = replicas.map(replica => this.pauses.left(replica)).filter(left => left > 0);
@@ -140,7 +140,7 @@
 		return Math.min(...pauses, this.services.limits.untilRoom(limited, place, horizon));
 	}
 
-	/** @param replica - A replica that is listed no longer, or another start of which has taken its id. */
+	/** @param replica - A replica that was removed from the list, or replaced by a newer incarnation. */
 	forget(replica: Replica): void {
 		this.services.limits.forget(replica);
 		this.pauses.forget(replica);
--- a/src/replicas/replica.ts
+++ b/src/replicas/replica.ts
@@ -1,17 +1,17 @@
 /**
- * A replica of a service, as the platform's list tells of it, and what this box knows of its load.
+ * A replica of a service: its entry in the platform's list, and this box's view of its load and health.
  */
 import type {Clock} from '../base/clock.js';
 
-/** What the list says of a replica. */
+/** Entry of a replica in the list. */
 export type ReplicaEntry = {
-	/** Names the replica; it may start again under it. */
+	/** ID of the replica, which stays the same when its process starts again. */
 	readonly id: string;
-	/** Milliseconds since the epoch at which it started, by its own clock; `undefined` where it does not say. */
+	/** Start time in milliseconds since the epoch, by the replica's own clock; `undefined` if not given. */
 	readonly bornAt: number | undefined;
-	/** Version of the software it runs; empty where it does not say. */
+	/** Version of the software that the replica runs; empty if not given. */
 	readonly software: string;
-	/** Number of the change by which the list came to say this; rises. */
+	/** Revision of the list at which the entry last changed; increases. */
 	readonly revision: number;
 	readonly service: string;
 	readonly host: string;
@@ -19,48 +19,51 @@
 	readonly dataCentre: string;
 	readonly slots: number;
 	readonly isDraining: boolean;
-	/** Whether the platform may take it away at short notice. */
+	/** Whether the platform may reclaim the replica at short notice. */
 	readonly isReclaimable: boolean;
-	/** Milliseconds until it leaves, where that is known. */
+	/** Milliseconds until the replica leaves, if known. */
 	readonly leavesIn: number | undefined;
 };
 
-/** Work at a replica. */
+/** Load of a replica. */
 export type ReplicaWork = {
 	/** Requests in progress. */
 	readonly requests: number;
-	/** Prompt tokens of those that have brought nothing yet. */
+	/** Prompt tokens of requests in progress whose response has not begun. */
 	readonly unreadTokens: number;
 };
 
-/** Milliseconds for which a replica is avoided after a first failure; doubles with each further one. */
+/** Milliseconds for which a replica is avoided after the first failure; doubles with each consecutive failure. */
 const firstAvoidance = 300;
+/** Maximum milliseconds for which a replica is avoided. */
 const longestAvoidance = 4000;
+/** Weight of one sample in the moving averages of latency and errors. */
 const meanWeight = 0.1;
-/** Milliseconds without a byte from a replica that has requests after which it counts as silent; more where it is slow. */
+/** Milliseconds without data from a replica with requests in progress after which it counts as silent; longer for slow replicas. */
 const leastSilence = 900;
+/** Multiple of the mean latency that a slow replica may take without sending data. */
 const silencePerLatency = 5;
-/** Milliseconds after which what a peer said of its work no longer counts. */
+/** Milliseconds after which the load that another box reported is ignored. */
 const peerWorkLifetime = 1000;
-/** The same for what an aggregator told, which comes less often. */
+/** Milliseconds after which the load that an aggregator reported is ignored; longer, since aggregators report less often. */
 const othersWorkLifetime = 2000;
 
 type PeerWork = ReplicaWork & {readonly until: number};
-/** Stands for all other boxes where an aggregator told their work in one. */
+/** Key of the summed load of all other boxes, as an aggregator reports it. */
 const allOthers = '';
 
-/** One replica, as this box sees it. */
+/** One incarnation of a replica, as this box sees it. */
 export class Replica {
 	/**
-	 * @param entry - What the list says.
-	 * @param clock - For ages.
-	 * @returns A replica of which nothing else is known.
+	 * @param entry - Entry of the list.
+	 * @param clock - Measures ages.
+	 * @returns A replica without measurements.
 	 */
 	static create(entry: ReplicaEntry, clock: Clock): Replica {
 		return new Replica(entry, clock);
 	}
 
-	/** Names this start of the replica. */
+	/** Incarnation: the ID, with the start time if given. */
 	readonly start: string;
 	private own = {requests: 0, unreadTokens: 0};
 	private readonly peers = new Map<string, PeerWork>();
@@ -71,10 +74,10 @@
 	private latencyMean = 0;
 	private leavingSince: number | undefined;
 	private missingSince: number | undefined;
-	/** Monotonic milliseconds from which on it counts as leaving, while its entry is missing. */
+	/** Monotonic milliseconds from which on the replica counts as leaving, unless its missing entry returns. */
 	private heldUntil = Number.POSITIVE_INFINITY;
 	private hasSuccessor = false;
-	/** When it was last heard, or got a request after having none. */
+	/** Monotonic milliseconds of the last data received, or of the first request after an idle time, whichever is later. */
 	private heardAt = 0;
 	private answeredAt = Number.NEGATIVE_INFINITY;
 
@@ -84,74 +87,74 @@
 		this.leavingSince = listed.isDraining ? clock.monotonic() : undefined;
 	}
 
-	/** What the list says. */
+	/** Current entry of the list. */
 	get entry(): ReplicaEntry {
 		return this.listed;
 	}
 
-	/** Whether it gets no new work any more. */
+	/** Whether the replica gets no new requests. */
 	get isLeaving(): boolean {
 		return this.leavingSince !== undefined || this.clock.monotonic() >= this.heldUntil;
 	}
 
-	/** Whether another start has taken its id: its process is gone. */
+	/** Whether a newer incarnation has replaced this one, whose process is gone. */
 	get isReplaced(): boolean {
 		return this.hasSuccessor;
 	}
 
-	/** Milliseconds since it began to leave; zero before. One whose entry went missing and did not come back has left since then. */
+	/** Milliseconds since the replica began to leave, zero before. An entry that went missing for good counts from the time that it went missing. */
 	get leavingFor(): number {
 		const since = this.leavingSince ?? this.missingSince;
 		return since === undefined || !this.isLeaving ? 0 : this.clock.monotonic() - since;
 	}
 
-	/** Milliseconds for which its entry has been missing while it stays in use; zero where it is listed. */
+	/** Milliseconds for which the entry has been missing while the replica stays in use; zero if it is listed. */
 	get missingFor(): number {
 		return this.missingSince === undefined ? 0 : this.clock.monotonic() - this.missingSince;
 	}
 
-	/** Whether its entry is missing while it stays in use. */
+	/** Whether the entry is missing while the replica stays in use. */
 	get isMissing(): boolean {
 		return this.missingSince !== undefined;
 	}
 
-	/** Whether it has requests of this box and has sent nothing for long. */
+	/** Whether the replica has requests of this box in progress and has sent no data for long. */
 	get isSilent(): boolean {
 		const allowed = Math.max(leastSilence, this.latencyMean * silencePerLatency);
 		return this.own.requests > 0 && this.clock.monotonic() - this.heardAt > allowed;
 	}
 
-	/** Monotonic milliseconds at which bytes last came from it. */
+	/** Monotonic milliseconds at which data was last received from the replica. */
 	get lastAnsweredAt(): number {
 		return this.answeredAt;
 	}
 
-	/** Whether it failed lately and is left alone for a while. */
+	/** Whether the replica is avoided for a while after a failure. */
 	get isAvoided(): boolean {
 		return this.clock.monotonic() < this.avoidedUntil;
 	}
 
-	/** Whether its address refused a connection lately: its process is most likely gone, though its entry is still listed. */
+	/** Whether the last failure was a refused connection: the process is most likely gone, though its entry is still listed. */
 	get refusesConnections(): boolean {
 		return this.wasRefused && this.isAvoided;
 	}
 
-	/** This box's own work there. */
+	/** Load caused by this box. */
 	get ownWork(): ReplicaWork {
 		return this.own;
 	}
 
-	/** Share of requests that brought an error lately, 0 to 1. */
+	/** Moving average of the share of requests that failed, 0 to 1. */
 	get errorShare(): number {
 		return this.errorMean;
 	}
 
-	/** Mean milliseconds to the first byte of an answer; zero before the first. */
+	/** Moving average of the milliseconds to the first byte of a response; zero before the first. */
 	get latency(): number {
 		return this.latencyMean;
 	}
 
-	/** Work of all boxes there, as far as is known. */
+	/** Load caused by all boxes, as far as known. */
 	get work(): ReplicaWork {
 		const now = this.clock.monotonic();
 		let {requests, unreadTokens} = this.own;
@@ -165,7 +168,7 @@
 		return {requests, unreadTokens};
 	}
 
-	/** @param entry - What the list says now. */
+	/** @param entry - Changed entry of the list. */
 	update(entry: ReplicaEntry): void {
 		if (entry.revision > this.listed.revision) {
 			this.missingSince = undefined;
@@ -178,28 +181,28 @@
 		}
 	}
 
-	/** Notes that it is draining or gone. */
+	/** Marks the replica as draining or removed. */
 	leave(): void {
 		this.leavingSince ??= this.missingSince ?? this.clock.monotonic();
 	}
 
 	/**
-	 * Notes that its entry is missing, though it may be written again.
+	 * Marks the entry as missing. The replica stays in use for now, since the entry may be written again.
 	 *
-	 * @param until - Monotonic milliseconds from which on it counts as leaving.
+	 * @param until - Monotonic milliseconds from which on the replica counts as leaving.
 	 */
 	hold(until: number): void {
 		this.missingSince ??= this.clock.monotonic();
 		this.heldUntil = until;
 	}
 
-	/** Notes that another start has taken its id. */
+	/** Marks the replica as replaced by a newer incarnation. */
 	noteReplaced(): void {
 		this.hasSuccessor = true;
 		this.leave();
 	}
 
-	/** Notes that bytes came from it. */
+	/** Records that data was received from the replica. */
 	noteHeard(): void {
 		this.heardAt = this.clock.monotonic();
 		this.answeredAt = this.heardAt;
@@ -207,24 +210,24 @@
 
 	/**
 	 * @param peer - Name of another box.
-	 * @param work - Its work here.
+	 * @param work - Load that it causes at this replica.
 	 */
 	notePeerWork(peer: string, work: ReplicaWork): void {
 		this.peers.set(peer, {...work, until: this.clock.monotonic() + peerWorkLifetime});
 	}
 
-	/** @param work - Work of all other boxes here, as an aggregator tells it. */
+	/** @param work - Summed load of all other boxes, as an aggregator reports it. */
 	noteOthersWork(work: ReplicaWork): void {
 		this.peers.clear();
 		this.peers.set(allOthers, {...work, until: this.clock.monotonic() + othersWorkLifetime});
 	}
 
-	/** @param peer - Name of a box that has no work here. */
+	/** @param peer - Name of a box that no longer has requests at this replica. */
 	clearPeerWork(peer: string): void {
 		this.peers.delete(peer);
 	}
 
-	/** @param unreadTokens - Prompt tokens of a request that goes there now. */
+	/** @param unreadTokens - Prompt tokens, not cached by the replica, of a request that is sent now. */
 	begin(unreadTokens: number): void {
 		if (this.own.requests === 0) {
 			this.heardAt = this.clock.monotonic();
@@ -233,20 +236,20 @@
 		this.own = {requests: this.own.requests + 1, unreadTokens: this.own.unreadTokens + unreadTokens};
 	}
 
-	/** @param unreadTokens - Prompt tokens that have been read there. */
+	/** @param unreadTokens - Prompt tokens that the replica has read. */
 	noteRead(unreadTokens: number): void {
 		this.own = {...this.own, unreadTokens: Math.max(0, this.own.unreadTokens - unreadTokens)};
 	}
 
-	/** Notes that a request has ended there. */
+	/** Records that a request has ended. */
 	end(): void {
 		this.own = {...this.own, requests: Math.max(0, this.own.requests - 1)};
 	}
 
 	/**
-	 * Notes an answer.
+	 * Records a response.
 	 *
-	 * @param latency - Milliseconds to its first byte.
+	 * @param latency - Milliseconds to the first byte.
 	 * @param isError - Whether the replica failed the request.
 	 */
 	noteAnswer(latency: number, isError: boolean): void {
@@ -257,13 +260,13 @@
 		this.latencyMean += (latency - this.latencyMean) * (this.latencyMean === 0 ? 1 : meanWeight);
 	}
 
-	/** Notes that its address refused a connection. */
+	/** Records a refused connection. */
 	noteRefusedConnection(): void {
 		this.noteFailure();
 		this.wasRefused = true;
 	}
 
-	/** Notes that it refused for being full or could not be reached. */
+	/** Records that the replica rejected a request as overloaded, or could not be reached. */
 	noteFailure(): void {
 		this.wasRefused = false;
 		this.failures++;
--- a/src/replicas/service-demand.ts
+++ b/src/replicas/service-demand.ts
@@ -1,55 +1,55 @@
 /**
- * What is asked of a service at this box, measured by what comes and not by what waits: where replicas are short, what waits
- * grows without bound and says little of how many would do.
+ * Estimates the demand for a service at this box from the arriving requests. The length of the queue is no measure:
+ * if replicas are short, it grows without bound and does not tell how many replicas would suffice.
  */
 import type {Clock} from '../base/clock.js';
 import {getOrCreate} from '../base/get-or-create.js';
 import {RateMeter} from '../base/rate-meter.js';
 
-/** Milliseconds over which arrivals are measured: clumps of requests are shorter, waves longer. */
+/** Milliseconds over which arrivals are averaged: longer than bursts of requests, shorter than waves of load. */
 const arrivalTime = 4000;
-/** Tokens of a prompt below which its time says more of the way than of the reading. */
+/** Prompt tokens below which the network dominates the time to the first event, so that it gives no read rate. */
 const leastTokens = 1000;
-/** The rate of reading that this part of the samples stays below counts: the others waited beside other work. */
+/** Quantile of the samples that is used as the read rate: lower samples come from requests that shared the replica with others. */
 const quantile = 0.95;
-/** Part of the rate by which one sample moves it at most: the first ones more, since the very first may have waited. */
+/** Fraction of the read rate by which one sample may move it. The first samples move it more, since the very first may have been queued. */
 const leastStep = 0.03;
 const largestStep = 0.08;
-/** Samples from which on a rate of reading is told. */
+/** Samples that are needed for a read rate. */
 const leastSamples = 20;
-/** Weight of one request in the means of what comes: rare long prompts must not sway them. */
+/** Weight of one request in the means of arrivals; low, so that rare long prompts do not distort them. */
 const arrivalWeight = 0.002;
-/** Weight of one request in the mean duration: queues come and go within some hundred requests. */
+/** Weight of one request in the mean duration; averages over a few hundred requests, within which queues build up and drain. */
 const durationWeight = 0.004;
 const millisecondsPerSecond = 1000;
 
-/** Milliseconds over which it is measured how many answers begin in time. */
+/** Milliseconds over which the rates of timely and late responses are averaged. */
 const outcomeTime = 2000;
 
 /** The demand for one service at one box. */
 export type Demand = {
-	/** Requests that are in progress on average where replicas are not short. */
+	/** Mean number of requests in progress if enough replicas are available. */
 	readonly requests: number;
-	/** Prompt tokens a second that replicas have to read. */
+	/** Prompt tokens a second that the replicas have to read. */
 	readonly reading: number;
 	/** Prompt tokens that a replica reads in a second beside its other work; zero where too little was seen. */
 	readonly readRate: number;
-	/** Milliseconds within which answers are to begin, on average; zero before any. */
+	/** Mean of the milliseconds within which responses have to begin; zero before the first request. */
 	readonly goal: number;
-	/** Tokens of a prompt that a replica has to read, on average, and the mean of their squares. */
+	/** Mean number of prompt tokens that a replica has to read for a request, and the mean of their squares. */
 	readonly meanTokens: number;
 	readonly meanSquare: number;
-	/** Requests a second whose answers begin in time. */
+	/** Requests a second whose responses begin in time. */
 	readonly met: number;
-	/** Requests a second whose answers begin late, or that replicas are too short to serve. */
+	/** Requests a second whose responses begin late, or that are rejected for lack of replica capacity. */
 	readonly missed: number;
 };
 
 /** The demand for one service at this box. */
 export class ServiceDemand {
 	/**
-	 * @param clock - For rates.
-	 * @returns A demand of which nothing was seen.
+	 * @param clock - Measures rates.
+	 * @returns The demand, without samples.
 	 */
 	static create(clock: Clock): ServiceDemand {
 		return new ServiceDemand(clock);
@@ -75,7 +75,7 @@
 		this.missed = RateMeter.create(clock, outcomeTime);
 	}
 
-	/** What is asked now; by Little's law requests in progress are those that come, times how long they take. */
+	/** Current demand. By Little's law, the requests in progress are the arrival rate times the mean duration. */
 	get now(): Demand {
 		const {meanTokens, meanSquare, readRate, goal} = this;
 		return {
@@ -89,21 +89,21 @@
 		return this.samples < leastSamples ? 0 : this.readingRate * millisecondsPerSecond;
 	}
 
-	/** Milliseconds for which a request is at a replica that does not let it wait, on average; zero before any. */
+	/** Mean milliseconds that a request spends at a replica without queueing; zero before the first. */
 	get duration(): number {
 		return this.meanDuration;
 	}
 
-	/** Milliseconds within which an answer is to begin, on average. */
+	/** Mean of the milliseconds within which responses have to begin. */
 	get goal(): number {
 		return this.meanGoal;
 	}
 
 	/**
-	 * Notes a request that comes.
+	 * Records an arriving request.
 	 *
-	 * @param unreadTokens - Tokens of its prompt that a replica has to read.
-	 * @param goal - Milliseconds within which its answer is to begin.
+	 * @param unreadTokens - Prompt tokens that a replica has to read.
+	 * @param goal - Milliseconds within which the response has to begin.
 	 */
 	noteArrival(unreadTokens: number, goal: number): void {
 		this.arrivals.note(1);
@@ -115,27 +115,27 @@
 		this.meanGoal += (goal - this.meanGoal) * weight;
 	}
 
-	/** Notes a request that no replica could be given: it is asked for all the same. */
+	/** Records a request that was rejected without a replica; it counts as demand nevertheless. */
 	noteTurnedAway(): void {
 		this.arrivals.note(1);
 		this.unread.note(this.meanTokens);
 		this.missed.note(1);
 	}
 
-	/** @param isInTime - Whether the answer to a request began within its goal. */
+	/** @param isInTime - Whether the response to a request began within its goal. */
 	noteOutcome(isInTime: boolean): void {
 		(isInTime ? this.met : this.missed).note(1);
 	}
 
-	/** @param duration - Milliseconds for which a request was at a replica that did not let it wait. */
+	/** @param duration - Milliseconds that a request spent at a replica without queueing. */
 	noteEnd(duration: number): void {
 		this.ended++;
 		this.meanDuration += (duration - this.meanDuration) * Math.max(durationWeight, 1 / this.ended);
 	}
 
 	/**
-	 * @param tokens - Tokens of a prompt that its replica did not keep.
-	 * @param duration - Milliseconds from the sending to the first event.
+	 * @param tokens - Prompt tokens that the replica did not have in its cache.
+	 * @param duration - Milliseconds from sending the request to the first event of the response.
 	 */
 	noteRead(tokens: number, duration: number): void {
 		if (tokens < leastTokens || duration <= 0) {
@@ -152,8 +152,8 @@
 /** The demand for each service at this box. */
 export class ServiceDemands {
 	/**
-	 * @param clock - For rates.
-	 * @returns Demands of which nothing was seen.
+	 * @param clock - Measures rates.
+	 * @returns A registry without samples.
 	 */
 	static create(clock: Clock): ServiceDemands {
 		return new ServiceDemands(clock);
@@ -163,7 +163,7 @@
 
 	private constructor(private readonly clock: Clock) {}
 
-	/** What is asked of each service. */
+	/** Rounded demand for each service, to be sent to other boxes. */
 	get told(): ReadonlyArray<Demand & {readonly service: string}> {
 		return [...this.demands].map(([service, {now}]) => ({
 			service,
--- a/src/replicas/test/limit-slots.test.ts
+++ b/src/replicas/test/limit-slots.test.ts
@@ -10,18 +10,18 @@
 /** Milliseconds since the epoch. */
 const moments = fc.double({min: 1.7e12, max: 1.9e12, noNaN: true});
 
-test('each slot belongs to one box, whatever the weights', () => {
+test('each slot belongs to exactly one box for any weights', () => {
 	fc.assert(fc.property(limits, fleets, moments, fc.string(), (limit, weights, from, start) => {
 		const until = from + 5000;
 		const all = ownSlots({start, limit, stretch: {from: 0, length: 1}}, from, until).map(({at}) => at);
 		const owned = [...divideLine(weights).values()].flatMap(stretch => ownSlots({start, limit, stretch}, from, until).map(({at}) => at));
-		// At the very end of a stretch the last digit may give a slot to two boxes or none.
+		// Rounding may give a slot at the end of a part to two boxes or to none.
 		assert.ok(Math.abs(owned.length - all.length) <= 1, `${owned.length} of ${all.length}`);
 		assert.ok(new Set(owned).size >= owned.length - 1);
 	}), {seed, numRuns: runs});
 });
 
-test('as many requests fit into a while as the limit says', () => {
+test('the slots of a period hold as many requests as the limit allows', () => {
 	fc.assert(fc.property(limits, moments, fc.string(), (limit, from, start) => {
 		const seconds = 20;
 		const requests = ownSlots({start, limit, stretch: {from: 0, length: 1}}, from, from + (seconds * 1000)).reduce((sum, slot) => sum + slot.requests, 0);
@@ -30,7 +30,7 @@
 	}), {seed, numRuns: runs});
 });
 
-test('what was used is not there again, also when asked for from the very beginning of a slot', () => {
+test('a used slot is not returned again, even if the query starts exactly at its beginning', () => {
 	fc.assert(fc.property(limits, moments, fc.string(), (limit, from, start) => {
 		const plan = {start, limit, stretch: {from: 0, length: 1}};
 		const slots = ownSlots(plan, from, from + 2000);
@@ -40,7 +40,7 @@
 	}), {seed, numRuns: runs});
 });
 
-test('the slots of a box come as evenly as its part of them allows', () => {
+test('the slots of a box are spread evenly over time', () => {
 	for (const length of [0.5, 0.1, 1 / 87]) {
 		const slots = ownSlots({start: 'i-1', limit: 10, stretch: {from: 0.2, length}}, 1.76e12, 1.76e12 + 400_000).map(({at}) => at);
 		const longest = Math.max(...slots.slice(1).map((at, index) => at - slots[index]!));
--- a/src/replicas/test/replica-choice.test.ts
+++ b/src/replicas/test/replica-choice.test.ts
@@ -9,7 +9,7 @@
 	id: `i-${index}`, bornAt: undefined, software: '', revision: 1, service: 's', host: '127.0.0.1', port: 1, dataCentre: 'a', slots: 4, isDraining: false, isReclaimable: false, leavesIn: undefined,
 }, clock));
 
-/** Numbers that look random and are the same in each run. */
+/** Returns a pseudo-random generator that yields the same numbers in each run. */
 const seeded = () => {
 	let state = 1;
 	return () => {
@@ -18,7 +18,7 @@
 	};
 };
 
-/** Most requests that one replica gets where many boxes choose by one old word: every replica is loaded but a few. */
+/** Requests at the busiest replica if 200 boxes choose by the same stale load, in which all replicas but two are busy. */
 const mostAtOne = (isWorkOld: boolean): number => {
 	const replicas = replicasOf(40);
 	for (const replica of replicas.slice(2)) {
@@ -38,16 +38,16 @@
 	return Math.max(...counts.values());
 };
 
-test('boxes that act on the same old word do not all run to the same replicas', () => {
-	assert.ok(mostAtOne(false) >= 80, 'with what is known taken at its word, two replicas share all');
+test('boxes that choose by the same stale load do not all choose the same replicas', () => {
+	assert.ok(mostAtOne(false) >= 80, 'if the load is assumed to be current, two replicas get all requests');
 	assert.ok(mostAtOne(true) <= 40, String(mostAtOne(true)));
 });
 
-test('the home of a prompt is looked at also where few are drawn', () => {
+test('the replica that rendezvous hashing assigns to a prompt is compared even if only a few are sampled', () => {
 	const replicas = replicasOf(40);
 	const random = seeded();
 	const chosen = Array.from({length: 20}, () => LeastWaitChoice.create({
 		dataCentre: 'a', now: () => clock.monotonic(), random, isWorkOld: () => true,
 	}).choose(replicas, {promptTokens: 9000, sharedParts: [{id: 'part', tokens: 8000}]}).entry.id);
-	assert.equal(new Set(chosen).size, 1, 'all boxes send the session to one replica without talking');
+	assert.equal(new Set(chosen).size, 1, 'all boxes send the prompt to the same replica without coordination');
 });
--- a/src/replicas/test/replica-directory.test.ts
+++ b/src/replicas/test/replica-directory.test.ts
@@ -18,7 +18,7 @@
 
 const readyIds = (directory: ReplicaDirectory): readonly string[] => directory.ready('s').map(replica => replica.entry.id);
 
-test('an entry that lapsed and was written again counts again, whatever peers still tell of its departure', () => {
+test('an entry that expired and was written again is ready, even if peers still report its earlier departure', () => {
 	const {directory} = directoryOf([entry('a'), entry('b')]);
 	directory.remove('a', 10);
 	assert.deepEqual(readyIds(directory), ['b']);
@@ -29,21 +29,21 @@
 	assert.deepEqual(readyIds(directory), ['b']);
 });
 
-test('an older entry does not bring a replica back that a peer saw leave', () => {
+test('an entry older than a departure reported by a peer does not make the replica ready', () => {
 	const {directory} = directoryOf([]);
 	directory.noteLeaving({id: 'a', revision: 10}, 'peer');
 	directory.put(entry('a', {revision: 9}));
 	assert.equal(directory.named('a')!.isLeaving, true);
 });
 
-test('a replica that drains never becomes ready again', () => {
+test('a draining replica never becomes ready again', () => {
 	const {directory} = directoryOf([entry('a'), entry('b')]);
 	directory.put(entry('a', {revision: 6, isDraining: true}));
 	directory.put(entry('a', {revision: 7}));
 	assert.deepEqual(readyIds(directory), ['b']);
 });
 
-test('where all entries lapse at once the replicas are used a little longer, and then no more', () => {
+test('if all entries expire at once, the replicas stay in use for a short time only', () => {
 	const {clock, directory} = directoryOf([entry('a'), entry('b')]);
 	directory.replaceAll([], 20);
 	assert.deepEqual(readyIds(directory), ['a', 'b']);
@@ -51,11 +51,11 @@
 	assert.deepEqual(readyIds(directory), []);
 });
 
-test('a replica that has requests and sends nothing counts as silent until it is heard', () => {
+test('a replica with requests in progress that sends no data counts as silent until it sends some', () => {
 	const {clock, directory} = directoryOf([entry('a')]);
 	const replica = directory.named('a')!;
 	clock.now += 5000;
-	assert.equal(replica.isSilent, false, 'without requests nothing is expected of it');
+	assert.equal(replica.isSilent, false, 'a replica without requests is not expected to send data');
 	replica.begin(0);
 	clock.now += 950;
 	assert.equal(replica.isSilent, true);
@@ -63,7 +63,7 @@
 	assert.equal(replica.isSilent, false);
 });
 
-test('departures are told for as long as is asked, and are known for longer', () => {
+test('departures of the requested period are returned, and are kept for longer', () => {
 	const {clock, directory} = directoryOf([entry('a'), entry('b'), entry('c')]);
 	directory.remove('a', 10);
 	clock.now += 3000;
@@ -75,7 +75,7 @@
 	assert.deepEqual(ids(), ['b']);
 });
 
-test('a newer start under a known id has nothing of the one before, and an older one that arrives late changes nothing', () => {
+test('a newer incarnation inherits no state, and an entry of an older one that arrives late changes nothing', () => {
 	const {clock, directory} = directoryOf([entry('a', {bornAt: 100}), entry('b')]);
 	const gone: string[] = [];
 	directory.onDidGo(({start}) => gone.push(start));
@@ -91,9 +91,9 @@
 	const after = directory.named('a')!;
 	assert.deepEqual(gone, ['a/100']);
 	assert.deepEqual([after.isLeaving, after.isAvoided, after.errorShare, after.latency, after.work], [false, false, 0, 0, {requests: 0, unreadTokens: 0}]);
-	assert.deepEqual([before.isReplaced, directory.mayBeSent(before)], [true, false], 'what was chosen for the start before is not sent');
+	assert.deepEqual([before.isReplaced, directory.mayBeSent(before)], [true, false], 'requests assigned to the old incarnation are not sent');
 	directory.put(entry('a', {bornAt: 100, revision: 9, isDraining: true}));
 	directory.noteLeaving({id: 'a', revision: 6}, 'peer');
 	assert.deepEqual(readyIds(directory), ['a', 'b']);
-	assert.ok(directory.settledFor > 0, 'a replica that is back is no new one');
+	assert.ok(directory.settledFor > 0, 'a replica that starts again is not an added one');
 });
--- a/src/replicas/test/replica-limits.test.ts
+++ b/src/replicas/test/replica-limits.test.ts
@@ -33,12 +33,12 @@
 	};
 }
 
-test('an answer that names no limit ends it, but not one whose request was sent before the limit was heard', () => {
+test('a response without a limit ends the limit, unless its request was sent before the limit was received', () => {
 	const clock = new MovedClock(1000);
 	const {limits, log, replica} = boxAt(clock);
 	limits.noteAnswer(replica, limit, 900);
 	limits.noteAnswer(replica, undefined, 950);
-	assert.equal(limits.limitOf(replica), limit, 'it may have been made before');
+	assert.equal(limits.limitOf(replica), limit, 'the response may have been produced before the limit');
 	clock.now = 2000;
 	limits.noteAnswer(replica, undefined, 1500);
 	assert.equal(limits.limitOf(replica), undefined);
@@ -46,7 +46,7 @@
 	assert.deepEqual(log.names, ['replicaLimited', 'replicaLimitEnded']);
 });
 
-test('of two words of different boxes the newer one counts, in whichever order they come', () => {
+test('of two limits sent by different boxes the newer one applies, in either order of arrival', () => {
 	for (const isLimitFirst of [true, false]) {
 		const clock = new MovedClock(10_000);
 		const {limits, replica} = boxAt(clock);
@@ -60,7 +60,7 @@
 	}
 });
 
-test('a box tells what it heard itself, an aggregator also what boxes told it, and nobody what a digest told', () => {
+test('a box sends limits from responses, an aggregator also those that boxes sent, and no box those of a digest', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, replica, other} = boxAt(clock);
 	limits.noteAnswer(replica, limit, 9000);
@@ -69,10 +69,10 @@
 	clock.now += 5000;
 	assert.deepEqual(limits.told(true, ['answer'], 10), [{start: replica.start, limit, age: 5000}]);
 	assert.deepEqual(limits.told(true, ['answer', 'box'], 10)?.map(({start}) => start), [replica.start, other.start]);
-	assert.equal(limits.told(false, ['answer', 'box'], 10), undefined, 'nothing has changed lately');
+	assert.equal(limits.told(false, ['answer', 'box'], 10), undefined, 'no limit has changed recently');
 });
 
-test('that a limit has ended is told for a while', () => {
+test('the end of a limit is sent for a limited time', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, replica} = boxAt(clock);
 	limits.noteAnswer(replica, limit, 9000);
@@ -83,7 +83,7 @@
 	assert.equal(limits.told(true, ['answer'], 10), undefined);
 });
 
-test('of more limits than a message holds all are told in turn', () => {
+test('if there are more limits than a message holds, successive messages rotate through all of them', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, replicaOf} = boxAt(clock);
 	const replicas = Array.from({length: 40}, (_, index) => replicaOf(`i-${index}`));
@@ -96,7 +96,7 @@
 	assert.equal(new Set(told.flat().map(({start}) => start)).size, 40);
 });
 
-test('a limit that cannot be read changes nothing and is told once a second at most; so is one that changes with each answer', () => {
+test('an unreadable limit changes nothing and is logged at most once a second; a limit that changes with each response is logged as rarely', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, log, replica} = boxAt(clock);
 	limits.noteAnswer(replica, limit, 9000);
@@ -115,7 +115,7 @@
 	assert.ok(log.names.filter(name => name === 'replicaLimited').length <= 4);
 });
 
-test('another start of a replica has named nothing', () => {
+test('another incarnation of a replica has no limit', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, replica, replicaOf} = boxAt(clock);
 	limits.noteAnswer(replica, limit, 9000);
@@ -123,18 +123,18 @@
 	assert.deepEqual(limits.limited, [replica]);
 	limits.forget(replica);
 	assert.equal(limits.limitOf(replica), undefined);
-	assert.deepEqual(limits.limited, [], 'nothing is kept of it');
+	assert.deepEqual(limits.limited, [], 'no state of the replica is kept');
 });
 
-test('before a limit is known there is room; from then on each slot is used once, and what comes too late for its slot is not sent', () => {
+test('a replica without a limit has room; with a limit each slot is used once, and a request that is too late for its slot is not sent', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, replica} = boxAt(clock);
 	assert.ok(limits.hasRoom(replica));
 	assert.equal(limits.take(replica), undefined);
 	assert.ok(limits.maySend(replica, undefined));
 	limits.noteAnswer(replica, limit, 9000);
-	assert.ok(!limits.hasRoom(replica), 'what would have been its own before is no credit');
-	assert.ok(!limits.maySend(replica, undefined), 'what was chosen before the limit came is not sent either');
+	assert.ok(!limits.hasRoom(replica), 'slots from before the limit was received give no credit');
+	assert.ok(!limits.maySend(replica, undefined), 'a request that was assigned before the limit was received is not sent either');
 	const taken = Array.from({length: 200}, () => {
 		clock.now += 50;
 		return limits.take(replica);
@@ -147,13 +147,13 @@
 	limits.take(replica);
 	clock.now = last.at - epoch + 1600;
 	while (limits.take(replica)) {
-		// Whatever else has room is used up.
+		// Uses up all open slots.
 	}
 
 	assert.ok(!limits.maySend(replica, last));
 });
 
-test('who has not been heard of for long gets the next request', () => {
+test('a limited replica that has not responded for long gets the next request', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, replica} = boxAt(clock);
 	limits.noteAnswer(replica, 0, 9000);
@@ -166,7 +166,7 @@
 	assert.ok(!limits.isDue(replica));
 });
 
-test('the time until there is room counts those that go before', () => {
+test('the time until there is room accounts for requests that are queued ahead', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, replica} = boxAt(clock);
 	limits.noteAnswer(replica, limit, 9000);
--- a/src/replicas/test/replica-statements.test.ts
+++ b/src/replicas/test/replica-statements.test.ts
@@ -28,12 +28,12 @@
 
 const toldBy = ({statements}: ReturnType<typeof boxAt>, sources: readonly StatementSource[] = ['answer', 'box'], isWhole = true) => statements.told(isWhole, sources, mostStatementsTold.small) ?? [];
 
-test('a replica that announced its leaving stays without work though its entry says ready, lapses and is written again, until it starts anew', () => {
+test('a replica that announced that it is leaving gets no requests while its entry is ready, expires or is written again, until it starts again', () => {
 	const clock = new MovedClock(10_000);
 	const {replicas, statements, ready} = boxAt(clock);
 	statements.noteAnswer(replicas.named('i-1')!, leaving, 9900);
 	assert.deepEqual(ready(), ['i-2']);
-	// An answer to a request that was sent before says nothing of it.
+	// The request of this response was sent before the announcement, which therefore stays.
 	statements.noteAnswer(replicas.named('i-1')!, noStatement, 9000);
 	replicas.put(entry('i-1', {revision: 6}));
 	assert.deepEqual(ready(), ['i-2']);
@@ -41,10 +41,10 @@
 	replicas.put(entry('i-1', {revision: 9}));
 	assert.deepEqual(ready(), ['i-2']);
 	replicas.put(entry('i-1', {revision: 10, bornAt: 8}));
-	assert.deepEqual(ready(), ['i-1', 'i-2'], 'another start may serve');
+	assert.deepEqual(ready(), ['i-1', 'i-2'], 'a newer incarnation may serve');
 });
 
-test('a box that has no answer of a replica learns that it leaves from the others, also before it is listed, and does not forward what a digest told', () => {
+test('a box learns from other boxes that a replica is leaving, even before the replica is listed, and does not forward statements of a digest', () => {
 	const clock = new MovedClock(10_000);
 	const [first, second, third] = [boxAt(clock), boxAt(clock, ['i-2']), boxAt(clock)];
 	first.statements.noteAnswer(first.replicas.named('i-1')!, leaving, 9900);
@@ -56,7 +56,7 @@
 	assert.deepEqual([toldBy(second), toldBy(second, ['answer']), toldBy(third)].map(({length}) => length), [1, 0, 0]);
 });
 
-test('a large fleet is told of a departure at once and then with whole states, for as long as the replica is listed', () => {
+test('in a large fleet an announcement is sent at once, then with full states as long as the replica is listed', () => {
 	const clock = new MovedClock(10_000);
 	const box = boxAt(clock);
 	box.statements.noteAnswer(box.replicas.named('i-1')!, leaving, 9900);
@@ -70,7 +70,7 @@
 	assert.deepEqual(toldBy(box), []);
 });
 
-test('of many departures each is told in its turn', () => {
+test('successive messages rotate through the announcements if there are many', () => {
 	const clock = new MovedClock(10_000);
 	const ids = Array.from({length: 30}, (_, index) => `i-${index}`);
 	const {replicas, statements} = boxAt(clock, ids);
@@ -83,7 +83,7 @@
 	assert.equal(new Set(told.flat().map(({start}) => start)).size, ids.length);
 });
 
-test('a pause ends by time alone: a later answer may extend it, and neither shortens nor ends it', () => {
+test('a pause ends only by time: a later response may extend it, but neither shortens nor ends it', () => {
 	const clock = new MovedClock(10_000);
 	const {replicas, statements} = boxAt(clock);
 	const replica = replicas.named('i-1')!;
@@ -100,7 +100,7 @@
 	assert.equal(statements.hasRoom(replica), true);
 });
 
-test('a pause binds the box that was asked for it; the others know of it, by its age', () => {
+test('a pause binds only the box that was asked for it; other boxes know it with its age', () => {
 	const clock = new MovedClock(10_000);
 	const [first, second, third] = [boxAt(clock), boxAt(clock), boxAt(clock)];
 	first.statements.noteAnswer(first.replicas.named('i-1')!, {...noStatement, pause: 3000}, 9990);
@@ -111,13 +111,13 @@
 	const replica = second.replicas.named('i-1')!;
 	assert.deepEqual([second.statements.hasRoom(replica), second.statements.boxesPaused(replica)], [true, 1]);
 	third.statements.takeTold('second', toldBy(second), 'digest');
-	assert.equal(third.statements.boxesPaused(third.replicas.named('i-1')!), 0, 'what was told is not told on');
+	assert.equal(third.statements.boxesPaused(third.replicas.named('i-1')!), 0, 'pauses of other boxes are not forwarded');
 	clock.now += 2800;
 	assert.equal(second.statements.boxesPaused(replica), 0);
 	assert.deepEqual(toldBy(first), []);
 });
 
-test('the next start of a replica has asked for nothing', () => {
+test('a newer incarnation of a replica has no pause', () => {
 	const clock = new MovedClock(10_000);
 	const {replicas, statements} = boxAt(clock);
 	statements.noteAnswer(replicas.named('i-1')!, {...noStatement, pause: 60_000}, 9990);
@@ -125,7 +125,7 @@
 	assert.equal(statements.hasRoom(replicas.named('i-1')!), true);
 });
 
-test('room at replicas of which some have asked for a pause comes with the first that ends', () => {
+test('among paused replicas, there is room when the first pause ends', () => {
 	const clock = new MovedClock(10_000);
 	const {replicas, statements} = boxAt(clock);
 	statements.noteAnswer(replicas.named('i-1')!, {...noStatement, pause: 3000}, 9990);
--- a/src/replicas/test/service-demand.test.ts
+++ b/src/replicas/test/service-demand.test.ts
@@ -4,7 +4,7 @@
 import {pooledDemand} from '../fleet-demand.js';
 import {ServiceDemands} from '../service-demand.js';
 
-test('requests in progress are those that come times how long they take, whatever waits', () => {
+test('requests in progress are the arrival rate times the mean duration, regardless of the queue', () => {
 	const clock = new MovedClock(1000);
 	const demand = ServiceDemands.create(clock).of('s');
 	for (let step = 0; step < 2000; step++) {
@@ -18,7 +18,7 @@
 	assert.ok(Math.abs(reading - 15_000) < 500, String(reading));
 });
 
-test('the rate of reading is that of requests that hardly waited, told when enough were seen', () => {
+test('the read rate is that of requests that hardly queued, and is zero until there are enough samples', () => {
 	const demand = ServiceDemands.create(new MovedClock()).of('s');
 	for (let index = 0; index < 10; index++) {
 		demand.noteRead(5000, 50);
@@ -26,17 +26,17 @@
 
 	assert.equal(demand.readRate, 0);
 	for (let index = 0; index < 400; index++) {
-		// One in ten finds a replica without other work.
+		// One request in ten gets a replica without other work.
 		demand.noteRead(5000, index % 10 === 0 ? 50 : 150);
 	}
 
 	assert.ok(demand.readRate > 60_000 && demand.readRate < 130_000, String(demand.readRate));
 	const before = demand.readRate;
 	demand.noteRead(100, 1);
-	assert.equal(demand.readRate, before, 'a short prompt says nothing');
+	assert.equal(demand.readRate, before, 'a short prompt is no sample');
 });
 
-test('what a replica still reads when it is found reading grows with the long prompts', () => {
+test('the residual read time of a busy replica grows with the share of long prompts', () => {
 	const demand = ServiceDemands.create(new MovedClock()).of('s');
 	const residualReading = () => pooledDemand([demand.now]).residualReading;
 	assert.equal(residualReading(), 0);
@@ -45,12 +45,12 @@
 		demand.noteRead(2000, 20);
 	}
 
-	// 10.9 million over twice 1,900 tokens, at 100 a millisecond and what the quantile adds.
+	// Mean square of 10.9 million divided by twice the mean of 1,900 tokens, at 100 tokens a millisecond plus the effect of the quantile.
 	assert.ok(Math.abs(residualReading() - 28.7) < 4, String(residualReading()));
 	assert.ok(Math.abs(demand.goal - 300) < 10);
 });
 
-test('many boxes that see little each make the same of it as one that sees it all', () => {
+test('the pooled demand of many boxes with few requests each is close to that of one box with all requests', () => {
 	const play = (boxes: number) => {
 		const clock = new MovedClock(1000);
 		const demands = Array.from({length: boxes}, () => ServiceDemands.create(clock).of('s'));
@@ -76,7 +76,7 @@
 	assert.equal(many.boxes, 64);
 });
 
-test('a request that no replica could be given is asked for all the same, and missed', () => {
+test('a request that is rejected without a replica counts as demand, and as missed', () => {
 	const clock = new MovedClock(1000);
 	const demand = ServiceDemands.create(clock).of('s');
 	for (let index = 0; index < 1000; index++) {
@@ -97,10 +97,10 @@
 	assert.equal(pooledDemand([]).missedPart, 0);
 });
 
-test('one box that saw only prompts that others had read before does not say how fast replicas read', () => {
+test('one box that received only cached prompts does not distort the pooled read rate', () => {
 	const told = [90_000, 24_000, 0, 26_000, 25_000].map(readRate => ({
 		requests: 1, reading: 3000, readRate, goal: 900, meanTokens: 2000, meanSquare: 8_000_000, met: 2, missed: 0,
 	}));
 	assert.equal(pooledDemand(told).readRate, 26_000);
-	assert.equal(pooledDemand(told).reading, 15_000, 'what it was asked for counts');
+	assert.equal(pooledDemand(told).reading, 15_000, 'the demand of that box is included');
 });
