--- a/src/lease/lease.ts
+++ b/src/lease/lease.ts
@@ -1,7 +1,7 @@
 /**
- * Leases on duties: an object with its holder, a generation and a term, renewed by conditional updates. No
- * wall clock counts: a holder measures its term on its own monotonic clock from before the call that renewed
- * it, and a candidate measures on its own how long the object has not changed.
+ * Leases on duties. A lease is an object in the store with its holder and a generation, renewed by conditional writes.
+ * It does not rely on wall clocks: a holder measures the term on its own monotonic clock from before the write that
+ * renewed the lease, and a candidate measures on its own clock how long the object has been unchanged.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -13,35 +13,37 @@
 	ObjectStore, ObjectVersion, StoreFailure, VersionConflict,
 } from '../external/object-store.js';
 
-/** Milliseconds a lease lives without being renewed. */
+/** Milliseconds after which a lease expires unless it is renewed. */
 export const leaseTerm = 10_000;
+/** Milliseconds between two renewals. */
 const renewInterval = 3000;
-/** Milliseconds by which a holder stops before its term ends. */
+/** Milliseconds before the end of the term at which the holder stops, as a margin before the next holder starts. */
 const holderMargin = 2000;
+/** Milliseconds between two attempts to acquire a lease, on average. */
 const candidateInterval = 3000;
 
 const LeaseObject = Schema.Struct({
 	holder: BoxId,
-	/** Grows with each new holder. */
+	/** Increases with each acquisition. */
 	generation: Schema.Number,
-	/** Changes with each renewal, so that the object does. */
+	/** Number of renewals since the acquisition; changes the object, and thereby its version, with each renewal. */
 	renewal: Schema.Number,
 });
 type LeaseObject = typeof LeaseObject.Type;
 
 const decodeLease = Schema.decodeUnknownResult(Schema.fromJsonString(LeaseObject));
 
-/** Holder of a lease that was given up. */
+/** Stored as the holder of a lease that was released. */
 const nobody = 'nobody' as BoxId;
 
-/** A lease while it is held. */
+/** A lease that this box holds. */
 export type HeldLease = {
 	readonly generation: number;
-	/** @returns Milliseconds left; nothing may be ordered at zero or below. To be asked before each order. */
+	/** @returns Remaining milliseconds; at zero or below, the holder must not issue orders. To be checked before each order. */
 	readonly timeLeft: () => number;
 };
 
-/** What a lease needs. */
+/** Dependencies of a lease. */
 export type LeaseServices = {
 	readonly self: BoxId;
 	readonly store: ObjectStore;
@@ -52,15 +54,15 @@
 type Seen = {
 	readonly version: ObjectVersion;
 	readonly object: LeaseObject | undefined;
-	/** Monotonic milliseconds when this version was first seen. */
+	/** Monotonic milliseconds at which this box first read this version. */
 	readonly seenAt: number;
 };
 
-/** One duty's lease, as this box sees it. */
+/** Lease of one duty, as this box sees it. */
 export class Lease {
 	/**
 	 * @param duty - Name of the duty.
-	 * @param services - What it works with.
+	 * @param services - Dependencies.
 	 * @returns The lease, not held.
 	 */
 	static create(duty: string, services: LeaseServices): Lease {
@@ -72,7 +74,7 @@
 
 	private constructor(private readonly duty: string, private readonly services: LeaseServices) {}
 
-	/** Whether this box holds the lease now. */
+	/** Whether this box currently holds the lease. */
 	get isHeld(): boolean {
 		return this.services.clock.monotonic() < this.validUntil;
 	}
@@ -82,10 +84,10 @@
 	}
 
 	/**
-	 * Does a duty whenever this box holds its lease.
+	 * Runs a duty whenever this box holds its lease.
 	 *
 	 * @param work - The duty; interrupted when the lease is lost.
-	 * @returns Runs until interrupted; gives the lease up then.
+	 * @returns An effect that runs until it is interrupted, and then releases the lease.
 	 */
 	whileHeld(work: (lease: HeldLease) => Effect.Effect<unknown>): Effect.Effect<never> {
 		const turn = Effect.gen({self: this}, function * () {
@@ -100,9 +102,9 @@
 	}
 
 	/**
-	 * Takes the lease if it is free. A write whose answer is lost is found by the next look.
+	 * Acquires the lease if it is free. If the response to the write is lost, the next read finds this box as the holder.
 	 *
-	 * @returns The generation; `undefined` while somebody else may hold it.
+	 * @returns The generation; `undefined` if another box may hold the lease.
 	 */
 	tryAcquire(): Effect.Effect<number | undefined, StoreFailure | VersionConflict> {
 		return Effect.gen({self: this}, function * () {
@@ -121,9 +123,9 @@
 	}
 
 	/**
-	 * Renews the lease. A store that is out leaves it to the term.
+	 * Renews the lease. If the store is unavailable, the lease is kept until its term ends.
 	 *
-	 * @returns Whether somebody else holds the lease.
+	 * @returns Whether the lease was lost to another holder or generation.
 	 */
 	renew(): Effect.Effect<boolean> {
 		const {clock, store, self} = this.services;
@@ -136,14 +138,14 @@
 				return false;
 			}),
 			Effect.catch(() => this.look().pipe(
-				// A renewal whose answer was lost shows as ours; its time counts from the next one.
+				// If only the response to the renewal was lost, this box is still the holder; the term is extended by the next renewal.
 				Effect.map(now => now.object?.holder !== self || now.object.generation !== object.generation),
 				Effect.catch(() => Effect.succeed(false)),
 			)),
 		);
 	}
 
-	/** @returns Ends with the generation when the lease is this box's. */
+	/** @returns The generation, as soon as this box has acquired the lease. */
 	private campaign(): Effect.Effect<number> {
 		return Effect.gen({self: this}, function * () {
 			for (;;) {
@@ -157,7 +159,7 @@
 		});
 	}
 
-	/** Reads the object; one that has not changed keeps the time it was first seen. */
+	/** Reads the object; an unchanged version keeps the time at which it was first read. */
 	private look(): Effect.Effect<Seen, StoreFailure> {
 		const {store, clock} = this.services;
 		return store.read(this.key).pipe(Effect.map(({version, value}) => {
@@ -174,7 +176,7 @@
 		}));
 	}
 
-	/** @returns Renews until the lease is lost. */
+	/** Renews the lease until it is lost or expires. */
 	private keep(): Effect.Effect<void> {
 		return Effect.gen({self: this}, function * () {
 			for (;;) {
@@ -198,7 +200,7 @@
 		this.validUntil = askedAt + leaseTerm - holderMargin;
 	}
 
-	/** Leaves the object without a holder, so that the next one need not wait. */
+	/** Writes the object without a holder, so that the next holder does not have to wait for the term to end. */
 	private giveUp(): Effect.Effect<void> {
 		return Effect.suspend(() => {
 			if (!this.isHeld || !this.seen?.object) {
@@ -212,7 +214,7 @@
 	}
 }
 
-/** A holder that is gone is waited out from when its last renewal was first seen. */
+/** Whether a lease may be acquired. A holder that no longer renews it is waited out for one term since its last renewal was first read. */
 function isFree({object, seenAt}: Seen, self: BoxId, now: number): boolean {
 	return !object || object.holder === nobody || object.holder === self || now - seenAt > leaseTerm;
 }
