--- a/src/replicas/fleet-demand.ts
+++ b/src/replicas/fleet-demand.ts
@@ -19,18 +19,18 @@
 };
 
 /** Requests a second below which the missed fraction is too noisy to use. */
-const leastOutcomes = 2;
+const minOutcomeRate = 2;
 const millisecondsPerSecond = 1000;
 
 /**
- * @param told - Demand for one service at each box.
+ * @param demands - Demand for one service at each box.
  * @returns The pooled demand.
  */
-export function pooledDemand(told: readonly Demand[]): FleetDemand {
-	const total = (valueOf: (demand: Demand) => number): number => sumOf(told.map(demand => valueOf(demand)));
+export function pooledDemand(demands: readonly Demand[]): FleetDemand {
+	const total = (valueOf: (demand: Demand) => number): number => sumOf(demands.map(demand => valueOf(demand)));
 	// The median excludes outliers: a box whose prompts were already cached by the replicas overestimates the read rate.
-	const readRate = medianOf(told.map(demand => demand.readRate).filter(rate => rate > 0));
-	const active = told.filter(({goal}) => goal > 0);
+	const readRate = medianOf(demands.map(demand => demand.readRate).filter(rate => rate > 0));
+	const active = demands.filter(({goal}) => goal > 0);
 	const meanTokens = total(demand => demand.meanTokens);
 	const outcomes = total(({met, missed}) => met + missed);
 	return {
@@ -42,7 +42,7 @@
 			? 0
 			: total(({meanSquare}) => meanSquare) / (2 * meanTokens) / readRate * millisecondsPerSecond,
 		rate: outcomes,
-		missedPart: outcomes < leastOutcomes ? 0 : total(({missed}) => missed) / outcomes,
-		boxes: told.length,
+		missedPart: outcomes < minOutcomeRate ? 0 : total(({missed}) => missed) / outcomes,
+		boxes: demands.length,
 	};
 }
--- a/src/replicas/limit-slots.ts
+++ b/src/replicas/limit-slots.ts
@@ -7,7 +7,7 @@
 import {shareOf} from '../base/rendezvous.js';
 import {sumOf} from '../base/sum.js';
 
-/** Part of a ring of length one that belongs to one box: the box owns each slot whose position lies in this part. */
+/** Range of a ring of length one that belongs to one box: the box owns each slot whose position lies in the range. */
 export type Stretch = {
 	/** From 0 to 1. */
 	readonly from: number;
@@ -15,13 +15,13 @@
 	readonly length: number;
 };
 
-/** Input for computing one box's slots at one replica. */
+/** Input for computing the slots of one box at one replica. */
 export type SlotPlan = {
 	/** Incarnation of the replica. It offsets the slots in time and permutes their owners, so that the slots of different replicas do not coincide. */
 	readonly start: string;
 	/** Requests a second that the replica accepts from all boxes; above zero. */
 	readonly limit: number;
-	readonly stretch: Stretch;
+	readonly range: Stretch;
 };
 
 /** A slot of this box. */
@@ -32,14 +32,14 @@
 	readonly requests: number;
 };
 
-/** Slots a second; a higher limit puts several requests into each slot. */
-const mostSlots = 64;
-/** Distance between the positions of consecutive slots. The golden ratio spreads the slots of any part of the ring evenly over time. */
-const placeStep = (Math.sqrt(5) - 1) / 2;
+/** Slots a second, at most; a higher limit puts several requests into each slot. */
+const maxSlotsPerSecond = 64;
+/** Distance between the positions of consecutive slots. The golden ratio spreads the slots of any range of the ring evenly over time. */
+const positionStep = (Math.sqrt(5) - 1) / 2;
 /** Slots after which positions repeat; limits the loss of floating-point precision. */
-const placesCounted = 2 ** 20;
+const positionPeriod = 2 ** 20;
 /** Milliseconds for which a slot may be used, at least: a box without a waiting request needs time to receive one. */
-const leastLifetime = 1000;
+const minSlotLifetime = 1000;
 const millisecondsPerSecond = 1000;
 
 /**
@@ -47,22 +47,22 @@
  * @returns Milliseconds after its beginning for which a slot may be used.
  */
 export function slotLifetime(limit: number): number {
-	return Math.max(leastLifetime, millisecondsPerSecond / limit);
+	return Math.max(minSlotLifetime, millisecondsPerSecond / limit);
 }
 
 /**
- * @param plan - The replica, its limit and this box's part of the ring.
+ * @param plan - The replica, its limit and this box's range of the ring.
  * @param after - Milliseconds of the common time, exclusive.
  * @param until - Milliseconds of the common time, inclusive; not before `after`.
  * @returns This box's slots that begin later than `after` and not later than `until`.
  */
-export function ownSlots({start, limit, stretch}: SlotPlan, after: number, until: number): readonly Slot[] {
-	const requests = Math.ceil(limit / mostSlots);
+export function ownSlots({start, limit, range}: SlotPlan, after: number, until: number): readonly Slot[] {
+	const requests = Math.ceil(limit / maxSlotsPerSecond);
 	const interval = millisecondsPerSecond / (limit / requests);
 	const phase = shareOf(start);
 	const first = Math.floor((after / interval) - phase) + 1;
 	const count = Math.max(0, Math.floor((until / interval) - phase) - first + 1);
-	const owns = (number: number): boolean => fractionOf(phase + ((number % placesCounted) * placeStep) - stretch.from) < stretch.length;
+	const owns = (number: number): boolean => fractionOf(phase + ((number % positionPeriod) * positionStep) - range.from) < range.length;
 	return Array.from({length: count}, (_, index) => first + index)
 		.filter(number => owns(number))
 		.map(number => ({at: (number + phase) * interval, requests}))
@@ -74,16 +74,16 @@
  * Divides the ring among boxes in proportion to their weights.
  *
  * @param weights - Demand at each box, by box name.
- * @returns The part of each box, adjacent in the order of the names; the same on every box that knows the same weights.
+ * @returns The range of each box, adjacent in the order of the names; the same on every box that knows the same weights.
  */
 export function divideLine(weights: ReadonlyMap<string, number>): ReadonlyMap<string, Stretch> {
 	const total = sumOf([...weights.values()]);
 	let from = 0;
 	return new Map([...weights.keys()].sort().map(name => {
 		const length = total > 0 ? weights.get(name)! / total : 0;
-		const stretch = {from, length};
+		const range = {from, length};
 		from += length;
-		return [name, stretch];
+		return [name, range];
 	}));
 }
 
--- a/src/replicas/replica-choice.ts
+++ b/src/replicas/replica-choice.ts
@@ -45,26 +45,26 @@
 }
 
 /** Prompt tokens that a replica reads in a millisecond; an assumption that only weighs tokens against the other costs. */
-const assumedReadRate = 50;
+const defaultReadRate = 50;
 /** Additional weight of shared tokens that are not cached: reading them again evicts others from the cache and is billed. */
 const rereadWeight = 2;
 /** Milliseconds by which each concurrent request delays a generation. */
-const costBeside = 3;
+const concurrentRequestCost = 3;
 /** Milliseconds that a request occupies a slot, until the latency of the replica has been measured. */
-const assumedServiceTime = 40;
+const defaultServiceTime = 40;
 /** Milliseconds of latency added by a replica in another data centre. */
 const dataCentreCost = 2;
 /** Milliseconds for which a replica is assumed to keep a prompt part in its cache. */
 const partLifetime = 30_000;
 /** Prompt parts whose readers are tracked. */
-const mostPartsKept = 4096;
+const maxTrackedParts = 4096;
 /** Milliseconds of penalty for a replica that fails all its requests; proportional to the error share above the mean. */
 const errorCost = 400;
 
 /** Replicas sampled at random when load information is stale. */
-const drawnCount = 4;
+const sampleSize = 4;
 /** Replicas compared in addition to the sample because they have the last shared part in their cache. */
-const mostKeepers = 3;
+const maxCacheHolders = 3;
 
 /** Dependencies of the choice. */
 export type ChoiceServices = {
@@ -92,8 +92,8 @@
 	 * @param services - Dependencies.
 	 * @returns The choice.
 	 */
-	static create({dataCentre, now, random = Math.random, isWorkOld = () => false}: ChoiceServices): LeastWaitChoice {
-		return new LeastWaitChoice(dataCentre, now, random, isWorkOld);
+	static create({dataCentre, now, random = Math.random, isWorkOld: isWorkStale = () => false}: ChoiceServices): LeastWaitChoice {
+		return new LeastWaitChoice(dataCentre, now, random, isWorkStale);
 	}
 
 	/** Monotonic milliseconds at which a replica last read a part, by part ID and incarnation of the replica. */
@@ -103,7 +103,7 @@
 		private readonly dataCentre: string,
 		private readonly now: () => number,
 		private readonly random: () => number,
-		private readonly isWorkOld: () => boolean,
+		private readonly isWorkStale: () => boolean,
 	) {
 		super();
 	}
@@ -111,13 +111,13 @@
 	override choose(candidates: readonly Replica[], request: ChoiceRequest): Replica {
 		const home = homeOf(candidates, request);
 		const mean = meanErrorShare(candidates);
-		return this.compared(candidates, request, home)
+		return this.comparedReplicas(candidates, request, home)
 			.map(replica => ({replica, cost: this.costOf(replica, request, home, mean)}))
 			.sort((left, right) => left.cost - right.cost)[0]!.replica;
 	}
 
 	override unreadTokens(replica: Replica, request: ChoiceRequest): number {
-		return Math.max(0, request.promptTokens - this.keptTokens(replica, request, undefined));
+		return Math.max(0, request.promptTokens - this.cachedTokens(replica, request, undefined));
 	}
 
 	override noteRead(replica: Replica, {sharedParts}: ChoiceRequest): void {
@@ -130,46 +130,46 @@
 		}
 
 		const [oldest] = this.readAt.keys();
-		if (this.readAt.size > mostPartsKept && oldest !== undefined) {
+		if (this.readAt.size > maxTrackedParts && oldest !== undefined) {
 			this.readAt.delete(oldest);
 		}
 	}
 
-	private compared(candidates: readonly Replica[], {sharedParts}: ChoiceRequest, home: Replica | undefined): readonly Replica[] {
-		if (!this.isWorkOld() || candidates.length <= drawnCount) {
+	private comparedReplicas(candidates: readonly Replica[], {sharedParts}: ChoiceRequest, home: Replica | undefined): readonly Replica[] {
+		if (!this.isWorkStale() || candidates.length <= sampleSize) {
 			return candidates;
 		}
 
-		const drawn = Array.from({length: drawnCount}, () => candidates[Math.floor(this.random() * candidates.length) % candidates.length]!);
+		const sample = Array.from({length: sampleSize}, () => candidates[Math.floor(this.random() * candidates.length) % candidates.length]!);
 		const readers = this.readAt.get(sharedParts.at(-1)?.id ?? '');
-		const keepers = readers ? candidates.filter(({start}) => readers.has(start)).slice(-mostKeepers) : [];
-		return [...new Set([...drawn, ...keepers, ...(home ? [home] : [])])];
+		const cacheHolders = readers ? candidates.filter(({start}) => readers.has(start)).slice(-maxCacheHolders) : [];
+		return [...new Set([...sample, ...cacheHolders, ...(home ? [home] : [])])];
 	}
 
 	private costOf(replica: Replica, request: ChoiceRequest, home: Replica | undefined, meanErrors: number): number {
 		const {requests, unreadTokens} = replica.work;
 		const {slots, dataCentre} = replica.entry;
-		const serviceTime = replica.latency || assumedServiceTime;
-		const kept = this.keptTokens(replica, request, home);
-		const toRead = request.promptTokens - kept;
-		const sharedUnkept = sumOf(request.sharedParts.map(({tokens}) => tokens)) - kept;
-		const read = (toRead + unreadTokens + (sharedUnkept * rereadWeight)) / assumedReadRate;
-		const beside = request.promptTokens > 0 ? requests * costBeside : (requests / slots) * serviceTime / 2;
+		const serviceTime = replica.latency || defaultServiceTime;
+		const cached = this.cachedTokens(replica, request, home);
+		const tokensToRead = request.promptTokens - cached;
+		const uncachedShared = sumOf(request.sharedParts.map(({tokens}) => tokens)) - cached;
+		const read = (tokensToRead + unreadTokens + (uncachedShared * rereadWeight)) / defaultReadRate;
+		const concurrency = request.promptTokens > 0 ? requests * concurrentRequestCost : (requests / slots) * serviceTime / 2;
 		const queue = Math.max(0, requests + 1 - slots) * serviceTime / slots;
 		const errors = Math.max(0, replica.errorShare - meanErrors) * errorCost;
-		return read + beside + queue + errors + (dataCentre === this.dataCentre ? 0 : dataCentreCost) + this.random();
+		return read + concurrency + queue + errors + (dataCentre === this.dataCentre ? 0 : dataCentreCost) + this.random();
 	}
 
 	/** Tokens at the beginning of the prompt that the replica is assumed to have in its cache. */
-	private keptTokens(replica: Replica, {sharedParts}: ChoiceRequest, home: Replica | undefined): number {
+	private cachedTokens(replica: Replica, {sharedParts}: ChoiceRequest, home: Replica | undefined): number {
 		const since = this.now() - partLifetime;
 		const firstMissing = sharedParts.findIndex(({id}) => (this.readAt.get(id)?.get(replica.start) ?? Number.NEGATIVE_INFINITY) < since);
-		const kept = replica === home || firstMissing === -1 ? sharedParts : sharedParts.slice(0, firstMissing);
-		return sumOf(kept.map(({tokens}) => tokens));
+		const cachedParts = replica === home || firstMissing === -1 ? sharedParts : sharedParts.slice(0, firstMissing);
+		return sumOf(cachedParts.map(({tokens}) => tokens));
 	}
 }
 
-/** Selects by rendezvous hashing the replica that caches a prompt part, the same on every box without coordination. */
+/** The home replica of a prompt: the one that caches its last shared part, selected by rendezvous hashing so that all boxes agree without coordination. */
 function homeOf(candidates: readonly Replica[], {sharedParts}: ChoiceRequest): Replica | undefined {
 	const part = sharedParts.at(-1);
 	return part && candidates
--- a/src/replicas/replica-connections.ts
+++ b/src/replicas/replica-connections.ts
@@ -10,11 +10,11 @@
 /** Milliseconds within which a connection has to be established. */
 const connectTimeout = 700;
 /** Milliseconds that an idle connection is kept if the replica names no keep-alive time. */
-const assumedIdleLifetime = 4000;
+const defaultIdleLifetime = 4000;
 /** Fraction of the replica's keep-alive time that is used, so that no request is sent while the replica closes the connection. */
-const idleLifetimePart = 0.6;
+const idleLifetimeFraction = 0.6;
 /** Idle milliseconds after which a connection is not used for a request that cannot be retried. */
-const freshIdleTime = 1000;
+const maxFreshIdleTime = 1000;
 /** Idle connections that a box keeps to one replica, whatever the number of its slots. */
 export const largestIdleCount = 24;
 
@@ -35,11 +35,11 @@
 /** Whether a replica listens: `standing` if it accepted a connection, `refused` if its host rejected it, `silent` on timeout or another error. */
 export type ProbeResult = 'standing' | 'refused' | 'silent';
 
-type Idle = {
+type IdleConnection = {
 	readonly socket: Socket;
 	readonly since: number;
 	readonly until: number;
-	readonly forget: () => void;
+	readonly detach: () => void;
 };
 
 /** Connection pool of one replica. */
@@ -48,21 +48,21 @@
 	 * @param host - IP address.
 	 * @param port - TCP port.
 	 * @param clock - Measures idle times.
-	 * @param mostIdle - Returns how many idle connections may be kept.
+	 * @param maxIdle - Returns how many idle connections may be kept.
 	 * @returns An empty pool.
 	 */
-	static create(host: string, port: number, clock: Clock, mostIdle: () => number = () => largestIdleCount): ReplicaConnections {
-		return new ReplicaConnections(host, port, clock, mostIdle);
+	static create(host: string, port: number, clock: Clock, maxIdle: () => number = () => largestIdleCount): ReplicaConnections {
+		return new ReplicaConnections(host, port, clock, maxIdle);
 	}
 
 	/** Connections opened so far. */
 	opened = 0;
-	private idle: readonly Idle[] = [];
+	private idle: readonly IdleConnection[] = [];
 	/** Connections that carry a request. */
 	private readonly inUse = new Set<Socket>();
 	private isClosed = false;
 
-	private constructor(private readonly host: string, private readonly port: number, private readonly clock: Clock, private readonly mostIdle: () => number) {}
+	private constructor(private readonly host: string, private readonly port: number, private readonly clock: Clock, private readonly maxIdle: () => number) {}
 
 	/**
 	 * @param needsFresh - Whether the request cannot be retried, which excludes connections that have been idle for long.
@@ -70,7 +70,7 @@
 	 */
 	acquire(needsFresh: boolean): Effect.Effect<Connection, ConnectionFailure> {
 		return Effect.suspend(() => {
-			const socket = this.takeIdle(needsFresh);
+			const socket = this.acquireIdle(needsFresh);
 			return socket ? Effect.succeed({socket, isReused: true}) : this.open();
 		}).pipe(Effect.tap(({socket}) => Effect.sync(() => {
 			this.inUse.add(socket);
@@ -100,8 +100,8 @@
 	 */
 	release(socket: Socket, lifetime: number | undefined): void {
 		this.inUse.delete(socket);
-		const keep = Math.max(0, (lifetime ?? assumedIdleLifetime) * idleLifetimePart);
-		if (this.isClosed || socket.destroyed || keep === 0 || this.idle.length >= this.mostIdle()) {
+		const idleLifetime = Math.max(0, (lifetime ?? defaultIdleLifetime) * idleLifetimeFraction);
+		if (this.isClosed || socket.destroyed || idleLifetime === 0 || this.idle.length >= this.maxIdle()) {
 			socket.destroy();
 			return;
 		}
@@ -117,9 +117,9 @@
 			socket.on(event, drop);
 		}
 
-		socket.setTimeout(keep);
+		socket.setTimeout(idleLifetime);
 		socket.resume();
-		const forget = () => {
+		const detach = () => {
 			for (const event of events) {
 				socket.off(event, drop);
 			}
@@ -129,7 +129,7 @@
 
 		const now = this.clock.monotonic();
 		this.idle = [...this.idle, {
-			socket, since: now, until: now + keep, forget,
+			socket, since: now, until: now + idleLifetime, detach,
 		}];
 	}
 
@@ -150,19 +150,19 @@
 		}
 	}
 
-	private takeIdle(needsFresh: boolean): Socket | undefined {
+	private acquireIdle(needsFresh: boolean): Socket | undefined {
 		const now = this.clock.monotonic();
-		const wokenAt = this.clock.lastWake();
+		const resumedAt = this.clock.lastWake();
 		// While this process was suspended, the replica's keep-alive time went on, so it may have closed the connection.
-		const usable = this.idle.filter(({socket, since, until}) => !socket.destroyed && now < until && since >= wokenAt
-			&& (!needsFresh || now - since < freshIdleTime));
+		const usable = this.idle.filter(({socket, since, until}) => !socket.destroyed && now < until && since >= resumedAt
+			&& (!needsFresh || now - since < maxFreshIdleTime));
 		const taken = usable.at(-1);
 		if (!taken) {
 			return undefined;
 		}
 
 		this.idle = this.idle.filter(other => other !== taken);
-		taken.forget();
+		taken.detach();
 		return taken.socket;
 	}
 
@@ -175,22 +175,22 @@
 			}, connectTimeout);
 			const settle = () => {
 				clearTimeout(timer);
-				socket.off('connect', succeed);
-				socket.off('error', refuse);
+				socket.off('connect', onConnect);
+				socket.off('error', onError);
 			};
 
 			const fail = (detail: string, isRefused: boolean) => {
 				settle();
-				socket.on('error', ignore);
+				socket.on('error', ignoreError);
 				socket.destroy();
 				resume(Effect.fail(new ConnectionFailure({detail, isRefused})));
 			};
 
-			const refuse = (error: NodeJS.ErrnoException) => {
+			const onError = (error: NodeJS.ErrnoException) => {
 				fail(error.message, error.code === 'ECONNREFUSED');
 			};
 
-			const succeed = () => {
+			const onConnect = () => {
 				settle();
 				socket.once('close', () => {
 					this.inUse.delete(socket);
@@ -198,11 +198,11 @@
 				resume(Effect.succeed({socket, isReused: false}));
 			};
 
-			socket.once('connect', succeed);
-			socket.once('error', refuse);
+			socket.once('connect', onConnect);
+			socket.once('error', onError);
 			return Effect.sync(() => {
 				settle();
-				socket.on('error', ignore);
+				socket.on('error', ignoreError);
 				socket.destroy();
 			});
 		});
@@ -210,4 +210,4 @@
 }
 
 /** Errors of a connection that is being destroyed carry no information. */
-const ignore = () => undefined;
+const ignoreError = () => undefined;
--- a/src/replicas/replica-directory.ts
+++ b/src/replicas/replica-directory.ts
@@ -8,12 +8,12 @@
 import type {StatementSource} from './replica-statement.js';
 
 /** Milliseconds for which departures are kept and can be sent to other boxes. */
-const departureMemory = 10_000;
+const departureRetention = 10_000;
 /** Milliseconds for which a leaving replica may still get requests if its service has no other. */
-const lastResort = 600;
+const leavingGracePeriod = 600;
 
 /** Announcements that are kept; the oldest are evicted. */
-const mostAnnouncements = 4096;
+const maxAnnouncements = 4096;
 
 /** A replica's own announcement that it is leaving. */
 export type Announcement = {
@@ -52,21 +52,21 @@
 	private readonly replicas = new Map<string, Replica>();
 	private readonly departures = new Map<string, KnownDeparture>();
 	/** Announcements by incarnation; an entry that still lists the replica as ready does not revoke its announcement. */
-	private readonly announced = new Map<string, Announcement>();
-	private lately: readonly Replica[] = [];
+	private readonly announcementsByStart = new Map<string, Announcement>();
+	private recentlyRemoved: readonly Replica[] = [];
 	/** Monotonic milliseconds at which a service last had a ready replica, by name of the service. */
-	private readonly servedAt = new Map<string, number>();
-	private readonly goneListeners: ReplicaListener[] = [];
-	private known = false;
-	private lastListedAt: number;
+	private readonly lastReadyAt = new Map<string, number>();
+	private readonly removalListeners: ReplicaListener[] = [];
+	private hasList = false;
+	private lastAddedAt: number;
 
 	private constructor(private readonly clock: Clock, private readonly log: EventLog) {
-		this.lastListedAt = clock.monotonic();
+		this.lastAddedAt = clock.monotonic();
 	}
 
 	/** Whether a list of replicas has been received. */
 	get isKnown(): boolean {
-		return this.known;
+		return this.hasList;
 	}
 
 	/** All listed replicas. */
@@ -78,10 +78,10 @@
 	 * @param within - Milliseconds.
 	 * @returns The replicas that began to leave in this time.
 	 */
-	departedWithin(within = departureMemory): readonly Departure[] {
+	departedWithin(within = departureRetention): readonly Departure[] {
 		const now = this.clock.monotonic();
 		for (const [id, {at}] of this.departures) {
-			if (at < now - departureMemory) {
+			if (at < now - departureRetention) {
 				this.departures.delete(id);
 			}
 		}
@@ -91,17 +91,17 @@
 
 	/** Announcements of the listed replicas. */
 	get announcements(): readonly Announcement[] {
-		return this.announced.size === 0 ? [] : this.all.flatMap(({start}) => this.announced.get(start) ?? []);
+		return this.announcementsByStart.size === 0 ? [] : this.all.flatMap(({start}) => this.announcementsByStart.get(start) ?? []);
 	}
 
 	/** Milliseconds since an entry last added a replica to the directory. */
 	get settledFor(): number {
-		return this.clock.monotonic() - this.lastListedAt;
+		return this.clock.monotonic() - this.lastAddedAt;
 	}
 
 	/** @param listener - Called with each replica that is removed from the list, or replaced by a newer incarnation. */
 	onDidGo(listener: ReplicaListener): void {
-		this.goneListeners.push(listener);
+		this.removalListeners.push(listener);
 	}
 
 	/**
@@ -112,12 +112,12 @@
 	ready(service: string): readonly Replica[] {
 		const listed = this.all.filter(replica => replica.entry.service === service && !replica.isLeaving);
 		if (listed.length > 0) {
-			this.servedAt.set(service, this.clock.monotonic());
+			this.lastReadyAt.set(service, this.clock.monotonic());
 		}
 
 		return listed.length > 0
 			? listed
-			: [...this.all, ...this.lately].filter(replica => replica.entry.service === service && this.mayBeSent(replica));
+			: [...this.all, ...this.recentlyRemoved].filter(replica => replica.entry.service === service && this.mayBeSent(replica));
 	}
 
 	/**
@@ -126,7 +126,7 @@
 	 */
 	absentFor(service: string): number {
 		const now = this.clock.monotonic();
-		return now - (this.servedAt.get(service) ?? now);
+		return now - (this.lastReadyAt.get(service) ?? now);
 	}
 
 	/**
@@ -134,7 +134,7 @@
 	 * @returns Whether a request may still be sent to it.
 	 */
 	mayBeSent({isLeaving, leavingFor, isReplaced}: Replica): boolean {
-		return !isReplaced && (!isLeaving || leavingFor < lastResort);
+		return !isReplaced && (!isLeaving || leavingFor < leavingGracePeriod);
 	}
 
 	/**
@@ -150,8 +150,8 @@
 	 * @returns The replica; `undefined` if this incarnation is not listed.
 	 */
 	ofStart(start: string): Replica | undefined {
-		const born = start.lastIndexOf('/');
-		return [start, start.slice(0, Math.max(0, born))].map(id => this.replicas.get(id)).find(replica => replica?.start === start);
+		const separator = start.lastIndexOf('/');
+		return [start, start.slice(0, Math.max(0, separator))].map(id => this.replicas.get(id)).find(replica => replica?.start === start);
 	}
 
 	/**
@@ -170,7 +170,7 @@
 			this.put(entry);
 		}
 
-		this.known = true;
+		this.hasList = true;
 	}
 
 	/**
@@ -203,7 +203,7 @@
 			const wasLeaving = replica.isLeaving;
 			replica.update(entry);
 			if (!wasLeaving && replica.isLeaving) {
-				this.noteDeparture(entry, replica.start, 'list');
+				this.recordDeparture(entry, replica.start, 'list');
 			}
 
 			return;
@@ -217,7 +217,7 @@
 		}
 
 		this.replicas.set(entry.id, added);
-		this.lastListedAt = this.clock.monotonic();
+		this.lastAddedAt = this.clock.monotonic();
 		this.log.write('replicaListed', {
 			replica: entry.id, service: entry.service, dataCentre: entry.dataCentre, address: `${entry.host}:${entry.port}`, isDraining: entry.isDraining,
 		});
@@ -230,7 +230,7 @@
 	 * @param until - Monotonic milliseconds until which it stays in use.
 	 */
 	hold(id: string, until: number): void {
-		this.replicas.get(id)?.hold(until);
+		this.replicas.get(id)?.markMissing(until);
 	}
 
 	/**
@@ -245,12 +245,12 @@
 
 		this.replicas.delete(id);
 		replica.leave();
-		this.lately = [...this.lately.filter(other => this.mayBeSent(other)), replica];
-		this.noteDeparture({id, revision}, replica.start, 'list');
+		this.recentlyRemoved = [...this.recentlyRemoved.filter(other => this.mayBeSent(other)), replica];
+		this.recordDeparture({id, revision}, replica.start, 'list');
 		this.log.write('replicaGone', {
 			replica: id, service: replica.entry.service, revision, missingFor: replica.isMissing ? Math.round(replica.missingFor) : undefined,
 		});
-		for (const listener of this.goneListeners) {
+		for (const listener of this.removalListeners) {
 			listener(replica);
 		}
 	}
@@ -265,7 +265,7 @@
 		const replica = this.replicas.get(departure.id);
 		if (replica && !replica.isLeaving && isOfDeparture(replica, departure)) {
 			replica.leave();
-			this.noteDeparture(departure, replica.start, source);
+			this.recordDeparture(departure, replica.start, source);
 		} else if (!replica && source === 'peer' && !this.departures.has(departure.id)) {
 			this.departures.set(departure.id, {...departure, at: this.clock.monotonic()});
 		}
@@ -276,18 +276,18 @@
 	 *
 	 * @param announcement - The announcement, and how this box received it.
 	 */
-	noteAnnouncement(announcement: Announcement): void {
+	recordAnnouncement(announcement: Announcement): void {
 		const {start, at, source} = announcement;
-		if (this.announced.has(start)) {
+		if (this.announcementsByStart.has(start)) {
 			return;
 		}
 
-		const [oldest] = this.announced.keys();
-		if (this.announced.size >= mostAnnouncements && oldest !== undefined) {
-			this.announced.delete(oldest);
+		const [oldest] = this.announcementsByStart.keys();
+		if (this.announcementsByStart.size >= maxAnnouncements && oldest !== undefined) {
+			this.announcementsByStart.delete(oldest);
 		}
 
-		this.announced.set(start, announcement);
+		this.announcementsByStart.set(start, announcement);
 		const replica = this.ofStart(start);
 		const wasLeaving = replica?.isLeaving;
 		replica?.leave();
@@ -299,7 +299,7 @@
 	/** @returns A new replica, leaving if its incarnation has announced that. */
 	private create(entry: ReplicaEntry): Replica {
 		const replica = Replica.create(entry, this.clock);
-		if (this.announced.has(replica.start)) {
+		if (this.announcementsByStart.has(replica.start)) {
 			replica.leave();
 		}
 
@@ -311,17 +311,17 @@
 	 * were assigned to the old incarnation are not sent to it, since its process is gone.
 	 */
 	private replace(replica: Replica, entry: ReplicaEntry): void {
-		replica.noteReplaced();
+		replica.markReplaced();
 		this.replicas.set(entry.id, this.create(entry));
 		this.log.write('replicaStartedAgain', {
 			replica: entry.id, service: entry.service, bornAt: entry.bornAt, address: `${entry.host}:${entry.port}`, isDraining: entry.isDraining,
 		});
-		for (const listener of this.goneListeners) {
+		for (const listener of this.removalListeners) {
 			listener(replica);
 		}
 	}
 
-	private noteDeparture({id, revision}: Departure, start: string, source: string): void {
+	private recordDeparture({id, revision}: Departure, start: string, source: string): void {
 		if (!this.departures.has(id)) {
 			this.log.write('replicaLeaving', {replica: id, source, revision});
 		}
--- a/src/replicas/replica-limits.ts
+++ b/src/replicas/replica-limits.ts
@@ -14,7 +14,7 @@
 import {newsTime, type StatementSource} from './replica-statement.js';
 
 /** A replica's limit as boxes send it to each other; the newest one applies. */
-export type ToldLimit = {
+export type LimitUpdate = {
 	/** Incarnation of the replica. */
 	readonly start: string;
 	/** Requests a second; `undefined` if the replica no longer names a limit. */
@@ -29,14 +29,14 @@
 	readonly log: EventLog;
 	/** @returns Milliseconds of the boxes' common time. */
 	readonly commonTime: () => number;
-	/** @returns This box's part of the slots at the replicas of a service. */
+	/** @returns This box's range of the slots at the replicas of a service. */
 	readonly stretch: (service: string) => Stretch;
 	/** @returns The listed replica of an incarnation. */
 	readonly listed: (start: string) => Replica | undefined;
 };
 
 /** The latest known limit of a replica. */
-type LimitWord = {
+type KnownLimit = {
 	readonly limit: number | undefined;
 	/**
 	 * Monotonic milliseconds at which the limit was received. If the response names no limit, the time at which its request was sent: the response may have
@@ -55,33 +55,33 @@
 };
 
 /** State of this box's slots at a replica. */
-type SlotBook = {
+type SlotState = {
 	/**
 	 * Common time up to which slots have been computed. A slot is assigned when it begins and is not computed again: limits and shares change, and a
 	 * slot that belongs to two boxes in turn would be used twice.
 	 */
-	readonly lookedUntil: number;
+	readonly computedUntil: number;
 	readonly open: readonly OpenSlot[];
 };
 
 /** Requests a second that are sent even at a lower limit: a replica without requests cannot report that it has recovered. */
-const trialRate = 0.1;
+const probeRate = 0.1;
 /** Milliseconds without a response of a limited replica to any box after which it gets the next request, as the only way to learn that it has recovered. */
-const trialAge = 5000;
+const probeDelay = 5000;
 /** Milliseconds after the end of a slot for which its request may still be sent: a connection has to be established first. */
-const sendingTime = 500;
+const connectAllowance = 500;
 /** Milliseconds by which the common time may be set back by clock synchronisation without slots being computed again. */
-const longestSetback = 1000;
+const maxClockSetback = 1000;
 /** Milliseconds for which the end of a limit is sent to other boxes. */
-const endMemory = 10_000;
+const endedLimitRetention = 10_000;
 /** Limits that are kept for replicas that are not listed yet. */
-const mostUnlisted = 1024;
+const maxUnlistedLimits = 1024;
 /** Milliseconds for which the set of limited replicas is cached: an aggregator reads it for each message that it answers. */
-const findingTime = 100;
+const cacheLifetime = 100;
 
 /** The cached set of limited replicas, with the monotonic milliseconds at which it was computed. */
-type Finding = {readonly replicas: readonly Replica[]; readonly at: number};
-const nothingFound: Finding = {replicas: [], at: Number.NEGATIVE_INFINITY};
+type LimitedCache = {readonly replicas: readonly Replica[]; readonly at: number};
+const emptyCache: LimitedCache = {replicas: [], at: Number.NEGATIVE_INFINITY};
 
 /** Limits of all replicas, and this box's slots at them. */
 export class ReplicaLimits {
@@ -94,14 +94,15 @@
 	}
 
 	/** Limits by incarnation of the replica. */
-	private readonly words = new Map<string, LimitWord>();
-	private readonly books = new Map<string, SlotBook>();
-	private readonly lines: ReplicaLog;
-	private tellings = 0;
-	private found: Finding = nothingFound;
-
-	private constructor(private readonly parts: ReplicaLimitServices) {
-		this.lines = ReplicaLog.create(parts.clock, parts.log);
+	private readonly knownLimits = new Map<string, KnownLimit>();
+	private readonly slotStates = new Map<string, SlotState>();
+	private readonly replicaLog: ReplicaLog;
+	/** Increases with each message, so that successive messages include different updates. */
+	private rotation = 0;
+	private cache: LimitedCache = emptyCache;
+
+	private constructor(private readonly dependencies: ReplicaLimitServices) {
+		this.replicaLog = ReplicaLog.create(dependencies.clock, dependencies.log);
 	}
 
 	/** Services that have limited replicas. */
@@ -111,13 +112,13 @@
 
 	/** Listed replicas that have a limit. */
 	get limited(): readonly Replica[] {
-		const now = this.parts.clock.monotonic();
-		if (now - this.found.at >= findingTime) {
-			const starts = [...this.words].filter(([, {limit}]) => limit !== undefined).map(([start]) => start);
-			this.found = {replicas: starts.map(start => this.parts.listed(start)).filter(replica => replica !== undefined), at: now};
+		const now = this.dependencies.clock.monotonic();
+		if (now - this.cache.at >= cacheLifetime) {
+			const starts = [...this.knownLimits].filter(([, {limit}]) => limit !== undefined).map(([start]) => start);
+			this.cache = {replicas: starts.map(start => this.dependencies.listed(start)).filter(replica => replica !== undefined), at: now};
 		}
 
-		return this.found.replicas;
+		return this.cache.replicas;
 	}
 
 	/**
@@ -125,7 +126,7 @@
 	 * @returns Requests a second that the replica accepts from all boxes; `undefined` if it has no limit.
 	 */
 	limitOf({start}: Replica): number | undefined {
-		return this.words.size === 0 ? undefined : this.words.get(start)?.limit;
+		return this.knownLimits.size === 0 ? undefined : this.knownLimits.get(start)?.limit;
 	}
 
 	/**
@@ -134,7 +135,7 @@
 	 */
 	partOf(replica: Replica): number {
 		const limit = this.limitOf(replica);
-		return limit === undefined ? Number.POSITIVE_INFINITY : usedLimit(limit) * this.parts.stretch(replica.entry.service).length;
+		return limit === undefined ? Number.POSITIVE_INFINITY : effectiveLimit(limit) * this.dependencies.stretch(replica.entry.service).length;
 	}
 
 	/**
@@ -150,8 +151,8 @@
 	 * @returns Whether the replica should get the next request as a probe of its limit.
 	 */
 	isDue(replica: Replica): boolean {
-		const word = this.words.get(replica.start);
-		return word?.limit !== undefined && this.parts.clock.monotonic() - word.at > trialAge && this.hasRoom(replica);
+		const known = this.knownLimits.get(replica.start);
+		return known?.limit !== undefined && this.dependencies.clock.monotonic() - known.at > probeDelay && this.hasRoom(replica);
 	}
 
 	/**
@@ -168,7 +169,7 @@
 		const [slot, ...others] = this.openSlots(replica);
 		if (slot) {
 			const rest = slot.requests > 1 ? [{...slot, requests: slot.requests - 1}] : [];
-			this.books.set(replica.start, {...this.books.get(replica.start)!, open: [...rest, ...others]});
+			this.slotStates.set(replica.start, {...this.slotStates.get(replica.start)!, open: [...rest, ...others]});
 		}
 
 		return slot;
@@ -187,23 +188,23 @@
 			return true;
 		}
 
-		const isInTime = slot !== undefined && this.parts.commonTime() - slot.at <= slotLifetime(usedLimit(limit)) + sendingTime;
+		const isInTime = slot !== undefined && this.dependencies.commonTime() - slot.at <= slotLifetime(effectiveLimit(limit)) + connectAllowance;
 		return isInTime || this.take(replica) !== undefined;
 	}
 
 	/**
 	 * @param replicas - Replicas that have limits.
-	 * @param place - Requests of this box that are queued ahead.
+	 * @param requestsAhead - Requests of this box that are queued ahead.
 	 * @param horizon - Milliseconds to look ahead.
 	 * @returns Milliseconds until one of the replicas has room; infinite if that is beyond the horizon.
 	 */
-	untilRoom(replicas: readonly Replica[], place: number, horizon: number): number {
-		const now = this.parts.commonTime();
+	timeUntilRoom(replicas: readonly Replica[], requestsAhead: number, horizon: number): number {
+		const now = this.dependencies.commonTime();
 		const slots = replicas.flatMap(replica => [...this.openSlots(replica), ...this.ownSlots(replica, now, now + horizon)]).sort((left, right) => left.at - right.at);
-		let before = place;
+		let ahead = requestsAhead;
 		const found = slots.find(({requests}) => {
-			before -= requests;
-			return before < 0;
+			ahead -= requests;
+			return ahead < 0;
 		});
 		return found ? Math.max(0, found.at - now) : Number.POSITIVE_INFINITY;
 	}
@@ -217,44 +218,45 @@
 	 */
 	noteAnswer(replica: Replica, limit: number | 'unreadable' | undefined, sentAt: number): void {
 		if (limit === 'unreadable') {
-			this.lines.write('replicaLimitUnreadable', replica);
+			this.replicaLog.write('replicaLimitUnreadable', replica);
 			return;
 		}
 
 		if (limit !== undefined || this.limitOf(replica) !== undefined) {
-			this.takeWord(replica.start, {limit, at: limit === undefined ? sentAt : this.parts.clock.monotonic(), source: 'answer'});
+			this.mergeLimit(replica.start, {limit, at: limit === undefined ? sentAt : this.dependencies.clock.monotonic(), source: 'answer'});
 		}
 	}
 
 	/**
-	 * @param isWhole - Whether to include all limits, not only those that changed within `newsTime`.
+	 * @param isWhole - Whether to include all limits, not only those that changed recently.
 	 * @param sources - Sources of the limits to include.
-	 * @param most - Maximum number of limits to include.
+	 * @param maxCount - Maximum number of limits to include.
 	 * @returns Limits to send to other boxes; `undefined` if there are none.
 	 */
-	told(isWhole: boolean, sources: readonly StatementSource[], most: number): readonly ToldLimit[] | undefined {
-		if (this.words.size === 0) {
+	updates(isWhole: boolean, sources: readonly StatementSource[], maxCount: number): readonly LimitUpdate[] | undefined {
+		if (this.knownLimits.size === 0) {
 			return undefined;
 		}
 
-		const now = this.parts.clock.monotonic();
+		const now = this.dependencies.clock.monotonic();
 		const since = now - (isWhole ? Number.POSITIVE_INFINITY : newsTime);
-		const words = [...this.words].filter(([, {source, changedAt, limit, at}]) => sources.includes(source) && changedAt >= since && (limit !== undefined || now - at <= endMemory));
-		this.tellings++;
-		const told = rotated(words, most, this.tellings);
-		return told.length > 0 ? told.map(([start, {limit, at}]) => ({start, limit, age: Math.max(0, Math.round(now - at))})) : undefined;
+		const eligible = [...this.knownLimits].filter(([, {source, changedAt, limit, at}]) => sources.includes(source) && changedAt >= since
+			&& (limit !== undefined || now - at <= endedLimitRetention));
+		this.rotation++;
+		const selected = rotated(eligible, maxCount, this.rotation);
+		return selected.length > 0 ? selected.map(([start, {limit, at}]) => ({start, limit, age: Math.max(0, Math.round(now - at))})) : undefined;
 	}
 
 	/**
 	 * Merges limits that another box sent; the newest one of each replica applies.
 	 *
-	 * @param words - The limits.
+	 * @param updates - The limits.
 	 * @param source - `box` if the sender received them from the replicas itself, `digest` if an aggregator forwarded them.
 	 */
-	takeTold(words: readonly ToldLimit[], source: StatementSource): void {
-		const now = this.parts.clock.monotonic();
-		for (const {start, limit, age} of words) {
-			this.takeWord(start, {limit, at: now - age, source});
+	merge(updates: readonly LimitUpdate[], source: StatementSource): void {
+		const now = this.dependencies.clock.monotonic();
+		for (const {start, limit, age} of updates) {
+			this.mergeLimit(start, {limit, at: now - age, source});
 		}
 	}
 
@@ -268,40 +270,40 @@
 	/** @param replica - A replica that was removed from the list, or replaced by a newer incarnation. */
 	forget(replica: Replica): void {
 		const {start} = replica;
-		this.words.delete(start);
-		this.books.delete(start);
-		this.lines.forget(replica);
+		this.knownLimits.delete(start);
+		this.slotStates.delete(start);
+		this.replicaLog.forget(replica);
 		// The cache still holds the replica; opening its slots once more would create an entry that is never removed.
-		this.found = nothingFound;
+		this.cache = emptyCache;
 	}
 
-	private takeWord(start: string, {limit, at, source}: Omit<LimitWord, 'changedAt'>): void {
-		const known = this.words.get(start);
+	private mergeLimit(start: string, {limit, at, source}: Omit<KnownLimit, 'changedAt'>): void {
+		const known = this.knownLimits.get(start);
 		if (known && known.at >= at) {
 			return;
 		}
 
 		if (known && known.limit === limit) {
-			this.words.set(start, {...known, at, source});
+			this.knownLimits.set(start, {...known, at, source});
 			return;
 		}
 
-		const replica = this.parts.listed(start);
+		const replica = this.dependencies.listed(start);
 		if (replica && known?.limit !== undefined) {
 			this.openSlots(replica);
 		}
 
-		this.found = nothingFound;
-		this.words.set(start, {
-			limit, at, source, changedAt: this.parts.clock.monotonic(),
+		this.cache = emptyCache;
+		this.knownLimits.set(start, {
+			limit, at, source, changedAt: this.dependencies.clock.monotonic(),
 		});
 		if (known?.limit === undefined) {
-			this.books.set(start, {lookedUntil: this.parts.commonTime(), open: []});
+			this.slotStates.set(start, {computedUntil: this.dependencies.commonTime(), open: []});
 		}
 
 		if (replica) {
-			const age = Math.round(this.parts.clock.monotonic() - at);
-			this.lines.write(limit === undefined ? 'replicaLimitEnded' : 'replicaLimited', replica, {
+			const age = Math.round(this.dependencies.clock.monotonic() - at);
+			this.replicaLog.write(limit === undefined ? 'replicaLimitEnded' : 'replicaLimited', replica, {
 				limit, before: known?.limit, source, age,
 			});
 		} else {
@@ -311,30 +313,30 @@
 
 	/** Evicts the oldest limits of replicas that are not listed: a limit may arrive before the list that contains its replica. */
 	private dropUnlisted(): void {
-		const unlisted = [...this.words.keys()].filter(start => !this.parts.listed(start));
-		for (const start of unlisted.slice(0, Math.max(0, unlisted.length - mostUnlisted))) {
-			this.words.delete(start);
-			this.books.delete(start);
+		const unlisted = [...this.knownLimits.keys()].filter(start => !this.dependencies.listed(start));
+		for (const start of unlisted.slice(0, Math.max(0, unlisted.length - maxUnlistedLimits))) {
+			this.knownLimits.delete(start);
+			this.slotStates.delete(start);
 		}
 	}
 
 	/** Returns this box's slots that have begun and may still be used. */
 	private openSlots(replica: Replica): readonly OpenSlot[] {
-		const now = this.parts.commonTime();
-		const limit = usedLimit(this.limitOf(replica) ?? 0);
-		const {lookedUntil, open} = this.books.get(replica.start) ?? {lookedUntil: now, open: []};
-		const from = lookedUntil > now + longestSetback ? now : lookedUntil;
+		const now = this.dependencies.commonTime();
+		const limit = effectiveLimit(this.limitOf(replica) ?? 0);
+		const {computedUntil, open} = this.slotStates.get(replica.start) ?? {computedUntil: now, open: []};
+		const from = computedUntil > now + maxClockSetback ? now : computedUntil;
 		const until = Math.max(from, now);
 		const begun = this.ownSlots(replica, Math.max(from, now - slotLifetime(limit)), now).map(slot => ({...slot, until: slot.at + slotLifetime(limit)}));
 		const all = [...open, ...begun].filter(slot => slot.until > now);
-		this.books.set(replica.start, {lookedUntil: until, open: all});
+		this.slotStates.set(replica.start, {computedUntil: until, open: all});
 		return all;
 	}
 
 	private ownSlots(replica: Replica, after: number, until: number): readonly Slot[] {
-		const stretch = this.parts.stretch(replica.entry.service);
-		return ownSlots({start: replica.start, limit: usedLimit(this.limitOf(replica) ?? 0), stretch}, after, until);
+		const range = this.dependencies.stretch(replica.entry.service);
+		return ownSlots({start: replica.start, limit: effectiveLimit(this.limitOf(replica) ?? 0), range}, after, until);
 	}
 }
 
-const usedLimit = (limit: number): number => Math.max(trialRate, limit);
+const effectiveLimit = (limit: number): number => Math.max(probeRate, limit);
--- a/src/replicas/replica-pauses.ts
+++ b/src/replicas/replica-pauses.ts
@@ -14,7 +14,7 @@
 };
 
 /** A pause that a replica asked this box for, as sent to other boxes. */
-export type ToldPause = {
+export type PauseUpdate = {
 	/** Incarnation of the replica. */
 	readonly start: string;
 	/** Duration in milliseconds. */
@@ -50,13 +50,13 @@
 	 * @param box - Name of the box that was asked; this box by default.
 	 * @returns Whether the pause ends later than the known one.
 	 */
-	note({start}: Replica, length: number, age = 0, box = self): boolean {
+	record({start}: Replica, length: number, age = 0, box = self): boolean {
 		const at = this.clock.monotonic() - age;
 		const until = at + length;
-		const ofReplica = getOrCreate(this.pauses, start, () => new Map<string, Pause>());
-		const isLonger = until > Math.max(this.clock.monotonic(), ofReplica.get(box)?.until ?? 0);
+		const pausesByBox = getOrCreate(this.pauses, start, () => new Map<string, Pause>());
+		const isLonger = until > Math.max(this.clock.monotonic(), pausesByBox.get(box)?.until ?? 0);
 		if (isLonger) {
-			ofReplica.set(box, {at, until});
+			pausesByBox.set(box, {at, until});
 		}
 
 		return isLonger;
@@ -66,7 +66,7 @@
 	 * @param replica - A replica.
 	 * @returns Remaining milliseconds of the pause that the replica asked this box for; zero without one.
 	 */
-	left({start}: Replica): number {
+	remaining({start}: Replica): number {
 		const until = this.pauses.size === 0 ? undefined : this.pauses.get(start)?.get(self)?.until;
 		return until === undefined ? 0 : Math.max(0, until - this.clock.monotonic());
 	}
@@ -75,31 +75,31 @@
 	 * @param replica - A replica.
 	 * @returns Number of boxes, including this one, that the replica is known to have asked for a pause that has not ended.
 	 */
-	boxesOf({start}: Replica): number {
-		const ofReplica = this.pauses.size === 0 ? undefined : this.pauses.get(start);
-		if (!ofReplica) {
+	countBoxes({start}: Replica): number {
+		const pausesByBox = this.pauses.size === 0 ? undefined : this.pauses.get(start);
+		if (!pausesByBox) {
 			return 0;
 		}
 
 		const now = this.clock.monotonic();
-		for (const [box, {until}] of ofReplica) {
+		for (const [box, {until}] of pausesByBox) {
 			if (until <= now) {
-				ofReplica.delete(box);
+				pausesByBox.delete(box);
 			}
 		}
 
-		if (ofReplica.size === 0) {
+		if (pausesByBox.size === 0) {
 			this.pauses.delete(start);
 		}
 
-		return ofReplica.size;
+		return pausesByBox.size;
 	}
 
 	/** Pauses of this box that have not ended. */
-	get told(): readonly ToldPause[] {
+	get updates(): readonly PauseUpdate[] {
 		const now = this.clock.monotonic();
-		return [...this.pauses].flatMap(([start, ofReplica]) => {
-			const own = ofReplica.get(self);
+		return [...this.pauses].flatMap(([start, pausesByBox]) => {
+			const own = pausesByBox.get(self);
 			return own && own.until > now ? [{start, length: Math.round(own.until - own.at), age: Math.round(now - own.at)}] : [];
 		});
 	}
--- a/src/replicas/replica-statements.ts
+++ b/src/replicas/replica-statements.ts
@@ -22,7 +22,7 @@
 };
 
 /** Milliseconds above which a pause is logged as a warning, since the replica is unavailable for this long. */
-const longPause = 60_000;
+const longPauseThreshold = 60_000;
 
 /** Statements of all replicas. */
 export class ReplicaStatements {
@@ -34,13 +34,14 @@
 		return new ReplicaStatements(services);
 	}
 
-	private readonly lines: ReplicaLog;
+	private readonly replicaLog: ReplicaLog;
 	private readonly pauses: ReplicaPauses;
-	private tellings = 0;
+	/** Increases with each message, so that successive messages include different updates. */
+	private rotation = 0;
 
 	private constructor(private readonly services: ReplicaStatementServices) {
 		this.pauses = ReplicaPauses.create(services.clock);
-		this.lines = ReplicaLog.create(services.clock, services.log);
+		this.replicaLog = ReplicaLog.create(services.clock, services.log);
 	}
 
 	/**
@@ -52,17 +53,17 @@
 	 */
 	noteAnswer(replica: Replica, {limit, isLeaving, pause}: ReplicaStatement, sentAt: number): void {
 		this.services.limits.noteAnswer(replica, limit, sentAt);
-		this.noteLeaving(replica, isLeaving);
-		this.notePause(replica, pause);
+		this.recordLeaving(replica, isLeaving);
+		this.recordPause(replica, pause);
 	}
 
 	/**
-	 * @param isWhole - Whether to include all statements, not only those that changed within `newsTime`.
+	 * @param isWhole - Whether to include all statements, not only those that changed recently.
 	 * @param sources - Sources of the statements to include.
-	 * @param most - Maximum number of statements of each kind.
+	 * @param maxCount - Maximum number of statements of each kind.
 	 * @returns Statements to send to other boxes; `undefined` if there are none.
 	 */
-	told(isWhole: boolean, sources: readonly StatementSource[], most: number): readonly ToldStatement[] | undefined {
+	told(isWhole: boolean, sources: readonly StatementSource[], maxCount: number): readonly ToldStatement[] | undefined {
 		const {clock, limits, replicas} = this.services;
 		const now = clock.monotonic();
 		const since = now - (isWhole ? Number.POSITIVE_INFINITY : newsTime);
@@ -70,16 +71,16 @@
 		const leaving = announcements.map(({start, at}): ToldStatement => ({
 			start, kind: 'leaving', value: undefined, age: Math.round(now - at),
 		}));
-		const limited = (limits.told(isWhole, sources, most) ?? []).map(({start, limit, age}): ToldStatement => ({
+		const limited = (limits.updates(isWhole, sources, maxCount) ?? []).map(({start, limit, age}): ToldStatement => ({
 			start, kind: 'limit', value: limit, age,
 		}));
-		const paused = sources.includes('answer') ? this.pauses.told : [];
+		const paused = sources.includes('answer') ? this.pauses.updates : [];
 		const pauses = paused.map(({start, length, age}): ToldStatement => ({
 			start, kind: 'pause', value: length, age,
 		}));
-		this.tellings++;
-		const told = [...rotated(leaving, most, this.tellings), ...rotated(pauses, most, this.tellings), ...limited];
-		return told.length > 0 ? told : undefined;
+		this.rotation++;
+		const selected = [...rotated(leaving, maxCount, this.rotation), ...rotated(pauses, maxCount, this.rotation), ...limited];
+		return selected.length > 0 ? selected : undefined;
 	}
 
 	/**
@@ -95,11 +96,11 @@
 		for (const {start, kind, value, age} of statements) {
 			const replica = replicas.ofStart(start);
 			if (kind === 'limit') {
-				limits.takeTold([{start, limit: value, age}], source);
+				limits.merge([{start, limit: value, age}], source);
 			} else if (kind === 'leaving') {
-				replicas.noteAnnouncement({start, at: now - age, source});
+				replicas.recordAnnouncement({start, at: now - age, source});
 			} else if (replica) {
-				this.pauses.note(replica, value ?? 0, age, box);
+				this.pauses.record(replica, value ?? 0, age, box);
 			}
 		}
 	}
@@ -109,7 +110,7 @@
 	 * @returns Whether the replica's limit and pause allow this box to send a request now.
 	 */
 	hasRoom(replica: Replica): boolean {
-		return this.pauses.left(replica) === 0 && this.services.limits.hasRoom(replica);
+		return this.pauses.remaining(replica) === 0 && this.services.limits.hasRoom(replica);
 	}
 
 	/**
@@ -117,7 +118,7 @@
 	 * @returns Remaining milliseconds of the pause that the replica asked this box for; zero without one.
 	 */
 	pauseLeft(replica: Replica): number {
-		return this.pauses.left(replica);
+		return this.pauses.remaining(replica);
 	}
 
 	/**
@@ -125,42 +126,42 @@
 	 * @returns Number of boxes, including this one, that the replica is known to have asked for a pause that has not ended.
 	 */
 	boxesPaused(replica: Replica): number {
-		return this.pauses.boxesOf(replica);
+		return this.pauses.countBoxes(replica);
 	}
 
 	/**
 	 * @param replicas - Replicas without room.
-	 * @param place - Requests of this box that are queued ahead.
+	 * @param requestsAhead - Requests of this box that are queued ahead.
 	 * @param horizon - Milliseconds to look ahead for slots of limits.
 	 * @returns Milliseconds until one of the replicas may have room; infinite if unknown.
 	 */
-	untilRoom(replicas: readonly Replica[], place: number, horizon: number): number {
-		const pauses = replicas.map(replica => this.pauses.left(replica)).filter(left => left > 0);
-		const limited = replicas.filter(replica => this.pauses.left(replica) === 0);
-		return Math.min(...pauses, this.services.limits.untilRoom(limited, place, horizon));
+	untilRoom(replicas: readonly Replica[], requestsAhead: number, horizon: number): number {
+		const pauses = replicas.map(replica => this.pauses.remaining(replica)).filter(remaining => remaining > 0);
+		const limited = replicas.filter(replica => this.pauses.remaining(replica) === 0);
+		return Math.min(...pauses, this.services.limits.timeUntilRoom(limited, requestsAhead, horizon));
 	}
 
 	/** @param replica - A replica that was removed from the list, or replaced by a newer incarnation. */
 	forget(replica: Replica): void {
 		this.services.limits.forget(replica);
 		this.pauses.forget(replica);
-		this.lines.forget(replica);
+		this.replicaLog.forget(replica);
 	}
 
-	private noteLeaving(replica: Replica, isLeaving: ReplicaStatement['isLeaving']): void {
+	private recordLeaving(replica: Replica, isLeaving: ReplicaStatement['isLeaving']): void {
 		if (isLeaving === 'unreadable') {
-			this.lines.write('replicaStatementUnreadable', replica, {statement: 'leaving'});
+			this.replicaLog.write('replicaStatementUnreadable', replica, {statement: 'leaving'});
 		} else if (isLeaving) {
-			this.services.replicas.noteAnnouncement({start: replica.start, at: this.services.clock.monotonic(), source: 'answer'});
+			this.services.replicas.recordAnnouncement({start: replica.start, at: this.services.clock.monotonic(), source: 'answer'});
 		}
 	}
 
-	private notePause(replica: Replica, pause: ReplicaStatement['pause']): void {
+	private recordPause(replica: Replica, pause: ReplicaStatement['pause']): void {
 		if (pause === 'unreadable') {
-			this.lines.write('replicaStatementUnreadable', replica, {statement: 'pause'});
-		} else if (pause !== undefined && this.pauses.note(replica, pause)) {
-			this.services.log.write(pause > longPause ? 'replicaPausedLong' : 'replicaPaused', {
-				replica: replica.entry.id, service: replica.entry.service, pause, boxes: this.pauses.boxesOf(replica),
+			this.replicaLog.write('replicaStatementUnreadable', replica, {statement: 'pause'});
+		} else if (pause !== undefined && this.pauses.record(replica, pause)) {
+			this.services.log.write(pause > longPauseThreshold ? 'replicaPausedLong' : 'replicaPaused', {
+				replica: replica.entry.id, service: replica.entry.service, pause, boxes: this.pauses.countBoxes(replica),
 			});
 		}
 	}
--- a/src/replicas/replica.ts
+++ b/src/replicas/replica.ts
@@ -34,19 +34,19 @@
 };
 
 /** Milliseconds for which a replica is avoided after the first failure; doubles with each consecutive failure. */
-const firstAvoidance = 300;
+const initialAvoidance = 300;
 /** Maximum milliseconds for which a replica is avoided. */
-const longestAvoidance = 4000;
+const maxAvoidance = 4000;
 /** Weight of one sample in the moving averages of latency and errors. */
 const meanWeight = 0.1;
 /** Milliseconds without data from a replica with requests in progress after which it counts as silent; longer for slow replicas. */
-const leastSilence = 900;
+const minSilence = 900;
 /** Multiple of the mean latency that a slow replica may take without sending data. */
-const silencePerLatency = 5;
+const silenceLatencyFactor = 5;
 /** Milliseconds after which the load that another box reported is ignored. */
 const peerWorkLifetime = 1000;
 /** Milliseconds after which the load that an aggregator reported is ignored; longer, since aggregators report less often. */
-const othersWorkLifetime = 2000;
+const aggregateWorkLifetime = 2000;
 
 type PeerWork = ReplicaWork & {readonly until: number};
 /** Key of the summed load of all other boxes, as an aggregator reports it. */
@@ -75,11 +75,11 @@
 	private leavingSince: number | undefined;
 	private missingSince: number | undefined;
 	/** Monotonic milliseconds from which on the replica counts as leaving, unless its missing entry returns. */
-	private heldUntil = Number.POSITIVE_INFINITY;
+	private usableUntil = Number.POSITIVE_INFINITY;
 	private hasSuccessor = false;
 	/** Monotonic milliseconds of the last data received, or of the first request after an idle time, whichever is later. */
-	private heardAt = 0;
-	private answeredAt = Number.NEGATIVE_INFINITY;
+	private lastActivityAt = 0;
+	private lastDataAt = Number.NEGATIVE_INFINITY;
 
 	private constructor(private listed: ReplicaEntry, private readonly clock: Clock) {
 		const {id, bornAt} = listed;
@@ -94,7 +94,7 @@
 
 	/** Whether the replica gets no new requests. */
 	get isLeaving(): boolean {
-		return this.leavingSince !== undefined || this.clock.monotonic() >= this.heldUntil;
+		return this.leavingSince !== undefined || this.clock.monotonic() >= this.usableUntil;
 	}
 
 	/** Whether a newer incarnation has replaced this one, whose process is gone. */
@@ -120,13 +120,13 @@
 
 	/** Whether the replica has requests of this box in progress and has sent no data for long. */
 	get isSilent(): boolean {
-		const allowed = Math.max(leastSilence, this.latencyMean * silencePerLatency);
-		return this.own.requests > 0 && this.clock.monotonic() - this.heardAt > allowed;
+		const allowed = Math.max(minSilence, this.latencyMean * silenceLatencyFactor);
+		return this.own.requests > 0 && this.clock.monotonic() - this.lastActivityAt > allowed;
 	}
 
 	/** Monotonic milliseconds at which data was last received from the replica. */
 	get lastAnsweredAt(): number {
-		return this.answeredAt;
+		return this.lastDataAt;
 	}
 
 	/** Whether the replica is avoided for a while after a failure. */
@@ -172,7 +172,7 @@
 	update(entry: ReplicaEntry): void {
 		if (entry.revision > this.listed.revision) {
 			this.missingSince = undefined;
-			this.heldUntil = Number.POSITIVE_INFINITY;
+			this.usableUntil = Number.POSITIVE_INFINITY;
 		}
 
 		this.listed = entry;
@@ -191,21 +191,21 @@
 	 *
 	 * @param until - Monotonic milliseconds from which on the replica counts as leaving.
 	 */
-	hold(until: number): void {
+	markMissing(until: number): void {
 		this.missingSince ??= this.clock.monotonic();
-		this.heldUntil = until;
+		this.usableUntil = until;
 	}
 
 	/** Marks the replica as replaced by a newer incarnation. */
-	noteReplaced(): void {
+	markReplaced(): void {
 		this.hasSuccessor = true;
 		this.leave();
 	}
 
 	/** Records that data was received from the replica. */
 	noteHeard(): void {
-		this.heardAt = this.clock.monotonic();
-		this.answeredAt = this.heardAt;
+		this.lastActivityAt = this.clock.monotonic();
+		this.lastDataAt = this.lastActivityAt;
 	}
 
 	/**
@@ -219,7 +219,7 @@
 	/** @param work - Summed load of all other boxes, as an aggregator reports it. */
 	noteOthersWork(work: ReplicaWork): void {
 		this.peers.clear();
-		this.peers.set(allOthers, {...work, until: this.clock.monotonic() + othersWorkLifetime});
+		this.peers.set(allOthers, {...work, until: this.clock.monotonic() + aggregateWorkLifetime});
 	}
 
 	/** @param peer - Name of a box that no longer has requests at this replica. */
@@ -230,7 +230,7 @@
 	/** @param unreadTokens - Prompt tokens, not cached by the replica, of a request that is sent now. */
 	begin(unreadTokens: number): void {
 		if (this.own.requests === 0) {
-			this.heardAt = this.clock.monotonic();
+			this.lastActivityAt = this.clock.monotonic();
 		}
 
 		this.own = {requests: this.own.requests + 1, unreadTokens: this.own.unreadTokens + unreadTokens};
@@ -270,7 +270,7 @@
 	noteFailure(): void {
 		this.wasRefused = false;
 		this.failures++;
-		const pause = Math.min(longestAvoidance, firstAvoidance * (2 ** (this.failures - 1)));
-		this.avoidedUntil = this.clock.monotonic() + (pause * (0.75 + (Math.random() / 2)));
+		const avoidance = Math.min(maxAvoidance, initialAvoidance * (2 ** (this.failures - 1)));
+		this.avoidedUntil = this.clock.monotonic() + (avoidance * (0.75 + (Math.random() / 2)));
 	}
 }
--- a/src/replicas/service-demand.ts
+++ b/src/replicas/service-demand.ts
@@ -7,16 +7,16 @@
 import {RateMeter} from '../base/rate-meter.js';
 
 /** Milliseconds over which arrivals are averaged: longer than bursts of requests, shorter than waves of load. */
-const arrivalTime = 4000;
+const arrivalWindow = 4000;
 /** Prompt tokens below which the network dominates the time to the first event, so that it gives no read rate. */
-const leastTokens = 1000;
+const minTokens = 1000;
 /** Quantile of the samples that is used as the read rate: lower samples come from requests that shared the replica with others. */
-const quantile = 0.95;
+const readRateQuantile = 0.95;
 /** Fraction of the read rate by which one sample may move it. The first samples move it more, since the very first may have been queued. */
-const leastStep = 0.03;
-const largestStep = 0.08;
+const minStep = 0.03;
+const maxStep = 0.08;
 /** Samples that are needed for a read rate. */
-const leastSamples = 20;
+const minSamples = 20;
 /** Weight of one request in the means of arrivals; low, so that rare long prompts do not distort them. */
 const arrivalWeight = 0.002;
 /** Weight of one request in the mean duration; averages over a few hundred requests, within which queues build up and drain. */
@@ -24,7 +24,7 @@
 const millisecondsPerSecond = 1000;
 
 /** Milliseconds over which the rates of timely and late responses are averaged. */
-const outcomeTime = 2000;
+const outcomeWindow = 2000;
 
 /** The demand for one service at one box. */
 export type Demand = {
@@ -59,20 +59,20 @@
 	private readonly unread: RateMeter;
 	private readonly met: RateMeter;
 	private readonly missed: RateMeter;
-	private arrived = 0;
+	private arrivalSamples = 0;
 	private meanTokens = 0;
 	private meanSquare = 0;
 	private meanGoal = 0;
 	private meanDuration = 0;
-	private ended = 0;
-	private readingRate = 0;
-	private samples = 0;
+	private durationSamples = 0;
+	private tokensPerMillisecond = 0;
+	private readSamples = 0;
 
 	private constructor(clock: Clock) {
-		this.arrivals = RateMeter.create(clock, arrivalTime);
-		this.unread = RateMeter.create(clock, arrivalTime);
-		this.met = RateMeter.create(clock, outcomeTime);
-		this.missed = RateMeter.create(clock, outcomeTime);
+		this.arrivals = RateMeter.create(clock, arrivalWindow);
+		this.unread = RateMeter.create(clock, arrivalWindow);
+		this.met = RateMeter.create(clock, outcomeWindow);
+		this.missed = RateMeter.create(clock, outcomeWindow);
 	}
 
 	/** Current demand. By Little's law, the requests in progress are the arrival rate times the mean duration. */
@@ -86,7 +86,7 @@
 
 	/** Prompt tokens that a replica reads in a second beside its other work; zero where too little was seen. */
 	get readRate(): number {
-		return this.samples < leastSamples ? 0 : this.readingRate * millisecondsPerSecond;
+		return this.readSamples < minSamples ? 0 : this.tokensPerMillisecond * millisecondsPerSecond;
 	}
 
 	/** Mean milliseconds that a request spends at a replica without queueing; zero before the first. */
@@ -108,8 +108,8 @@
 	noteArrival(unreadTokens: number, goal: number): void {
 		this.arrivals.note(1);
 		this.unread.note(unreadTokens);
-		this.arrived++;
-		const weight = Math.max(arrivalWeight, 1 / this.arrived);
+		this.arrivalSamples++;
+		const weight = Math.max(arrivalWeight, 1 / this.arrivalSamples);
 		this.meanTokens += (unreadTokens - this.meanTokens) * weight;
 		this.meanSquare += ((unreadTokens ** 2) - this.meanSquare) * weight;
 		this.meanGoal += (goal - this.meanGoal) * weight;
@@ -129,8 +129,8 @@
 
 	/** @param duration - Milliseconds that a request spent at a replica without queueing. */
 	noteEnd(duration: number): void {
-		this.ended++;
-		this.meanDuration += (duration - this.meanDuration) * Math.max(durationWeight, 1 / this.ended);
+		this.durationSamples++;
+		this.meanDuration += (duration - this.meanDuration) * Math.max(durationWeight, 1 / this.durationSamples);
 	}
 
 	/**
@@ -138,14 +138,16 @@
 	 * @param duration - Milliseconds from sending the request to the first event of the response.
 	 */
 	noteRead(tokens: number, duration: number): void {
-		if (tokens < leastTokens || duration <= 0) {
+		if (tokens < minTokens || duration <= 0) {
 			return;
 		}
 
 		const sample = tokens / duration;
-		this.samples++;
-		const step = Math.min(largestStep, Math.max(leastStep, 1 / this.samples));
-		this.readingRate = this.readingRate === 0 ? sample : this.readingRate * (1 + (step * (sample > this.readingRate ? quantile : quantile - 1)));
+		this.readSamples++;
+		const step = Math.min(maxStep, Math.max(minStep, 1 / this.readSamples));
+		this.tokensPerMillisecond = this.tokensPerMillisecond === 0
+			? sample
+			: this.tokensPerMillisecond * (1 + (step * (sample > this.tokensPerMillisecond ? readRateQuantile : readRateQuantile - 1)));
 	}
 }
 
--- a/src/replicas/test/limit-slots.test.ts
+++ b/src/replicas/test/limit-slots.test.ts
@@ -13,9 +13,9 @@
 test('each slot belongs to exactly one box for any weights', () => {
 	fc.assert(fc.property(limits, fleets, moments, fc.string(), (limit, weights, from, start) => {
 		const until = from + 5000;
-		const all = ownSlots({start, limit, stretch: {from: 0, length: 1}}, from, until).map(({at}) => at);
-		const owned = [...divideLine(weights).values()].flatMap(stretch => ownSlots({start, limit, stretch}, from, until).map(({at}) => at));
-		// Rounding may give a slot at the end of a part to two boxes or to none.
+		const all = ownSlots({start, limit, range: {from: 0, length: 1}}, from, until).map(({at}) => at);
+		const owned = [...divideLine(weights).values()].flatMap(range => ownSlots({start, limit, range}, from, until).map(({at}) => at));
+		// Rounding may give a slot at the end of a range to two boxes or to none.
 		assert.ok(Math.abs(owned.length - all.length) <= 1, `${owned.length} of ${all.length}`);
 		assert.ok(new Set(owned).size >= owned.length - 1);
 	}), {seed, numRuns: runs});
@@ -24,7 +24,7 @@
 test('the slots of a period hold as many requests as the limit allows', () => {
 	fc.assert(fc.property(limits, moments, fc.string(), (limit, from, start) => {
 		const seconds = 20;
-		const requests = ownSlots({start, limit, stretch: {from: 0, length: 1}}, from, from + (seconds * 1000)).reduce((sum, slot) => sum + slot.requests, 0);
+		const requests = ownSlots({start, limit, range: {from: 0, length: 1}}, from, from + (seconds * 1000)).reduce((sum, slot) => sum + slot.requests, 0);
 		assert.ok(requests <= (limit * seconds * 1.02) + Math.ceil(limit / 64) + 1, `${requests} in ${seconds} s`);
 		assert.ok(requests >= (limit * seconds * 0.98) - Math.ceil(limit / 64) - 1, `${requests} in ${seconds} s`);
 	}), {seed, numRuns: runs});
@@ -32,7 +32,7 @@
 
 test('a used slot is not returned again, even if the query starts exactly at its beginning', () => {
 	fc.assert(fc.property(limits, moments, fc.string(), (limit, from, start) => {
-		const plan = {start, limit, stretch: {from: 0, length: 1}};
+		const plan = {start, limit, range: {from: 0, length: 1}};
 		const slots = ownSlots(plan, from, from + 2000);
 		for (const [index, {at}] of slots.entries()) {
 			assert.deepEqual(ownSlots(plan, at, from + 2000), slots.slice(index + 1));
@@ -42,8 +42,8 @@
 
 test('the slots of a box are spread evenly over time', () => {
 	for (const length of [0.5, 0.1, 1 / 87]) {
-		const slots = ownSlots({start: 'i-1', limit: 10, stretch: {from: 0.2, length}}, 1.76e12, 1.76e12 + 400_000).map(({at}) => at);
+		const slots = ownSlots({start: 'i-1', limit: 10, range: {from: 0.2, length}}, 1.76e12, 1.76e12 + 400_000).map(({at}) => at);
 		const longest = Math.max(...slots.slice(1).map((at, index) => at - slots[index]!));
-		assert.ok(longest <= 100 / length * 2.7, `${longest} ms between two at a part of ${length}`);
+		assert.ok(longest <= 100 / length * 2.7, `${longest} ms between two slots at a range of ${length}`);
 	}
 });
--- a/src/replicas/test/replica-choice.test.ts
+++ b/src/replicas/test/replica-choice.test.ts
@@ -19,7 +19,7 @@
 };
 
 /** Requests at the busiest replica if 200 boxes choose by the same stale load, in which all replicas but two are busy. */
-const mostAtOne = (isWorkOld: boolean): number => {
+const maxRequestsAtOneReplica = (isWorkOld: boolean): number => {
 	const replicas = replicasOf(40);
 	for (const replica of replicas.slice(2)) {
 		replica.noteOthersWork({requests: 3, unreadTokens: 5000});
@@ -39,8 +39,8 @@
 };
 
 test('boxes that choose by the same stale load do not all choose the same replicas', () => {
-	assert.ok(mostAtOne(false) >= 80, 'if the load is assumed to be current, two replicas get all requests');
-	assert.ok(mostAtOne(true) <= 40, String(mostAtOne(true)));
+	assert.ok(maxRequestsAtOneReplica(false) >= 80, 'if the load is assumed to be current, two replicas get all requests');
+	assert.ok(maxRequestsAtOneReplica(true) <= 40, String(maxRequestsAtOneReplica(true)));
 });
 
 test('the replica that rendezvous hashing assigns to a prompt is compared even if only a few are sampled', () => {
--- a/src/replicas/test/replica-limits.test.ts
+++ b/src/replicas/test/replica-limits.test.ts
@@ -11,7 +11,7 @@
 const epoch = 1_764_700_000_000;
 const limit = 2;
 
-class KeptLog extends EventLog {
+class RecordingLog extends EventLog {
 	readonly names: EventName[] = [];
 
 	override write(name: EventName, _: EventFields = {}): void {
@@ -24,7 +24,7 @@
 		id, bornAt, software: '1', revision: 1, service: 's', host: '10.1.0.1', port: 1, dataCentre: 'a', slots: 8, isDraining: false, isReclaimable: false, leavesIn: undefined,
 	}, clock);
 	const listed = new Map(['i-1', 'i-2'].map(id => [id, replicaOf(id)]));
-	const log = new KeptLog();
+	const log = new RecordingLog();
 	const limits = ReplicaLimits.create({
 		clock, log, commonTime: () => epoch + clock.now, stretch: () => ({from: 0, length}), listed: start => [...listed.values()].find(replica => replica.start === start),
 	});
@@ -51,9 +51,9 @@
 		const clock = new MovedClock(10_000);
 		const {limits, replica} = boxAt(clock);
 		const {start} = replica;
-		const words = [{start, limit, age: 900}, {start, limit: undefined, age: 300}];
-		for (const word of isLimitFirst ? words : words.toReversed()) {
-			limits.takeTold([word], 'box');
+		const updates = [{start, limit, age: 900}, {start, limit: undefined, age: 300}];
+		for (const update of isLimitFirst ? updates : updates.toReversed()) {
+			limits.merge([update], 'box');
 		}
 
 		assert.equal(limits.limitOf(replica), undefined);
@@ -64,12 +64,12 @@
 	const clock = new MovedClock(10_000);
 	const {limits, replica, other} = boxAt(clock);
 	limits.noteAnswer(replica, limit, 9000);
-	limits.takeTold([{start: other.start, limit: 3, age: 40}], 'box');
-	limits.takeTold([{start: 'i-9/7', limit: 4, age: 40}], 'digest');
+	limits.merge([{start: other.start, limit: 3, age: 40}], 'box');
+	limits.merge([{start: 'i-9/7', limit: 4, age: 40}], 'digest');
 	clock.now += 5000;
-	assert.deepEqual(limits.told(true, ['answer'], 10), [{start: replica.start, limit, age: 5000}]);
-	assert.deepEqual(limits.told(true, ['answer', 'box'], 10)?.map(({start}) => start), [replica.start, other.start]);
-	assert.equal(limits.told(false, ['answer', 'box'], 10), undefined, 'no limit has changed recently');
+	assert.deepEqual(limits.updates(true, ['answer'], 10), [{start: replica.start, limit, age: 5000}]);
+	assert.deepEqual(limits.updates(true, ['answer', 'box'], 10)?.map(({start}) => start), [replica.start, other.start]);
+	assert.equal(limits.updates(false, ['answer', 'box'], 10), undefined, 'no limit has changed recently');
 });
 
 test('the end of a limit is sent for a limited time', () => {
@@ -78,9 +78,9 @@
 	limits.noteAnswer(replica, limit, 9000);
 	clock.now = 11_000;
 	limits.noteAnswer(replica, undefined, 10_500);
-	assert.deepEqual(limits.told(true, ['answer'], 10), [{start: replica.start, limit: undefined, age: 500}]);
+	assert.deepEqual(limits.updates(true, ['answer'], 10), [{start: replica.start, limit: undefined, age: 500}]);
 	clock.now = 30_000;
-	assert.equal(limits.told(true, ['answer'], 10), undefined);
+	assert.equal(limits.updates(true, ['answer'], 10), undefined);
 });
 
 test('if there are more limits than a message holds, successive messages rotate through all of them', () => {
@@ -91,9 +91,9 @@
 		limits.noteAnswer(replica, limit, 9000);
 	}
 
-	const told = Array.from({length: 4}, () => limits.told(true, ['answer'], mostStatementsTold.large)!);
-	assert.ok(told.every(({length}) => length === mostStatementsTold.large));
-	assert.equal(new Set(told.flat().map(({start}) => start)).size, 40);
+	const messages = Array.from({length: 4}, () => limits.updates(true, ['answer'], mostStatementsTold.large)!);
+	assert.ok(messages.every(({length}) => length === mostStatementsTold.large));
+	assert.equal(new Set(messages.flat().map(({start}) => start)).size, 40);
 });
 
 test('an unreadable limit changes nothing and is logged at most once a second; a limit that changes with each response is logged as rarely', () => {
@@ -135,13 +135,13 @@
 	limits.noteAnswer(replica, limit, 9000);
 	assert.ok(!limits.hasRoom(replica), 'slots from before the limit was received give no credit');
 	assert.ok(!limits.maySend(replica, undefined), 'a request that was assigned before the limit was received is not sent either');
-	const taken = Array.from({length: 200}, () => {
+	const acquired = Array.from({length: 200}, () => {
 		clock.now += 50;
 		return limits.take(replica);
 	}).filter(slot => slot !== undefined);
-	assert.equal(taken.length, 20);
-	assert.equal(new Set(taken.map(({at}) => at)).size, 20);
-	const last = taken.at(-1)!;
+	assert.equal(acquired.length, 20);
+	assert.equal(new Set(acquired.map(({at}) => at)).size, 20);
+	const last = acquired.at(-1)!;
 	assert.ok(limits.maySend(replica, last));
 	clock.now += 400;
 	limits.take(replica);
@@ -170,10 +170,10 @@
 	const clock = new MovedClock(10_000);
 	const {limits, replica} = boxAt(clock);
 	limits.noteAnswer(replica, limit, 9000);
-	const waits = [0, 1, 2].map(place => limits.untilRoom([replica], place, 5000));
+	const waits = [0, 1, 2].map(requestsAhead => limits.timeUntilRoom([replica], requestsAhead, 5000));
 	assert.ok(waits[0]! <= 500 && waits[0]! >= 0);
 	assert.deepEqual(waits.slice(1).map((wait, index) => Math.round(wait - waits[index]!)), [500, 500]);
-	assert.equal(limits.untilRoom([replica], 0, 0), Number.POSITIVE_INFINITY);
+	assert.equal(limits.timeUntilRoom([replica], 0, 0), Number.POSITIVE_INFINITY);
 	clock.now += waits[0]!;
 	assert.ok(limits.hasRoom(replica));
 });
--- a/src/replicas/test/replica-statements.test.ts
+++ b/src/replicas/test/replica-statements.test.ts
@@ -26,7 +26,8 @@
 	return {replicas, statements, ready: () => replicas.ready('s').map(replica => replica.entry.id).sort()};
 }
 
-const toldBy = ({statements}: ReturnType<typeof boxAt>, sources: readonly StatementSource[] = ['answer', 'box'], isWhole = true) => statements.told(isWhole, sources, mostStatementsTold.small) ?? [];
+const updatesOf = ({statements}: ReturnType<typeof boxAt>, sources: readonly StatementSource[] = ['answer', 'box'], isWhole = true) =>
+	statements.told(isWhole, sources, mostStatementsTold.small) ?? [];
 
 test('a replica that announced that it is leaving gets no requests while its entry is ready, expires or is written again, until it starts again', () => {
 	const clock = new MovedClock(10_000);
@@ -48,26 +49,26 @@
 	const clock = new MovedClock(10_000);
 	const [first, second, third] = [boxAt(clock), boxAt(clock, ['i-2']), boxAt(clock)];
 	first.statements.noteAnswer(first.replicas.named('i-1')!, leaving, 9900);
-	second.statements.takeTold('first', toldBy(first), 'box');
+	second.statements.takeTold('first', updatesOf(first), 'box');
 	second.replicas.put(entry('i-1'));
 	assert.deepEqual(second.ready(), ['i-2']);
-	third.statements.takeTold('second', toldBy(second), 'digest');
+	third.statements.takeTold('second', updatesOf(second), 'digest');
 	assert.deepEqual(third.ready(), ['i-2']);
-	assert.deepEqual([toldBy(second), toldBy(second, ['answer']), toldBy(third)].map(({length}) => length), [1, 0, 0]);
+	assert.deepEqual([updatesOf(second), updatesOf(second, ['answer']), updatesOf(third)].map(({length}) => length), [1, 0, 0]);
 });
 
 test('in a large fleet an announcement is sent at once, then with full states as long as the replica is listed', () => {
 	const clock = new MovedClock(10_000);
 	const box = boxAt(clock);
 	box.statements.noteAnswer(box.replicas.named('i-1')!, leaving, 9900);
-	assert.equal(toldBy(box, ['answer'], false).length, 1);
+	assert.equal(updatesOf(box, ['answer'], false).length, 1);
 	clock.now += 60_000;
-	assert.equal(toldBy(box, ['answer'], false).length, 0);
-	assert.deepEqual(toldBy(box), [{
+	assert.equal(updatesOf(box, ['answer'], false).length, 0);
+	assert.deepEqual(updatesOf(box), [{
 		start: 'i-1/7', kind: 'leaving', value: undefined, age: 60_000,
 	}]);
 	box.replicas.remove('i-1', 9);
-	assert.deepEqual(toldBy(box), []);
+	assert.deepEqual(updatesOf(box), []);
 });
 
 test('successive messages rotate through the announcements if there are many', () => {
@@ -78,9 +79,9 @@
 		statements.noteAnswer(replica, leaving, 9900);
 	}
 
-	const told = Array.from({length: 3}, () => statements.told(true, ['answer'], mostStatementsTold.large)!);
-	assert.ok(told.every(({length}) => length === mostStatementsTold.large));
-	assert.equal(new Set(told.flat().map(({start}) => start)).size, ids.length);
+	const messages = Array.from({length: 3}, () => statements.told(true, ['answer'], mostStatementsTold.large)!);
+	assert.ok(messages.every(({length}) => length === mostStatementsTold.large));
+	assert.equal(new Set(messages.flat().map(({start}) => start)).size, ids.length);
 });
 
 test('a pause ends only by time: a later response may extend it, but neither shortens nor ends it', () => {
@@ -105,16 +106,16 @@
 	const [first, second, third] = [boxAt(clock), boxAt(clock), boxAt(clock)];
 	first.statements.noteAnswer(first.replicas.named('i-1')!, {...noStatement, pause: 3000}, 9990);
 	clock.now += 500;
-	const told = toldBy(first);
+	const updates = updatesOf(first);
 	clock.now += 200;
-	second.statements.takeTold('first', told, 'box');
+	second.statements.takeTold('first', updates, 'box');
 	const replica = second.replicas.named('i-1')!;
 	assert.deepEqual([second.statements.hasRoom(replica), second.statements.boxesPaused(replica)], [true, 1]);
-	third.statements.takeTold('second', toldBy(second), 'digest');
+	third.statements.takeTold('second', updatesOf(second), 'digest');
 	assert.equal(third.statements.boxesPaused(third.replicas.named('i-1')!), 0, 'pauses of other boxes are not forwarded');
 	clock.now += 2800;
 	assert.equal(second.statements.boxesPaused(replica), 0);
-	assert.deepEqual(toldBy(first), []);
+	assert.deepEqual(updatesOf(first), []);
 });
 
 test('a newer incarnation of a replica has no pause', () => {
--- a/src/replicas/test/service-demand.test.ts
+++ b/src/replicas/test/service-demand.test.ts
@@ -51,7 +51,7 @@
 });
 
 test('the pooled demand of many boxes with few requests each is close to that of one box with all requests', () => {
-	const play = (boxes: number) => {
+	const run = (boxes: number) => {
 		const clock = new MovedClock(1000);
 		const demands = Array.from({length: boxes}, () => ServiceDemands.create(clock).of('s'));
 		for (let index = 0; index < 4000; index++) {
@@ -67,8 +67,8 @@
 		return pooledDemand(demands.map(({now}) => now));
 	};
 
-	const one = play(1);
-	const many = play(64);
+	const one = run(1);
+	const many = run(64);
 	for (const key of ['requests', 'reading', 'goal', 'missedPart', 'residualReading', 'readRate'] as const) {
 		assert.ok(Math.abs(many[key] - one[key]) < one[key] * 0.35, `${key}: ${many[key]} of ${one[key]}`);
 	}
@@ -98,9 +98,9 @@
 });
 
 test('one box that received only cached prompts does not distort the pooled read rate', () => {
-	const told = [90_000, 24_000, 0, 26_000, 25_000].map(readRate => ({
+	const demands = [90_000, 24_000, 0, 26_000, 25_000].map(readRate => ({
 		requests: 1, reading: 3000, readRate, goal: 900, meanTokens: 2000, meanSquare: 8_000_000, met: 2, missed: 0,
 	}));
-	assert.equal(pooledDemand(told).readRate, 26_000);
-	assert.equal(pooledDemand(told).reading, 15_000, 'the demand of that box is included');
+	assert.equal(pooledDemand(demands).readRate, 26_000);
+	assert.equal(pooledDemand(demands).reading, 15_000, 'the demand of that box is included');
 });
