--- a/src/lease/lease.ts
+++ b/src/lease/lease.ts
@@ -34,7 +34,7 @@
 const decodeLease = Schema.decodeUnknownResult(Schema.fromJsonString(LeaseObject));
 
 /** Stored as the holder of a lease that was released. */
-const nobody = 'nobody' as BoxId;
+const noHolder = 'nobody' as BoxId;
 
 /** A lease that this box holds. */
 export type HeldLease = {
@@ -51,11 +51,11 @@
 	readonly log: EventLog;
 };
 
-type Seen = {
+type ObservedLease = {
 	readonly version: ObjectVersion;
 	readonly object: LeaseObject | undefined;
 	/** Monotonic milliseconds at which this box first read this version. */
-	readonly seenAt: number;
+	readonly firstSeenAt: number;
 };
 
 /** Lease of one duty, as this box sees it. */
@@ -69,7 +69,7 @@
 		return new Lease(duty, services);
 	}
 
-	private seen: Seen | undefined;
+	private observed: ObservedLease | undefined;
 	private validUntil = Number.NEGATIVE_INFINITY;
 
 	private constructor(private readonly duty: string, private readonly services: LeaseServices) {}
@@ -90,15 +90,15 @@
 	 * @returns An effect that runs until it is interrupted, and then releases the lease.
 	 */
 	whileHeld(work: (lease: HeldLease) => Effect.Effect<unknown>): Effect.Effect<never> {
-		const turn = Effect.gen({self: this}, function * () {
-			const generation = yield * this.campaign();
+		const cycle = Effect.gen({self: this}, function * () {
+			const generation = yield * this.acquire();
 			this.services.log.write('leaseAcquired', {duty: this.duty, generation});
 			const held: HeldLease = {generation, timeLeft: () => this.validUntil - this.services.clock.monotonic()};
-			yield * Effect.raceFirst(work(held), this.keep());
+			yield * Effect.raceFirst(work(held), this.renewUntilLost());
 			this.services.log.write('leaseLost', {duty: this.duty, generation});
 		});
-		return Effect.forever(turn.pipe(Effect.andThen(Effect.sleep(candidateInterval * Math.random()))))
-			.pipe(Effect.onInterrupt(() => this.giveUp()));
+		return Effect.forever(cycle.pipe(Effect.andThen(Effect.sleep(candidateInterval * Math.random()))))
+			.pipe(Effect.onInterrupt(() => this.release()));
 	}
 
 	/**
@@ -109,15 +109,15 @@
 	tryAcquire(): Effect.Effect<number | undefined, StoreFailure | VersionConflict> {
 		return Effect.gen({self: this}, function * () {
 			const {clock, self, store} = this.services;
-			const seen = yield * this.look();
-			if (!isFree(seen, self, clock.monotonic())) {
+			const observed = yield * this.read();
+			if (!isFree(observed, self, clock.monotonic())) {
 				return undefined;
 			}
 
-			const askedAt = clock.monotonic();
-			const object: LeaseObject = {holder: self, generation: (seen.object?.generation ?? 0) + 1, renewal: 0};
-			const version = yield * store.write(this.key, JSON.stringify(object), seen.version);
-			this.note({version, object, seenAt: clock.monotonic()}, askedAt);
+			const requestedAt = clock.monotonic();
+			const object: LeaseObject = {holder: self, generation: (observed.object?.generation ?? 0) + 1, renewal: 0};
+			const version = yield * store.write(this.key, JSON.stringify(object), observed.version);
+			this.extendTerm({version, object, firstSeenAt: clock.monotonic()}, requestedAt);
 			return object.generation;
 		});
 	}
@@ -129,15 +129,15 @@
 	 */
 	renew(): Effect.Effect<boolean> {
 		const {clock, store, self} = this.services;
-		const askedAt = clock.monotonic();
-		const seen = this.seen!;
-		const object: LeaseObject = {...seen.object!, renewal: seen.object!.renewal + 1};
-		return store.write(this.key, JSON.stringify(object), seen.version).pipe(
+		const requestedAt = clock.monotonic();
+		const observed = this.observed!;
+		const object: LeaseObject = {...observed.object!, renewal: observed.object!.renewal + 1};
+		return store.write(this.key, JSON.stringify(object), observed.version).pipe(
 			Effect.map(version => {
-				this.note({version, object, seenAt: clock.monotonic()}, askedAt);
+				this.extendTerm({version, object, firstSeenAt: clock.monotonic()}, requestedAt);
 				return false;
 			}),
-			Effect.catch(() => this.look().pipe(
+			Effect.catch(() => this.read().pipe(
 				// If only the response to the renewal was lost, this box is still the holder; the term is extended by the next renewal.
 				Effect.map(now => now.object?.holder !== self || now.object.generation !== object.generation),
 				Effect.catch(() => Effect.succeed(false)),
@@ -146,7 +146,7 @@
 	}
 
 	/** @returns The generation, as soon as this box has acquired the lease. */
-	private campaign(): Effect.Effect<number> {
+	private acquire(): Effect.Effect<number> {
 		return Effect.gen({self: this}, function * () {
 			for (;;) {
 				const generation = yield * this.tryAcquire().pipe(Effect.catch(() => Effect.succeed(undefined)));
@@ -160,24 +160,24 @@
 	}
 
 	/** Reads the object; an unchanged version keeps the time at which it was first read. */
-	private look(): Effect.Effect<Seen, StoreFailure> {
+	private read(): Effect.Effect<ObservedLease, StoreFailure> {
 		const {store, clock} = this.services;
 		return store.read(this.key).pipe(Effect.map(({version, value}) => {
-			if (this.seen?.version !== version) {
+			if (this.observed?.version !== version) {
 				const decoded = version === 0 ? undefined : decodeLease(value);
-				this.seen = {
+				this.observed = {
 					version,
 					object: decoded && Result.isSuccess(decoded) ? decoded.success : undefined,
-					seenAt: clock.monotonic(),
+					firstSeenAt: clock.monotonic(),
 				};
 			}
 
-			return this.seen;
+			return this.observed;
 		}));
 	}
 
 	/** Renews the lease until it is lost or expires. */
-	private keep(): Effect.Effect<void> {
+	private renewUntilLost(): Effect.Effect<void> {
 		return Effect.gen({self: this}, function * () {
 			for (;;) {
 				const left = this.validUntil - this.services.clock.monotonic();
@@ -195,26 +195,26 @@
 		});
 	}
 
-	private note(seen: Seen, askedAt: number): void {
-		this.seen = seen;
-		this.validUntil = askedAt + leaseTerm - holderMargin;
+	private extendTerm(observed: ObservedLease, requestedAt: number): void {
+		this.observed = observed;
+		this.validUntil = requestedAt + leaseTerm - holderMargin;
 	}
 
 	/** Writes the object without a holder, so that the next holder does not have to wait for the term to end. */
-	private giveUp(): Effect.Effect<void> {
+	private release(): Effect.Effect<void> {
 		return Effect.suspend(() => {
-			if (!this.isHeld || !this.seen?.object) {
+			if (!this.isHeld || !this.observed?.object) {
 				return Effect.void;
 			}
 
 			this.validUntil = Number.NEGATIVE_INFINITY;
-			const {object, version} = this.seen;
-			return Effect.ignore(this.services.store.write(this.key, JSON.stringify({...object, holder: nobody}), version));
+			const {object, version} = this.observed;
+			return Effect.ignore(this.services.store.write(this.key, JSON.stringify({...object, holder: noHolder}), version));
 		});
 	}
 }
 
 /** Whether a lease may be acquired. A holder that no longer renews it is waited out for one term since its last renewal was first read. */
-function isFree({object, seenAt}: Seen, self: BoxId, now: number): boolean {
-	return !object || object.holder === nobody || object.holder === self || now - seenAt > leaseTerm;
+function isFree({object, firstSeenAt}: ObservedLease, self: BoxId, now: number): boolean {
+	return !object || object.holder === noHolder || object.holder === self || now - firstSeenAt > leaseTerm;
 }
