--- a/src/replicas/replica-connections.ts
+++ b/src/replicas/replica-connections.ts
@@ -15,7 +15,7 @@
 const idleLifetimeFraction = 0.6;
 /** Idle milliseconds after which a connection is not used for a request that cannot be retried. */
 const maxFreshIdleTime = 1000;
-/** Idle connections that a box keeps to one replica, whatever the number of its slots. */
+/** Maximum idle connections that a box keeps to one replica, whatever the number of its slots. */
 export const largestIdleCount = 24;
 
 /** No connection to a replica could be established; nothing was sent. */
@@ -37,8 +37,11 @@
 
 type IdleConnection = {
 	readonly socket: Socket;
+	/** Monotonic milliseconds at which the connection became idle. */
 	readonly since: number;
+	/** Monotonic milliseconds from which on the connection is not used. */
 	readonly until: number;
+	/** Removes the listeners of the idle connection. */
 	readonly detach: () => void;
 };
 
@@ -156,14 +159,14 @@
 		// While this process was suspended, the replica's keep-alive time went on, so it may have closed the connection.
 		const usable = this.idle.filter(({socket, since, until}) => !socket.destroyed && now < until && since >= resumedAt
 			&& (!needsFresh || now - since < maxFreshIdleTime));
-		const taken = usable.at(-1);
-		if (!taken) {
+		const newest = usable.at(-1);
+		if (!newest) {
 			return undefined;
 		}
 
-		this.idle = this.idle.filter(other => other !== taken);
-		taken.detach();
-		return taken.socket;
+		this.idle = this.idle.filter(other => other !== newest);
+		newest.detach();
+		return newest.socket;
 	}
 
 	private open(): Effect.Effect<Connection, ConnectionFailure> {
--- a/src/replicas/replica-directory.ts
+++ b/src/replicas/replica-directory.ts
@@ -33,6 +33,7 @@
 	readonly start?: string;
 };
 
+/** A departure, with the monotonic milliseconds at which this box learned of it. */
 type KnownDeparture = Departure & {readonly at: number};
 
 /** Called with a replica that was removed or replaced. */
@@ -106,8 +107,8 @@
 
 	/**
 	 * @param service - Name of a service.
-	 * @returns Its replicas that may get requests. If none is ready: those that began to leave or were removed a moment
-	 * ago, since they still serve for a short time.
+	 * @returns Its replicas that may get requests. If none is ready: those that began to leave, or whose entry was removed
+	 * or expired, a moment ago, since they still serve for a short time.
 	 */
 	ready(service: string): readonly Replica[] {
 		const listed = this.all.filter(replica => replica.entry.service === service && !replica.isLeaving);
@@ -138,7 +139,7 @@
 	}
 
 	/**
-	 * @param id - Id of a replica.
+	 * @param id - ID of a replica.
 	 * @returns The replica; `undefined` if it is not listed.
 	 */
 	named(id: string): Replica | undefined {
--- a/src/replicas/replica.ts
+++ b/src/replicas/replica.ts
@@ -48,6 +48,7 @@
 /** Milliseconds after which the load that an aggregator reported is ignored; longer, since aggregators report less often. */
 const aggregateWorkLifetime = 2000;
 
+/** Load that another box reported, with the monotonic milliseconds at which the report expires. */
 type PeerWork = ReplicaWork & {readonly until: number};
 /** Key of the summed load of all other boxes, as an aggregator reports it. */
 const allOthers = '';
@@ -134,7 +135,7 @@
 		return this.clock.monotonic() < this.avoidedUntil;
 	}
 
-	/** Whether the last failure was a refused connection: the process is most likely gone, though its entry is still listed. */
+	/** Whether the replica is avoided because it refused a connection: the process is most likely gone, though its entry is still listed. */
 	get refusesConnections(): boolean {
 		return this.wasRefused && this.isAvoided;
 	}
--- a/src/replicas/service-demand.ts
+++ b/src/replicas/service-demand.ts
@@ -32,7 +32,7 @@
 	readonly requests: number;
 	/** Prompt tokens a second that the replicas have to read. */
 	readonly reading: number;
-	/** Prompt tokens that a replica reads in a second beside its other work; zero where too little was seen. */
+	/** Prompt tokens that a replica reads in a second beside its other work; zero without enough samples. */
 	readonly readRate: number;
 	/** Mean of the milliseconds within which responses have to begin; zero before the first request. */
 	readonly goal: number;
@@ -84,7 +84,7 @@
 		};
 	}
 
-	/** Prompt tokens that a replica reads in a second beside its other work; zero where too little was seen. */
+	/** Prompt tokens that a replica reads in a second beside its other work; zero without enough samples. */
 	get readRate(): number {
 		return this.readSamples < minSamples ? 0 : this.tokensPerMillisecond * millisecondsPerSecond;
 	}
