--- a/src/node/configuration-role.ts
+++ b/src/node/configuration-role.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the configuration in force: follows it in the store, proves that it is the newest, and takes it from peers.
+ * Keeps the configuration in force up to date: watches it in the store, proves that it is the newest version, and fetches newer versions from peers.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -14,45 +14,47 @@
 import {PeerFetch} from './peer-fetch.js';
 import type {PlatformLink} from './platform-link.js';
 
-/** Milliseconds a proof may be old before this box asks the store itself. */
+/** Age in milliseconds of the last proof above which a box that follows the store reads the configuration again. */
 const provingAge = 900;
-/** Milliseconds by which boxes differ in that, so that mostly one asks for all. */
+/** Random addition to that age, in milliseconds, so that usually one box reads and its proof serves all boxes. */
 const provingSpread = 500;
+/** Milliseconds between two checks of the age of the last proof. */
 const checkInterval = 100;
-/** The same for a box that leaves the questions to others. */
+/** The same for a box that does not follow the store. */
 const idleCheckInterval = 300;
-/** Milliseconds after the start before the first question. */
+/** Milliseconds from the start to the first check. */
 const firstProof = 400;
+/** Milliseconds before the next check after a failed read. */
 const failurePause = 400;
-/** Milliseconds that a watch waits; one that hangs is made up for by the reads that prove the configuration. */
+/** Long-poll time of a watch, in milliseconds; when a watch hangs, the reads that prove the configuration find a change. */
 const watchWait = {least: 3000, spread: 0} as const;
-/** Path at which peers give out the configuration. */
+/** Path at which boxes serve the configuration to peers. */
 export const configurationPath = '/configuration';
 
-/** What the role needs. */
+/** Dependencies of the role. */
 export type ConfigurationServices = {
 	readonly link: PlatformLink;
 	readonly clock: Clock;
 	readonly log: EventLog;
 	readonly table: RouteTableView;
 	readonly availability: StoreAvailability;
-	/** @returns Whether this box follows the store, though others may. */
+	/** @returns Whether this box follows the store even when other boxes do. */
 	readonly leads: () => boolean;
-	/** Milliseconds without a proof from others after which this box asks the store itself. */
+	/** Milliseconds without a proof from other boxes after which this box reads the store itself. */
 	readonly patience: number;
 };
 
-/** The role. */
+/** Follows the configuration in the store and serves it to peers. */
 export class ConfigurationRole {
 	/**
-	 * @param services - What it needs.
-	 * @returns The role; run its parts to begin.
+	 * @param services - Dependencies of the role.
+	 * @returns The role; run `follow` and `prove` to start it.
 	 */
 	static create(services: ConfigurationServices): ConfigurationRole {
 		return new ConfigurationRole(services);
 	}
 
-	/** What the store holds of the version in force, for peers. */
+	/** The stored document of the version in force, as served to peers. */
 	spec: unknown;
 	private readonly startedAt: number;
 	private readonly fetch: PeerFetch;
@@ -64,7 +66,7 @@
 		});
 	}
 
-	/** @returns Follows the store until interrupted. */
+	/** @returns An effect that watches the configuration in the store until interrupted. */
 	follow(): Effect.Effect<never> {
 		const {link: {store, names}, clock, log, leads, availability} = this.services;
 		return KindFollower.create(names.configurationKind, {
@@ -87,7 +89,7 @@
 		}).run();
 	}
 
-	/** @returns Asks the store whenever no proof is new enough, until interrupted. */
+	/** @returns An effect that reads the store whenever the last proof is too old, until interrupted. */
 	prove(): Effect.Effect<never> {
 		const {link: {store, names}, clock, availability} = this.services;
 		const ask = Effect.suspend(() => {
@@ -104,11 +106,11 @@
 		});
 		const pause = Effect.suspend(() => Effect.sleep(this.services.leads() ? checkInterval : idleCheckInterval));
 		const turn = Effect.suspend(() => this.needsProof ? ask : Effect.void).pipe(Effect.andThen(pause));
-		// The first list proves as well.
+		// The first list of `follow` is a proof too, so this starts later.
 		return Effect.sleep(firstProof).pipe(Effect.andThen(Effect.forever(turn)));
 	}
 
-	/** A box that leads asks soon; another leaves it to those, for as long as their proofs come. */
+	/** A box that follows the store reads early; another box reads only when no proof has arrived from those for a while. */
 	private get needsProof(): boolean {
 		const {table, leads, patience, clock} = this.services;
 		const age = Math.min(table.proofAge, clock.monotonic() - this.startedAt);
@@ -131,7 +133,7 @@
 		}
 	}
 
-	/** @returns Its version; nothing where it cannot be read. */
+	/** @returns The version of the document; `undefined` if it cannot be decoded. */
 	private take(spec: unknown, source: TableSource): number | undefined {
 		const {link: {names}, table, log} = this.services;
 		const decoded = names.decodeConfiguration(spec);
--- a/src/node/control-listeners.ts
+++ b/src/node/control-listeners.ts
@@ -1,5 +1,5 @@
 /**
- * The small listeners of a relay: readiness for the balancer, metrics for operators, the configuration for peers.
+ * The control listeners of a relay: readiness for the load balancer, metrics for operators, documents for peers.
  */
 import {Buffer} from 'node:buffer';
 import {createServer, type Server} from 'node:http';
@@ -7,25 +7,25 @@
 import type * as Scope from 'effect/Scope';
 import type {Address} from '../settings/relay-settings.js';
 
-/** What a small listener answers. */
+/** Response of a control listener. */
 export type SmallAnswer = {
 	readonly status: number;
 	readonly contentType: string;
 	readonly body: string | Uint8Array;
 };
 
-/** Answers a path; `undefined` where there is nothing there. */
+/** Returns the response for a path; `undefined` gives status 404. */
 export type SmallHandler = (path: string) => SmallAnswer | undefined | Promise<SmallAnswer>;
 
-/** An address that is taken is tried again: the process before may still hold it. */
+/** Milliseconds between two attempts to bind an address: the previous process may still hold it. */
 const listenPause = 200;
 
 /**
- * Listens until the scope closes.
+ * Listens until the scope closes; retries while the address cannot be bound.
  *
  * @param server - Node's server.
- * @param address - Where.
- * @returns Ends when it listens.
+ * @param address - Address to bind.
+ * @returns An effect that completes once the server listens.
  */
 export function listen(server: Server, {host, port}: Address): Effect.Effect<void, never, Scope.Scope> {
 	const once = Effect.callback<void, Error>(resume => {
@@ -51,11 +51,11 @@
 }
 
 /**
- * Opens a small listener.
+ * Opens a control listener until the scope closes.
  *
- * @param address - Where.
- * @param handler - Answers.
- * @returns Ends when it listens.
+ * @param address - Address to bind.
+ * @param handler - Returns the responses.
+ * @returns An effect that completes once the listener is open.
  */
 export function openSmallListener(address: Address, handler: SmallHandler): Effect.Effect<void, never, Scope.Scope> {
 	const server = createServer((incoming, response) => {
--- a/src/node/duty-roles.ts
+++ b/src/node/duty-roles.ts
@@ -1,5 +1,5 @@
 /**
- * The duties of a relay: one box at a time does them.
+ * The duties of the fleet: usage reports and replica orders, done by one box at a time, which holds a lease.
  */
 import * as Effect from 'effect/Effect';
 import type {Clock} from '../base/clock.js';
@@ -24,17 +24,18 @@
 import type {RelaySettings} from '../settings/relay-settings.js';
 import type {PlatformLink} from './platform-link.js';
 
-/** Milliseconds between two looks at what is due. */
+/** Milliseconds between two steps of the duties. */
 const stepInterval = 300;
-/** The same for a box that will not hold the duties. */
+/** The same for a box that is no aggregator and so cannot become the holder; also between two observations of the load by an aggregator that is not the holder. */
 const idleInterval = 1000;
-/** Milliseconds after the start in which other boxes are heard for the first time. */
+/** Milliseconds from the start to the first step: the first gossip messages of the other boxes arrive in this time. */
 const settleTime = 900;
+/** Milliseconds before the next step after a failed one. */
 const failurePause = 700;
-/** Milliseconds for which a holder may be told by few others before it gives the duties up. */
+/** Milliseconds for which a holder may be no aggregator before it releases the lease. */
 const longestOutOfHearing = 2000;
 
-/** What the duties need. */
+/** Dependencies of the duties. */
 export type DutyParts = {
 	readonly self: string;
 	readonly incarnation: string;
@@ -51,15 +52,15 @@
 };
 
 /**
- * @param parts - What the duties need.
- * @returns Their roles; none where the deployment has no duties.
+ * @param parts - Dependencies of the duties.
+ * @returns The roles to run; none if the deployment has no duties.
  */
 export function openDuties(parts: DutyParts): readonly Role[] {
 	const {duties} = parts.link;
 	return duties ? [{name: 'duties', run: DutyRole.create(parts, duties).run()}] : [];
 }
 
-/** Takes the duties over where nobody is at work, and does them. */
+/** Acquires the lease of the duties when no other box does them, and does them while it holds the lease. */
 class DutyRole {
 	static create(parts: DutyParts, calls: DutyCalls): DutyRole {
 		return new DutyRole(parts, calls);
@@ -70,9 +71,9 @@
 	private readonly fleet: FleetDuty;
 	private readonly draft: UsageDraft;
 	private readonly life: HolderLife;
-	/** Monotonic milliseconds at which all others last told this box. */
+	/** Monotonic milliseconds at which this box was last an aggregator. */
 	private aggregatorAt = Number.NEGATIVE_INFINITY;
-	/** Monotonic milliseconds at which the load was last noted. */
+	/** Monotonic milliseconds at which the load was last observed. */
 	private observedAt = Number.NEGATIVE_INFINITY;
 
 	private constructor(private readonly parts: DutyParts, calls: DutyCalls) {
@@ -116,8 +117,8 @@
 	}
 
 	/**
-	 * A box that does not hold the duties needs to know less exactly what it would order. One that most others do not tell
-	 * has seen nothing of the load.
+	 * Records the load of the fleet. A box that does not hold the lease does so less often, since it only prepares to take over. A box that is
+	 * no aggregator does not receive the load of most boxes and records nothing.
 	 */
 	private observe(): void {
 		const {topology, clock} = this.parts;
@@ -128,7 +129,7 @@
 		}
 	}
 
-	/** What is asked of a service at all boxes that are heard, and how fast its replicas read. */
+	/** Demand for a service at all boxes from which messages arrive, and how fast its replicas read prompts. */
 	private demandFor(service: string): FleetDemand {
 		const {peers, services: {demands}} = this.parts;
 		return pooledDemand([
@@ -151,7 +152,7 @@
 				yield * this.campaign();
 			}
 
-			// Counts are kept from the first moment on, also while the acts of the holder before are waited out.
+			// Saves the usage counts from the start of the lease, also while the previous holder's calls may still be in progress.
 			if (lease.isHeld) {
 				yield * this.draft.step();
 			}
@@ -163,7 +164,7 @@
 		});
 	}
 
-	/** Only a box that all others tell can count what they did; the order of boxes may waver for a moment. */
+	/** Only an aggregator receives the usage counts of all boxes; the choice of aggregators may change back within moments, so a short loss is ignored. */
 	private isOutOfHearing(): boolean {
 		const {topology, clock} = this.parts;
 		const now = clock.monotonic();
--- a/src/node/exchange-state.ts
+++ b/src/node/exchange-state.ts
@@ -1,5 +1,5 @@
 /**
- * What this box tells others in the exchange, and what it makes of what they tell.
+ * Builds the gossip messages that this box sends, and applies the messages that it receives.
  */
 import {unknownAge, type Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
@@ -17,12 +17,12 @@
 import type {LimitStretches} from './limit-stretches.js';
 import type {ReplicaRole} from './replica-role.js';
 
-/** Milliseconds for which the work of all boxes is not added up anew. */
+/** Milliseconds for which the sum of the work of all boxes is cached. */
 const workMemory = 100;
-/** Milliseconds since its start in which an aggregator still takes buckets from others, which know more. */
+/** Milliseconds since its start in which an aggregator still adopts quota levels from other aggregators, which know more. */
 const learningTime = 4000;
 
-/** What the state is made of. */
+/** Dependencies of the state. */
 export type ExchangeParts = {
 	readonly clock: Clock;
 	readonly log: EventLog;
@@ -36,12 +36,13 @@
 	readonly isStopping: () => boolean;
 };
 
+/** @returns The name of the sending process: a box that restarts gets a new one. */
 const startOf = ({sender, incarnation}: GossipMessage): string => `${sender.name}/${incarnation}`;
 
-/** The state. */
+/** The state of a box that is exchanged by gossip. */
 export class ExchangeState {
 	/**
-	 * @param parts - What it is made of.
+	 * @param parts - Dependencies of the state.
 	 * @returns The state.
 	 */
 	static create(parts: ExchangeParts): ExchangeState {
@@ -54,9 +55,9 @@
 	private constructor(private readonly parts: ExchangeParts) {}
 
 	/**
-	 * @param isWhole - Whether all is told that others must know, not only what is new.
-	 * @param sources - How the statements of replicas that are told were learnt: in an answer also from other boxes.
-	 * @returns What this box tells in any message.
+	 * @param isWhole - Whether to include everything that other boxes must know, not only recent changes.
+	 * @param sources - Sources of the replica statements to include; a reply also passes on those received from other boxes.
+	 * @returns The fields that every message of this box has.
 	 */
 	news(isWhole: boolean, sources: readonly StatementSource[] = ['answer', 'box']): LocalNews {
 		const {
@@ -77,8 +78,8 @@
 	}
 
 	/**
-	 * @param isWhole - Whether all counters are told, not those alone that changed lately.
-	 * @returns What this box tells of itself.
+	 * @param isWhole - Whether to include all counters, not only those that changed recently.
+	 * @returns The state of this box itself.
 	 */
 	local(isWhole: boolean): LocalState {
 		const {
@@ -98,9 +99,9 @@
 	}
 
 	/**
-	 * @param peer - A box that asked.
-	 * @param isWhole - Whether it asked for all that is known of the other boxes.
-	 * @returns What this one knows of all others.
+	 * @param peer - The box that requested the digest.
+	 * @param isWhole - Whether it requested the quota levels and the work of all boxes too.
+	 * @returns The state of the fleet as this box knows it, without the peer's own work.
 	 */
 	digestFor({last, address}: Peer, isWhole: boolean): FleetDigest {
 		const {services: {quota, limits}, peers, topology, replicaRole, stretches} = this.parts;
@@ -124,17 +125,17 @@
 	}
 
 	/**
-	 * Takes what a box tells of itself.
+	 * Applies a message that a box sent about itself.
 	 *
-	 * @param message - What it tells.
-	 * @param meeting - How it is met.
+	 * @param message - The message.
+	 * @param meeting - How the sender was known before; see `QuotaLedger.takeCounts`.
 	 */
 	take(message: GossipMessage, meeting: Meeting): void {
 		const {services: {replicas, quota, usage}, topology, peers} = this.parts;
 		const {sender, work} = message;
 		const start = startOf(message);
 		this.takeNews(message, 'box');
-		// Its digests may have come before: what it let pass until now is no news, though it is known.
+		// A sender that is known from its digests alone counts as new to the quota, so that requests that it admitted earlier are not charged now.
 		quota.takeCounts(start, message.quota, quota.knows(start) ? meeting : peers.meetAnew(message), message.isWhole);
 		usage.take(start, message.usage);
 		if (!topology.isAggregator) {
@@ -153,10 +154,10 @@
 	}
 
 	/**
-	 * Takes what an aggregator tells of all boxes.
+	 * Applies a message in which an aggregator reports about all boxes.
 	 *
-	 * @param message - What it tells.
-	 * @param digest - The part of it that is about all boxes.
+	 * @param message - The message.
+	 * @param digest - Its part about all boxes.
 	 */
 	takeDigest(message: GossipMessage, digest: FleetDigest): void {
 		const {services: {replicas, quota}, topology, peers} = this.parts;
@@ -181,7 +182,7 @@
 		}
 	}
 
-	/** What any message may bring: a newer configuration, a newer list, replicas that leave. */
+	/** Applies the fields that every message has, such as the version of the configuration, the state of the replica list and departures of replicas. */
 	private takeNews(message: GossipMessage, source: StatementSource): void {
 		const {services: {table, replicas, quarantine, statements}, availability, configuration, replicaRole} = this.parts;
 		availability.notePeerAnswer(message.storeAge);
--- a/src/node/limit-stretches.ts
+++ b/src/node/limit-stretches.ts
@@ -1,6 +1,6 @@
 /**
- * Which part of the slots at replicas that have named limits is this box's: by what is asked for at each box where boxes know that of each other, else the
- * same for all.
+ * Divides the slots of replicas that have announced request limits among the boxes. The slots of a service lie on a line from 0 to 1, and each box owns a
+ * stretch of it: in proportion to the demand at each box where that is known, otherwise an equal part.
  */
 import type {Clock} from '../base/clock.js';
 import {shareOf} from '../base/rendezvous.js';
@@ -11,7 +11,7 @@
 import {divideLine, type Stretch} from '../replicas/limit-slots.js';
 import type {Demand, ServiceDemands} from '../replicas/service-demand.js';
 
-/** What the stretches rest on. */
+/** Dependencies of the stretches. */
 export type LimitStretchServices = {
 	readonly self: string;
 	readonly clock: Clock;
@@ -20,13 +20,13 @@
 	readonly demands: ServiceDemands;
 };
 
-/** Milliseconds since its start in which a box may know of few others, and has no part. */
+/** Milliseconds since its start in which a box owns no stretch, since it may know of few other boxes. */
 const settlingTime = 2000;
-/** Milliseconds for which what an aggregator told is kept to: as long as others leave a box its part that they do not hear. */
+/** Milliseconds for which a stretch received from an aggregator is valid: for as long, the other boxes reserve the stretch of a box that is silent. */
 const toldLifetime = 15_000;
-/** Milliseconds for which the line is not divided anew. */
+/** Milliseconds for which the division of the line is cached. */
 const divisionLifetime = 100;
-/** Part of the mean of what is asked for at all boxes that each counts with: whoever is asked for nothing may be so in the next second. */
+/** Minimum weight of a box, as a part of the mean demand of all boxes: a box without demand may get requests in the next second. */
 const leastPart = 0.2;
 const noStretch: Stretch = {from: 0, length: 0};
 
@@ -35,8 +35,8 @@
 /** The stretches of one box. */
 export class LimitStretches {
 	/**
-	 * @param services - What they rest on.
-	 * @returns Stretches of which none was told.
+	 * @param services - Dependencies of the stretches.
+	 * @returns Stretches of which none was received yet.
 	 */
 	static create(services: LimitStretchServices): LimitStretches {
 		return new LimitStretches(services);
@@ -49,7 +49,7 @@
 
 	/**
 	 * @param service - Name of a service.
-	 * @returns This box's stretch.
+	 * @returns The stretch of this box.
 	 */
 	of(service: string): Stretch {
 		const {self, clock, peers, topology} = this.services;
@@ -68,22 +68,22 @@
 	}
 
 	/**
-	 * @param box - Name of another box, in a large fleet, that does not hear all others.
+	 * @param box - Name of a box of a large fleet that is no aggregator, so that it does not know the demand at the other boxes.
 	 * @param services - Names of services that have limited replicas.
-	 * @returns What to tell it.
+	 * @returns The stretches to send to it.
 	 */
 	toldTo(box: string, services: readonly string[]): readonly ServiceStretch[] {
 		return services.map(service => ({service, ...this.stretchOf(box, service)}));
 	}
 
-	/** @param stretches - What an aggregator tells this box. */
+	/** @param stretches - The stretches of this box, received from an aggregator. */
 	take(stretches: readonly ServiceStretch[]): void {
 		for (const {service, from, length} of stretches) {
 			this.told.set(service, {stretch: {from, length}, at: this.services.clock.monotonic()});
 		}
 	}
 
-	/** Others may know of boxes that this one does not know: their part is left to them. */
+	/** Shortens the stretch where the fleet has more boxes than this box knows by name, so that those keep their part. */
 	private stretchOf(box: string, service: string): Stretch {
 		const {peers} = this.services;
 		const {from, length} = this.dividedFor(service).get(box) ?? noStretch;
@@ -102,7 +102,7 @@
 		return stretches;
 	}
 
-	/** Boxes that are not heard keep their part: they may only be cut off from this one. */
+	/** Silent boxes keep their part: they may only be cut off from this box. */
 	private weightsOf(service: string): ReadonlyMap<string, number> {
 		const {self, peers, demands} = this.services;
 		const rates = new Map<string, number | undefined>([
@@ -116,7 +116,7 @@
 	}
 }
 
-/** Requests a second that came for a service, answered in time or not. */
+/** Requests per second that arrived for a service, whether they were served or not. */
 function rateOf(demand: ReadonlyArray<Demand & {readonly service: string}>, service: string): number | undefined {
 	const found = demand.find(one => one.service === service);
 	return found && found.met + found.missed;
--- a/src/node/member-role.ts
+++ b/src/node/member-role.ts
@@ -1,6 +1,6 @@
 /**
- * Writes this box into the store and reads the others from there, so that boxes find each other whatever
- * their settings say.
+ * Registers this box in the store and reads the other boxes from there, so that boxes find each other whatever seeds
+ * their settings name.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -15,33 +15,34 @@
 
 /** Kind of the boxes' own objects in the store. */
 const memberKind = 'waydrift-members';
-/** Milliseconds between two looks. */
+/** Mean milliseconds between two reads of the members. */
 const lookInterval = 10_000;
+/** Milliseconds before the next read after a failed one. */
 const failurePause = 1000;
-/** Milliseconds until the look after writing itself: boxes that start together write past each other's first look. */
+/** Milliseconds from registering to the next read: boxes that start together do not see each other in their first read. */
 const lookAgain = 300;
-/** Milliseconds after the start of the first look: the seeds mostly answer before. */
+/** Milliseconds from the start to the first read: usually the seeds have answered by then. */
 const firstLook = 250;
-/** Milliseconds without a word after which a box counts as gone for good; one that lives writes itself again. */
+/** Milliseconds without a message after which a box counts as gone for good; one that still runs registers again. */
 const deadAfter = 30_000;
 
 const Entry = Schema.Struct({host: Schema.String, port: Schema.Number, capacity: Schema.optionalKey(Schema.Number)});
 const decodeEntry = createDecoder(Entry, 'ignore');
 
-/** What the role needs. */
+/** Dependencies of the role. */
 export type MemberServices = {
 	readonly store: MetadataStore;
 	readonly self: MemberAddress;
 	readonly peers: PeerTable;
 	readonly log: EventLog;
-	/** @returns Whether this box is to be found in the store: in a large fleet a few are enough. */
+	/** @returns Whether this box must be registered in the store: in a large fleet a few boxes are enough. */
 	readonly isNeeded: () => boolean;
 };
 
-/** The role. */
+/** Keeps the members in the store up to date. */
 export class MemberRole {
 	/**
-	 * @param services - What it needs.
+	 * @param services - Dependencies of the role.
 	 * @returns The role.
 	 */
 	static create(services: MemberServices): MemberRole {
@@ -50,7 +51,7 @@
 
 	private constructor(private readonly services: MemberServices) {}
 
-	/** @returns Runs until interrupted. */
+	/** @returns An effect that refreshes the members until interrupted. */
 	run(): Effect.Effect<never> {
 		const looks = Effect.forever(this.look().pipe(
 			Effect.flatMap(hasWritten => Effect.sleep(hasWritten ? lookAgain : lookInterval * (0.75 + (Math.random() / 2)))),
@@ -60,9 +61,9 @@
 	}
 
 	/**
-	 * Reads who is there, and writes this box where it is missing.
+	 * Reads the members, removes dead ones, and registers this box if its entry is missing or outdated.
 	 *
-	 * @returns Whether it wrote; ends soon.
+	 * @returns An effect that yields whether this box was registered.
 	 */
 	look(): Effect.Effect<boolean, StoreUnavailable | RevisionConflict> {
 		return Effect.gen({self: this}, function * () {
@@ -89,7 +90,7 @@
 		});
 	}
 
-	/** A box that went for good takes nothing out of the store; the others would wait for its word for ever. */
+	/** A box that is gone for good cannot remove its own entry, and the other boxes would go on expecting messages from it. */
 	private removeDead(objects: readonly StoredObject[]) {
 		return Effect.gen({self: this}, function * () {
 			const {store, self, peers, log} = this.services;
--- a/src/node/peer-fetch.ts
+++ b/src/node/peer-fetch.ts
@@ -1,5 +1,5 @@
 /**
- * Fetches a document from a peer, one fetch at a time: several peers tell of the same news at once.
+ * Fetches a document from a peer, one fetch at a time: several peers announce the same new version at once.
  */
 import {promisify} from 'node:util';
 import {gunzip} from 'node:zlib';
@@ -8,15 +8,15 @@
 import type {MemberAddress} from '../gossip/gossip-message.js';
 
 const gunzipAsync = promisify(gunzip);
-/** Milliseconds for a whole answer, which may be long and its link narrow. */
+/** Milliseconds for a whole response, which may be long and its link slow. */
 const peerTimeout = 1500;
 const okStatus = 200;
 
-/** Fetches one document from whichever peer has it. */
+/** Fetches one document from any peer that has it. */
 export class PeerFetch {
 	/**
 	 * @param path - Path of the document, which peers send compressed.
-	 * @param take - Takes the decoded JSON.
+	 * @param take - Called with the parsed JSON.
 	 * @returns The fetch, idle.
 	 */
 	static create(path: string, take: (content: unknown) => void): PeerFetch {
@@ -28,9 +28,9 @@
 	private constructor(private readonly path: string, private readonly take: (content: unknown) => void) {}
 
 	/**
-	 * Starts to fetch, unless a fetch is running. A failure is no news: the next message tells of the document again.
+	 * Starts a fetch, unless one is running. A failure is ignored: the next gossip message announces the document again.
 	 *
-	 * @param peer - Who has it.
+	 * @param peer - A box that has the document.
 	 */
 	from({host, port}: MemberAddress): void {
 		if (this.isRunning) {
--- a/src/node/platform-link.ts
+++ b/src/node/platform-link.ts
@@ -1,5 +1,5 @@
 /**
- * What a relay reaches outside of itself; the adapter at the root implements it.
+ * The external services and formats that a relay depends on; the platform adapter implements them.
  */
 import type * as Result from 'effect/Result';
 import type {Fault} from '../base/faults.js';
@@ -9,22 +9,22 @@
 import type {ReplicaEntry} from '../replicas/replica.js';
 import type {RouteTableContent} from '../routes/route-table.js';
 
-/** Names and formats of what the platform keeps. */
+/** Names and formats of the objects in the platform's store. */
 export type PlatformNames = {
 	readonly configurationKind: string;
 	readonly configurationName: string;
 	readonly replicaKind: string;
-	/** @returns The version, or what is wrong with it. */
+	/** @returns The configuration, or the faults that were found in it. */
 	readonly decodeConfiguration: (spec: unknown) => Result.Result<RouteTableContent, readonly Fault[]>;
-	/** @returns The entry, or what is wrong with it. */
+	/** @returns The entry, or the faults that were found in it. */
 	readonly decodeReplica: (object: StoredObject) => Result.Result<ReplicaEntry, readonly Fault[]>;
 };
 
-/** The platform, as a relay reaches it. */
+/** The platform, as a relay accesses it. */
 export type PlatformLink = {
 	readonly names: PlatformNames;
 	readonly format: RelayFormat;
 	readonly store: MetadataStore;
-	/** `undefined` where the deployment has no duties. */
+	/** `undefined` if the deployment has no duties. */
 	readonly duties: DutyCalls | undefined;
 };
--- a/src/node/relay-node.ts
+++ b/src/node/relay-node.ts
@@ -1,5 +1,5 @@
 /**
- * A relay: the supervisor tree of its roles, and how it starts and stops.
+ * A relay: creates its services, supervises its roles, and starts and stops them.
  */
 import {randomUUID} from 'node:crypto';
 import {gzipSync} from 'node:zlib';
@@ -43,27 +43,30 @@
 import type {PlatformLink} from './platform-link.js';
 import {lapseTime, ReplicaRole, replicasPath} from './replica-role.js';
 
-/** Milliseconds for the balancer to notice that this box takes no new clients. */
+/** Milliseconds in which the load balancer notices that this box is no longer ready. */
 const balancerDelay = 3000;
-/** Milliseconds after a stop was asked for from which requests are refused: what is taken later may not end in time. */
+/** Milliseconds from the stop signal after which new requests are refused: they might not finish in time. */
 const closingDelay = 2800;
-/** Milliseconds before the end of the grace by which this process has ended by itself. */
+/** Milliseconds before the end of the grace period at which the stop completes even with requests in progress, so that the process exits by itself. */
 const endMargin = 900;
+/** Milliseconds between two checks for the end of all requests. */
 const stopCheckInterval = 50;
+/** Milliseconds between two samples of the metrics and the clocks. */
 const sampleInterval = 1000;
-/** Milliseconds between two samples above which this process stood still. */
+/** Milliseconds between two samples above which this process was suspended or its event loop blocked. */
 const longestSampleGap = 1800;
 /**
- * Milliseconds without news from the boxes that follow the store after which another asks it itself; boxes differ by
- * their names, so that not all of them ask at once.
+ * Milliseconds without an update from the boxes that follow the store after which another box accesses it itself. The delay depends on the box's name, so
+ * that not all boxes do so at once.
  */
 const configurationPatience = {least: 2500, spread: 1300} as const;
+/** The same for the list of replicas. */
 const replicaPatience = {least: 4500, spread: 4000} as const;
-/** Part of a burst that a large fleet spends: a rush is some rounds old before all boxes know of it. */
+/** Part of the burst that a large fleet may spend: all boxes know of a rush only after some gossip rounds. */
 const largeFleetBurst = 0.9;
 const millisecondsPerSecond = 1000;
 
-/** What a relay is made of. */
+/** Dependencies of a relay. */
 export type RelayParts = {
 	readonly settings: () => RelaySettings;
 	readonly link: PlatformLink;
@@ -71,12 +74,12 @@
 	readonly metrics: RelayMetrics;
 };
 
-/** A relay that serves. */
+/** A running relay. */
 export class RelayNode {
 	/**
 	 * Starts a relay. It runs until the scope closes.
 	 *
-	 * @param parts - What it is made of.
+	 * @param parts - Dependencies of the relay.
 	 * @returns The relay, listening.
 	 */
 	static start(parts: RelayParts): Effect.Effect<RelayNode, never, Scope.Scope> {
@@ -100,7 +103,7 @@
 	private readonly exchange: ExchangeState;
 	private readonly door: FrontDoor;
 	private stoppingSince: number | undefined;
-	/** When the clocks were last read. */
+	/** Milliseconds of both clocks at the last sample. */
 	private sampledAt: {readonly monotonic: number; readonly wall: number};
 
 	private constructor(private readonly parts: RelayParts) {
@@ -153,26 +156,27 @@
 		});
 	}
 
-	/** Whether the balancer should send clients here. */
+	/** Whether the load balancer should send clients to this box. */
 	get isReady(): boolean {
 		const {table, replicas, guard} = this.services;
 		return this.stoppingSince === undefined && table.inForce !== undefined && replicas.isKnown && guard.allowsKeys;
 	}
 
-	/** Whether it knows of requests under which replicas ended. */
+	/** Whether this box suspects requests of having crashed replicas. */
 	get suspectsRequests(): boolean {
 		return this.services.quarantine.isWatching;
 	}
 
-	/** Milliseconds since a stop was asked for; zero before. */
+	/** Milliseconds since the stop signal; zero before. */
 	private get stoppingFor(): number {
 		return this.stoppingSince === undefined ? 0 : this.clock.monotonic() - this.stoppingSince;
 	}
 
 	/**
-	 * Stops: clients go elsewhere as the balancer notices and as answers tell them, and what is in progress ends.
+	 * Stops the relay: clients move to other boxes, as the load balancer sees that this box is not ready and as responses close their connections, and requests
+	 * in progress are completed.
 	 *
-	 * @returns Ends inside the grace.
+	 * @returns An effect that completes within the grace period.
 	 */
 	stop(): Effect.Effect<void> {
 		return Effect.gen({self: this}, function * () {
@@ -320,7 +324,7 @@
 		];
 	}
 
-	/** What peers fetch at a path. */
+	/** @returns The document that peers fetch at a path. */
 	private documentAt(path: string): unknown {
 		const documents: Readonly<Record<string, () => unknown>> = {
 			[configurationPath]: () => this.configuration.spec,
@@ -329,7 +333,7 @@
 		return documents[path]?.();
 	}
 
-	/** Tells of a machine that was suspended and of a process that stood still: what it did before says little of what followed. */
+	/** Logs a suspension of the machine or a blocked event loop: what this box knew before it says little about the time after it. */
 	private noteStandstill(): void {
 		const {clock, sampledAt} = this;
 		const now = clock.monotonic();
--- a/src/node/replica-role.ts
+++ b/src/node/replica-role.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the list of replicas: follows it in the store, or learns it from a peer that does, and tells it to others.
+ * Keeps the list of replicas up to date: watches it in the store, or receives it from a peer that does, and passes it on to the other boxes.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -19,54 +19,55 @@
 import {PeerFetch} from './peer-fetch.js';
 import type {PlatformLink} from './platform-link.js';
 
-/** Path at which peers give out the list. */
+/** Path at which boxes serve the list to peers. */
 export const replicasPath = '/replicas';
-/** Changes kept to be told one by one. */
+/** Number of changes that are kept to send to peers. */
 const historyLength = 512;
-/** Changes told in one message; a peer that misses more fetches the whole list. */
+/** Maximum number of changes in one message; a peer that misses more fetches the whole list. */
 const mostChangesTold = 32;
-/** Milliseconds that a watch waits: short, so that a connection that has gone silent does not hide departures for long. */
+/** Long-poll time of a watch, in milliseconds: short, so that a connection that has gone silent does not hide departures for long. */
 const watchWait = {least: 1000, spread: 1000} as const;
-/** Milliseconds after the store came back by which a replica that lives has written its entry again if it lapsed meanwhile. */
+/** Milliseconds from the end of a store outage within which a running replica writes its entry again if it has expired. */
 const rewriteTime = 2000;
-/** Milliseconds of the bound on a departure that are left for what follows the last check: the way of a request to its replica. */
+/** Milliseconds of the bound on a departure that are reserved for sending a request after the last check of its replica. */
 const sendingTime = 200;
 /** Heartbeats without a write after which the store drops an entry. */
 const heartbeatsToLapse = 3;
 /** Part of a heartbeat by which a write may be late. */
 const heartbeatVariance = 0.25;
-/** Milliseconds between two looks for entries to forget; when a replica gets no more requests does not depend on it. */
+/** Milliseconds between two sweeps that drop expired entries; a held replica gets no requests after its hold even before the sweep. */
 const sweepInterval = 250;
 
 /**
  * @param heartbeat - Milliseconds between two writes of a replica.
- * @returns Milliseconds for which the store must have been away for any entry to lapse: the last write before may be a whole heartbeat older, and late.
+ * @returns Minimum duration in milliseconds of a store outage in which an entry can expire: the last write may be a whole heartbeat before the outage,
+ * and late.
  */
 export const lapseTime = (heartbeat: number): number => (heartbeatsToLapse - 1 - heartbeatVariance) * heartbeat;
 
-/** What the role needs. */
+/** Dependencies of the role. */
 export type ReplicaServices = {
 	readonly link: PlatformLink;
 	readonly clock: Clock;
 	readonly log: EventLog;
 	readonly replicas: ReplicaDirectory;
 	readonly availability: StoreAvailability;
-	/** @returns Milliseconds from the store's acknowledgement that a replica leaves, from which on it gets no requests. */
+	/** @returns Milliseconds from the store's acknowledgement of a departure after which the replica must get no requests. */
 	readonly drain: () => number;
-	/** @returns Whether this box follows the store, though others may. */
+	/** @returns Whether this box follows the store even when other boxes do. */
 	readonly leads: () => boolean;
-	/** Milliseconds without news from others after which this box asks the store itself. */
+	/** Milliseconds without an update from other boxes after which this box follows the store itself. */
 	readonly patience: number;
-	/** Counts an entry that cannot be read, by its kind. */
+	/** Counts an entry that cannot be decoded, by its kind. */
 	readonly noteUnreadable?: (kind: string) => void;
-	/** Opens the way to a document of peers; over HTTP where it is absent. */
+	/** Creates the fetch of a document from peers; `PeerFetch` over HTTP by default. */
 	readonly openFetch?: (path: string, take: (content: unknown) => void) => DocumentFetch;
 };
 
-/** A way to a document of peers. */
+/** Fetches a document from a peer. */
 export type DocumentFetch = Pick<PeerFetch, 'from'>;
 
-/** The list as peers give it out. */
+/** The list as boxes serve it to peers. */
 const ObjectLayout = Schema.Struct({name: Schema.String, revision: Schema.Finite, spec: Schema.Unknown});
 const Document = Schema.Struct({
 	at: Schema.Finite,
@@ -76,43 +77,45 @@
 });
 const decodeDocument = createDecoder(Document, 'ignore');
 
-/** A list as it is taken or given out. */
+/** A list as it comes from the store or a peer. */
 type ReplicaListing = Listing & {
-	/** Entries that are missing in it but may only have lapsed, and the milliseconds for which their replicas stay in use. */
+	/** Entries that are missing in the list but may only have expired in an outage, and the milliseconds for which their replicas stay in use. */
 	readonly held?: ReadonlyArray<{readonly object: StoredObject; readonly left: number}>;
 };
 
-/** An entry that is missing but may only have lapsed. */
+/** An entry that is missing but may only have expired in an outage. */
 type HeldEntry = {
 	readonly object: StoredObject;
-	/** Number of the change by which it went. */
+	/** Revision of the change that removed it. */
 	readonly revision: number;
-	/** Monotonic milliseconds from which on it counts as gone. */
+	/** Monotonic milliseconds at which it counts as gone. */
 	readonly until: number;
 };
 
-/** A change, and the revision up to which it was told with others: a box that knows less may lack it. */
+/** A change, and the last revision of the batch that it arrived in: a box that knows a lower revision may lack it. */
 type PastChange = {readonly revision: number; readonly change: Change};
 
-/** The role. */
+/** Follows the list of replicas and passes it on to peers. */
 export class ReplicaRole {
 	/**
-	 * @param services - What it needs.
-	 * @returns The role; run its parts to begin.
+	 * @param services - Dependencies of the role.
+	 * @returns The role; run `follow` and `sweep` to start it.
 	 */
 	static create(services: ReplicaServices): ReplicaRole {
 		return new ReplicaRole(services);
 	}
 
-	/** Revision up to which the list is known; below zero before the first. */
+	/** Revision up to which the list is known; negative before the first list. */
 	private at = -1;
+	/** Monotonic milliseconds at which the list was last known to be complete. */
 	private provenAt: number;
 	private readonly objects = new Map<string, StoredObject>();
 	private history: readonly PastChange[] = [];
+	/** Revision from which on the history is complete. */
 	private historyFrom = Number.POSITIVE_INFINITY;
-	/** Entries that are missing and may only have lapsed. */
+	/** Entries that are missing and may only have expired, by name. */
 	private readonly held = new Map<string, HeldEntry>();
-	/** Entries that cannot be read, and the revision that the log has told of. */
+	/** Revisions of entries that cannot be decoded, by name, so that each is logged once. */
 	private readonly unreadable = new Map<string, number>();
 	private readonly fetch: DocumentFetch;
 
@@ -124,12 +127,12 @@
 		});
 	}
 
-	/** What others are told of how new the list is; nothing before there is one. */
+	/** Revision and age of the list, to send to other boxes; `undefined` before the first list. */
 	get told(): GossipMessage['replicas'] {
 		return this.at < 0 ? undefined : {at: this.at, age: Math.max(0, Math.round(this.age))};
 	}
 
-	/** The whole list for a peer; `undefined` before there is one. */
+	/** The whole list for a peer; `undefined` before the first list. */
 	get listing(): (ReplicaListing & {readonly age: number}) | undefined {
 		const now = this.services.clock.monotonic();
 		const held = [...this.held.values()].map(({object, until}) => ({object, left: until - now}));
@@ -140,12 +143,12 @@
 			};
 	}
 
-	/** Milliseconds since the list was known to be whole. */
+	/** Milliseconds since the list was last known to be complete. */
 	private get age(): number {
 		return Math.min(unknownAge, this.services.clock.ageOf(this.provenAt));
 	}
 
-	/** @returns Follows the store while that is needed, until interrupted. */
+	/** @returns An effect that follows the list in the store while this box needs to, until interrupted. */
 	follow(): Effect.Effect<never> {
 		const {link: {store, names}, clock, log, availability, leads, patience} = this.services;
 		return KindFollower.create(names.replicaKind, {
@@ -164,7 +167,7 @@
 		}).run();
 	}
 
-	/** @returns Drops entries that lapsed and have not come back, until interrupted. */
+	/** @returns An effect that drops expired entries that were not written again, until interrupted. */
 	sweep(): Effect.Effect<never> {
 		return Effect.forever(Effect.suspend(() => {
 			this.dropLapsed();
@@ -172,7 +175,7 @@
 		}));
 	}
 
-	/** Drops entries that lapsed and have not come back in time. */
+	/** Drops expired entries that were not written again in time. */
 	dropLapsed(): void {
 		const now = this.services.clock.monotonic();
 		for (const [name, {revision, until}] of this.held) {
@@ -184,7 +187,7 @@
 
 	/**
 	 * @param at - Revision up to which a peer knows the list.
-	 * @returns What it misses; `undefined` where that is not known or too much to tell.
+	 * @returns The changes that it misses; `undefined` if they are not known or too many for one message.
 	 */
 	changesSince(at: number): Changes | undefined {
 		if (at < this.historyFrom) {
@@ -196,11 +199,11 @@
 	}
 
 	/**
-	 * Takes what a peer tells of the list.
+	 * Applies an update of the list that a peer sent.
 	 *
 	 * @param sender - The peer.
-	 * @param told - How new its list is.
-	 * @param changes - What this box misses, where the peer could tell it.
+	 * @param told - Revision and age of its list.
+	 * @param changes - The changes that this box misses; `undefined` if the peer did not send them.
 	 */
 	take(sender: MemberAddress, told: NonNullable<GossipMessage['replicas']>, changes: Changes | undefined): void {
 		this.services.availability.noteIndirectAnswer(told.age);
@@ -220,10 +223,10 @@
 	}
 
 	/**
-	 * Takes a whole list.
+	 * Applies a whole list.
 	 *
-	 * @param listing - The list; one that is older than what is known changes nothing.
-	 * @param sentAt - Monotonic milliseconds at which it was asked for.
+	 * @param listing - The list; one that is older than the known list changes nothing.
+	 * @param sentAt - Monotonic milliseconds at which it was requested.
 	 */
 	takeListing({at, objects, held = []}: ReplicaListing, sentAt: number): void {
 		const {replicas, log, link: {names}} = this.services;
@@ -234,7 +237,7 @@
 
 		const listed = new Set(objects.map(({name}) => name));
 		const missing = [...this.objects.values()].filter(({name}) => !listed.has(name));
-		// Of an entry that this box knew it judges by itself whether it may have lapsed.
+		// For an entry that this box knew, it decides itself whether the entry may have expired; it accepts a peer's hold only for unknown entries.
 		const isUnknown = (name: string) => !listed.has(name) && !this.objects.has(name) && !this.held.has(name);
 		const heldByPeer = held.filter(({object: {name}}) => isUnknown(name));
 		const isRestored = this.at >= 0 && eraOf(at) > eraOf(this.at);
@@ -263,7 +266,7 @@
 		this.prove(sentAt);
 	}
 
-	/** Replicas write again what the store has lost of theirs. */
+	/** Records that the store was restored from a backup: replicas write the entries again that it has lost. */
 	private noteRestore(at: number, missing: readonly StoredObject[]): void {
 		const {replicas, log, availability, link: {names}} = this.services;
 		log.write('storeRestored', {
@@ -273,7 +276,7 @@
 		replicas.keepDepartures(at);
 	}
 
-	/** Takes the list as a peer gives it out. */
+	/** Applies the list document of a peer. */
 	private takeDocument(content: unknown): void {
 		const {clock, log, link: {names}} = this.services;
 		const decoded = decodeDocument(content);
@@ -291,7 +294,7 @@
 		this.provenAt = Math.max(this.provenAt, at);
 	}
 
-	/** The same changes may come from the store and from peers, in batches that overlap. */
+	/** Applies changes. The same ones may arrive from the store and from peers, in batches that overlap. */
 	private takeChanges({at, changes}: Changes): void {
 		if (at <= this.at) {
 			return;
@@ -329,13 +332,13 @@
 		}
 	}
 
-	/** The revision of one change may be that of its entry, which is below the change; that of the batch never is. */
+	/** Adds a change to the history under the revision of its batch: the revision of a removal may be that of its entry, which is lower than the removal. */
 	private remember(change: Change, at: number): void {
 		this.history = [...this.history, {revision: at, change}].slice(-historyLength);
 		this.historyFrom = this.history.length === historyLength ? Math.max(this.historyFrom, this.history[0]!.revision) : this.historyFrom;
 	}
 
-	/** @returns What an entry says; nothing where it cannot be read, since it then names no replica to use. */
+	/** @returns The decoded entry; `undefined` if it cannot be decoded, since it then names no replica to use. */
 	private entryOf(object: StoredObject): ReplicaEntry | undefined {
 		const {link: {names}, log, noteUnreadable} = this.services;
 		const decoded = names.decodeReplica(object);
@@ -355,20 +358,21 @@
 		return undefined;
 	}
 
-	/** What the list held or had lost when it was last whole is no news, though a batch of a peer begins before that. */
+	/** A batch of a peer may begin before the last list: changes that the list already includes are old. */
 	private isOld({revision}: StoredObject, known: StoredObject | undefined): boolean {
 		return revision <= Math.max(this.at, known?.revision ?? 0);
 	}
 
-	/** Milliseconds for which an entry that is missing now may still be written again. */
+	/** Milliseconds within which an entry that is missing now may still be written again; negative once that time is over. */
 	private get graceLeft(): number {
 		const {clock, availability, drain} = this.services;
 		return availability.returnedAt + Math.min(rewriteTime, drain() - sendingTime) - clock.monotonic();
 	}
 
 	/**
-	 * An entry that is missing soon after an outage of the store may only have lapsed. The grace begins with the store's return, not when this box learns of the
-	 * loss: a replica that leaves after the return is dropped within the bound, whoever tells of it and when.
+	 * Handles an entry that is missing. Soon after an outage of the store it may only have expired, so its replica stays in use for a grace time. The grace time
+	 * begins at the end of the outage, not when this box learns of the loss: a replica that leaves after the outage is dropped within the bound, however late
+	 * and from whichever box the change arrives.
 	 */
 	private takeLoss(object: StoredObject, revision: number, source: LossSource): void {
 		const left = this.graceLeft;
@@ -400,7 +404,7 @@
 	}
 }
 
-/** How this box learnt that an entry is missing: by a list or a change, by a list of a store that came back from a copy, or by a peer's list. */
+/** How this box learnt that an entry is missing: from a list, a change, a list of a store that was restored from a backup, or a list of a peer. */
 type LossSource = 'list' | 'change' | 'restored' | 'peer';
 
 const fieldsOf = (position: number, known: number): EventFields => ({
