--- a/src/node/configuration-role.ts
+++ b/src/node/configuration-role.ts
@@ -15,15 +15,15 @@
 import type {PlatformLink} from './platform-link.js';
 
 /** Age in milliseconds of the last proof above which a box that follows the store reads the configuration again. */
-const provingAge = 900;
+const maxProofAge = 900;
 /** Random addition to that age, in milliseconds, so that usually one box reads and its proof serves all boxes. */
-const provingSpread = 500;
+const proofAgeSpread = 500;
 /** Milliseconds between two checks of the age of the last proof. */
 const checkInterval = 100;
 /** The same for a box that does not follow the store. */
 const idleCheckInterval = 300;
 /** Milliseconds from the start to the first check. */
-const firstProof = 400;
+const firstCheckDelay = 400;
 /** Milliseconds before the next check after a failed read. */
 const failurePause = 400;
 /** Long-poll time of a watch, in milliseconds; when a watch hangs, the reads that prove the configuration find a change. */
@@ -62,7 +62,7 @@
 	private constructor(private readonly services: ConfigurationServices) {
 		this.startedAt = services.clock.monotonic();
 		this.fetch = PeerFetch.create(configurationPath, content => {
-			this.take(content, 'peer');
+			this.applySpec(content, 'peer');
 		});
 	}
 
@@ -78,12 +78,12 @@
 			list: ({objects}, sentAt) => {
 				const object = objects.find(({name}) => name === names.configurationName);
 				if (object) {
-					this.takeObject(object, sentAt);
+					this.applyStoredObject(object, sentAt);
 				}
 			},
 			change: ({changes}) => {
 				for (const {object} of changes.filter(({object: {name}, isGone}) => !isGone && name === names.configurationName)) {
-					this.take(object.spec, 'store');
+					this.applySpec(object.spec, 'store');
 				}
 			},
 		}).run();
@@ -92,29 +92,29 @@
 	/** @returns An effect that reads the store whenever the last proof is too old, until interrupted. */
 	prove(): Effect.Effect<never> {
 		const {link: {store, names}, clock, availability} = this.services;
-		const ask = Effect.suspend(() => {
+		const readStore = Effect.suspend(() => {
 			const sentAt = clock.monotonic();
 			return store.read(names.configurationKind, names.configurationName).pipe(
 				Effect.map(object => {
 					availability.noteOwnAnswer();
 					if (object) {
-						this.takeObject(object, sentAt);
+						this.applyStoredObject(object, sentAt);
 					}
 				}),
 				Effect.catchTag('StoreUnavailable', () => Effect.sleep(failurePause)),
 			);
 		});
 		const pause = Effect.suspend(() => Effect.sleep(this.services.leads() ? checkInterval : idleCheckInterval));
-		const turn = Effect.suspend(() => this.needsProof ? ask : Effect.void).pipe(Effect.andThen(pause));
+		const checkOnce = Effect.suspend(() => this.needsProof ? readStore : Effect.void).pipe(Effect.andThen(pause));
 		// The first list of `follow` is a proof too, so this starts later.
-		return Effect.sleep(firstProof).pipe(Effect.andThen(Effect.forever(turn)));
+		return Effect.sleep(firstCheckDelay).pipe(Effect.andThen(Effect.forever(checkOnce)));
 	}
 
 	/** A box that follows the store reads early; another box reads only when no proof has arrived from those for a while. */
 	private get needsProof(): boolean {
 		const {table, leads, patience, clock} = this.services;
 		const age = Math.min(table.proofAge, clock.monotonic() - this.startedAt);
-		return leads() ? table.proofAge > provingAge + (Math.random() * provingSpread) : age > patience;
+		return leads() ? table.proofAge > maxProofAge + (Math.random() * proofAgeSpread) : age > patience;
 	}
 
 	/**
@@ -126,15 +126,15 @@
 		this.fetch.from(peer);
 	}
 
-	private takeObject({spec}: StoredObject, sentAt: number): void {
-		const version = this.take(spec, 'store');
+	private applyStoredObject({spec}: StoredObject, sentAt: number): void {
+		const version = this.applySpec(spec, 'store');
 		if (version !== undefined) {
 			this.services.table.prove(version, sentAt);
 		}
 	}
 
 	/** @returns The version of the document; `undefined` if it cannot be decoded. */
-	private take(spec: unknown, source: TableSource): number | undefined {
+	private applySpec(spec: unknown, source: TableSource): number | undefined {
 		const {link: {names}, table, log} = this.services;
 		const decoded = names.decodeConfiguration(spec);
 		if (Result.isFailure(decoded)) {
--- a/src/node/control-listeners.ts
+++ b/src/node/control-listeners.ts
@@ -8,17 +8,17 @@
 import type {Address} from '../settings/relay-settings.js';
 
 /** Response of a control listener. */
-export type SmallAnswer = {
+export type ControlResponse = {
 	readonly status: number;
 	readonly contentType: string;
 	readonly body: string | Uint8Array;
 };
 
 /** Returns the response for a path; `undefined` gives status 404. */
-export type SmallHandler = (path: string) => SmallAnswer | undefined | Promise<SmallAnswer>;
+export type ControlHandler = (path: string) => ControlResponse | undefined | Promise<ControlResponse>;
 
 /** Milliseconds between two attempts to bind an address: the previous process may still hold it. */
-const listenPause = 200;
+const listenRetryDelay = 200;
 
 /**
  * Listens until the scope closes; retries while the address cannot be bound.
@@ -43,7 +43,7 @@
 		server.once('listening', succeed);
 		server.listen({host, port, backlog: 1024});
 	});
-	const retried: Effect.Effect<void> = once.pipe(Effect.catch(() => Effect.sleep(listenPause).pipe(Effect.andThen(Effect.suspend(() => retried)))));
+	const retried: Effect.Effect<void> = once.pipe(Effect.catch(() => Effect.sleep(listenRetryDelay).pipe(Effect.andThen(Effect.suspend(() => retried)))));
 	return Effect.acquireRelease(retried, () => Effect.sync(() => {
 		server.close();
 		server.closeAllConnections();
@@ -57,7 +57,7 @@
  * @param handler - Returns the responses.
  * @returns An effect that completes once the listener is open.
  */
-export function openSmallListener(address: Address, handler: SmallHandler): Effect.Effect<void, never, Scope.Scope> {
+export function openControlListener(address: Address, handler: ControlHandler): Effect.Effect<void, never, Scope.Scope> {
 	const server = createServer((incoming, response) => {
 		const answer = async () => {
 			const found = await handler(incoming.url ?? '/') ?? {status: 404, contentType: 'text/plain', body: 'not found\n'};
--- a/src/node/duty-roles.ts
+++ b/src/node/duty-roles.ts
@@ -29,11 +29,11 @@
 /** The same for a box that is no aggregator and so cannot become the holder; also between two observations of the load by an aggregator that is not the holder. */
 const idleInterval = 1000;
 /** Milliseconds from the start to the first step: the first gossip messages of the other boxes arrive in this time. */
-const settleTime = 900;
+const firstStepDelay = 900;
 /** Milliseconds before the next step after a failed one. */
 const failurePause = 700;
 /** Milliseconds for which a holder may be no aggregator before it releases the lease. */
-const longestOutOfHearing = 2000;
+const maxTimeWithoutAggregatorRole = 2000;
 
 /** Dependencies of the duties. */
 export type DutyParts = {
@@ -55,7 +55,7 @@
  * @param parts - Dependencies of the duties.
  * @returns The roles to run; none if the deployment has no duties.
  */
-export function openDuties(parts: DutyParts): readonly Role[] {
+export function createDutyRoles(parts: DutyParts): readonly Role[] {
 	const {duties} = parts.link;
 	return duties ? [{name: 'duties', run: DutyRole.create(parts, duties).run()}] : [];
 }
@@ -72,7 +72,7 @@
 	private readonly draft: UsageDraft;
 	private readonly life: HolderLife;
 	/** Monotonic milliseconds at which this box was last an aggregator. */
-	private aggregatorAt = Number.NEGATIVE_INFINITY;
+	private lastAggregatorAt = Number.NEGATIVE_INFINITY;
 	/** Monotonic milliseconds at which the load was last observed. */
 	private observedAt = Number.NEGATIVE_INFINITY;
 
@@ -113,7 +113,7 @@
 			Effect.andThen(Effect.suspend(() => Effect.sleep(topology.isAggregator ? stepInterval : idleInterval))),
 			Effect.catch(() => Effect.sleep(failurePause)),
 		);
-		return Effect.sleep(settleTime).pipe(Effect.andThen(Effect.forever(step)));
+		return Effect.sleep(firstStepDelay).pipe(Effect.andThen(Effect.forever(step)));
 	}
 
 	/**
@@ -143,7 +143,7 @@
 			const {lease} = this;
 			this.observe();
 			this.parts.metrics.leaseHeld.set(lease.isHeld ? 1 : 0);
-			if (lease.isHeld && (this.parts.isStopping() || this.isOutOfHearing())) {
+			if (lease.isHeld && (this.parts.isStopping() || this.hasLostAggregatorRole())) {
 				yield * lease.release();
 				return;
 			}
@@ -165,11 +165,11 @@
 	}
 
 	/** Only an aggregator receives the usage counts of all boxes; the choice of aggregators may change back within moments, so a short loss is ignored. */
-	private isOutOfHearing(): boolean {
+	private hasLostAggregatorRole(): boolean {
 		const {topology, clock} = this.parts;
 		const now = clock.monotonic();
-		this.aggregatorAt = topology.isAggregator ? now : this.aggregatorAt;
-		return now - this.aggregatorAt > longestOutOfHearing;
+		this.lastAggregatorAt = topology.isAggregator ? now : this.lastAggregatorAt;
+		return now - this.lastAggregatorAt > maxTimeWithoutAggregatorRole;
 	}
 
 	private campaign() {
--- a/src/node/exchange-state.ts
+++ b/src/node/exchange-state.ts
@@ -18,9 +18,9 @@
 import type {ReplicaRole} from './replica-role.js';
 
 /** Milliseconds for which the sum of the work of all boxes is cached. */
-const workMemory = 100;
+const workCacheTime = 100;
 /** Milliseconds since its start in which an aggregator still adopts quota levels from other aggregators, which know more. */
-const learningTime = 4000;
+const quotaAdoptionTime = 4000;
 
 /** Dependencies of the state. */
 export type ExchangeParts = {
@@ -37,7 +37,7 @@
 };
 
 /** @returns The name of the sending process: a box that restarts gets a new one. */
-const startOf = ({sender, incarnation}: GossipMessage): string => `${sender.name}/${incarnation}`;
+const processNameOf = ({sender, incarnation}: GossipMessage): string => `${sender.name}/${incarnation}`;
 
 /** The state of a box that is exchanged by gossip. */
 export class ExchangeState {
@@ -49,7 +49,7 @@
 		return new ExchangeState(parts);
 	}
 
-	private work: {readonly loads: readonly ReplicaLoad[]; readonly at: number} = {loads: [], at: Number.NEGATIVE_INFINITY};
+	private workCache: {readonly loads: readonly ReplicaLoad[]; readonly at: number} = {loads: [], at: Number.NEGATIVE_INFINITY};
 	private wasAggregator: boolean | undefined;
 
 	private constructor(private readonly parts: ExchangeParts) {}
@@ -71,7 +71,7 @@
 			isStopping: isStopping(),
 			storeAge: Math.min(unknownAge, Math.round(availability.ownSilence)),
 			departed: replicas.departedWithin(topology.isLarge ? newsTime : undefined),
-			...(replicaRole.told ? {replicas: replicaRole.told} : {}),
+			...(replicaRole.listState ? {replicas: replicaRole.listState} : {}),
 			...(ends ? {ends} : {}),
 			...(statements ? {statements} : {}),
 		};
@@ -87,7 +87,7 @@
 		} = this.parts.services;
 		limits.lookForSlots();
 		const busy = replicas.all.filter(({ownWork}) => ownWork.requests > 0);
-		this.noteRole();
+		this.logRoleChange();
 		return {
 			...this.news(isWhole, ['answer']),
 			quota: isWhole ? quota.counts : quota.recentCounts,
@@ -107,20 +107,20 @@
 		const {services: {quota, limits}, peers, topology, replicaRole, stretches} = this.parts;
 		const changes = replicaRole.changesSince(last?.replicas?.at ?? Number.NEGATIVE_INFINITY);
 		const limited = topology.isLarge && topology.isAggregator ? limits.services : [];
-		const news = {
+		const update = {
 			...(limited.length > 0 ? {stretches: stretches.toldTo(address.name, limited)} : {}),
 			boxes: topology.isAggregator ? peers.knownBoxes : peers.boxes,
 			...(changes ? {changes} : {}),
 		};
 		if (!isWhole) {
-			return news;
+			return update;
 		}
 
 		const own = new Map((last?.work ?? []).map(entry => [entry.replica, entry]));
 		return {
-			...news,
-			quota: last ? quota.levelsFor(startOf(last)) : [],
-			work: this.allWork().map(load => without(load, own.get(load.replica))).filter(({requests}) => requests > 0),
+			...update,
+			quota: last ? quota.levelsFor(processNameOf(last)) : [],
+			work: this.totalWork().map(load => subtractWork(load, own.get(load.replica))).filter(({requests}) => requests > 0),
 		};
 	}
 
@@ -133,8 +133,8 @@
 	take(message: GossipMessage, meeting: Meeting): void {
 		const {services: {replicas, quota, usage}, topology, peers} = this.parts;
 		const {sender, work} = message;
-		const start = startOf(message);
-		this.takeNews(message, 'box');
+		const start = processNameOf(message);
+		this.applyCommonUpdate(message, 'box');
 		// A sender that is known from its digests alone counts as new to the quota, so that requests that it admitted earlier are not charged now.
 		quota.takeCounts(start, message.quota, quota.knows(start) ? meeting : peers.meetAnew(message), message.isWhole);
 		usage.take(start, message.usage);
@@ -142,9 +142,9 @@
 			return;
 		}
 
-		const worked = new Map(work.map(entry => [entry.replica, entry]));
+		const workByReplica = new Map(work.map(entry => [entry.replica, entry]));
 		for (const replica of replicas.all) {
-			const found = worked.get(replica.entry.id);
+			const found = workByReplica.get(replica.entry.id);
 			if (found) {
 				replica.notePeerWork(sender.name, found);
 			} else {
@@ -161,14 +161,14 @@
 	 */
 	takeDigest(message: GossipMessage, digest: FleetDigest): void {
 		const {services: {replicas, quota}, topology, peers} = this.parts;
-		this.takeNews(message, 'digest');
+		this.applyCommonUpdate(message, 'digest');
 		if (!topology.isLarge) {
 			return;
 		}
 
 		this.parts.stretches.take(digest.stretches ?? []);
 		const {isAggregator} = topology;
-		if (!isAggregator || peers.uptime < learningTime) {
+		if (!isAggregator || peers.uptime < quotaAdoptionTime) {
 			quota.adopt(digest.quota ?? []);
 		}
 
@@ -176,14 +176,14 @@
 			return;
 		}
 
-		const worked = new Map(digest.work.map(entry => [entry.replica, entry]));
+		const workByReplica = new Map(digest.work.map(entry => [entry.replica, entry]));
 		for (const replica of replicas.all) {
-			replica.noteOthersWork(worked.get(replica.entry.id) ?? {requests: 0, unreadTokens: 0});
+			replica.noteOthersWork(workByReplica.get(replica.entry.id) ?? {requests: 0, unreadTokens: 0});
 		}
 	}
 
 	/** Applies the fields that every message has, such as the version of the configuration, the state of the replica list and departures of replicas. */
-	private takeNews(message: GossipMessage, source: StatementSource): void {
+	private applyCommonUpdate(message: GossipMessage, source: StatementSource): void {
 		const {services: {table, replicas, quarantine, statements}, availability, configuration, replicaRole} = this.parts;
 		availability.notePeerAnswer(message.storeAge);
 		if (message.version > table.version) {
@@ -207,17 +207,17 @@
 		}
 	}
 
-	private allWork(): readonly ReplicaLoad[] {
+	private totalWork(): readonly ReplicaLoad[] {
 		const {clock, services: {replicas}} = this.parts;
 		const now = clock.monotonic();
-		if (now - this.work.at > workMemory) {
-			this.work = {loads: replicas.all.map(replica => ({replica: replica.entry.id, ...replica.work})), at: now};
+		if (now - this.workCache.at > workCacheTime) {
+			this.workCache = {loads: replicas.all.map(replica => ({replica: replica.entry.id, ...replica.work})), at: now};
 		}
 
-		return this.work.loads;
+		return this.workCache.loads;
 	}
 
-	private noteRole(): void {
+	private logRoleChange(): void {
 		const {topology, log, peers} = this.parts;
 		const isAggregator = topology.isLarge && topology.isAggregator;
 		if (isAggregator !== (this.wasAggregator ?? false)) {
@@ -228,7 +228,7 @@
 	}
 }
 
-function without(load: ReplicaLoad, part: ReplicaLoad | undefined): ReplicaLoad {
+function subtractWork(load: ReplicaLoad, part: ReplicaLoad | undefined): ReplicaLoad {
 	return part
 		? {
 			replica: load.replica, requests: Math.max(0, load.requests - part.requests), unreadTokens: Math.max(0, load.unreadTokens - part.unreadTokens),
--- a/src/node/limit-stretches.ts
+++ b/src/node/limit-stretches.ts
@@ -23,12 +23,12 @@
 /** Milliseconds since its start in which a box owns no stretch, since it may know of few other boxes. */
 const settlingTime = 2000;
 /** Milliseconds for which a stretch received from an aggregator is valid: for as long, the other boxes reserve the stretch of a box that is silent. */
-const toldLifetime = 15_000;
+const receivedLifetime = 15_000;
 /** Milliseconds for which the division of the line is cached. */
 const divisionLifetime = 100;
 /** Minimum weight of a box, as a part of the mean demand of all boxes: a box without demand may get requests in the next second. */
-const leastPart = 0.2;
-const noStretch: Stretch = {from: 0, length: 0};
+const minWeightPart = 0.2;
+const emptyStretch: Stretch = {from: 0, length: 0};
 
 type Division = {readonly stretches: ReadonlyMap<string, Stretch>; readonly at: number};
 
@@ -42,7 +42,7 @@
 		return new LimitStretches(services);
 	}
 
-	private readonly told = new Map<string, {readonly stretch: Stretch; readonly at: number}>();
+	private readonly received = new Map<string, {readonly stretch: Stretch; readonly at: number}>();
 	private readonly divisions = new Map<string, Division>();
 
 	private constructor(private readonly services: LimitStretchServices) {}
@@ -54,16 +54,16 @@
 	of(service: string): Stretch {
 		const {self, clock, peers, topology} = this.services;
 		if (peers.uptime < settlingTime) {
-			return noStretch;
+			return emptyStretch;
 		}
 
 		if (topology.isAggregator) {
 			return this.stretchOf(self, service);
 		}
 
-		const told = this.told.get(service);
-		return told && clock.monotonic() - told.at < toldLifetime
-			? told.stretch
+		const received = this.received.get(service);
+		return received && clock.monotonic() - received.at < receivedLifetime
+			? received.stretch
 			: {from: shareOf(self), length: 1 / peers.boxes};
 	}
 
@@ -79,18 +79,18 @@
 	/** @param stretches - The stretches of this box, received from an aggregator. */
 	take(stretches: readonly ServiceStretch[]): void {
 		for (const {service, from, length} of stretches) {
-			this.told.set(service, {stretch: {from, length}, at: this.services.clock.monotonic()});
+			this.received.set(service, {stretch: {from, length}, at: this.services.clock.monotonic()});
 		}
 	}
 
 	/** Shortens the stretch where the fleet has more boxes than this box knows by name, so that those keep their part. */
 	private stretchOf(box: string, service: string): Stretch {
 		const {peers} = this.services;
-		const {from, length} = this.dividedFor(service).get(box) ?? noStretch;
+		const {from, length} = this.divisionFor(service).get(box) ?? emptyStretch;
 		return {from, length: length * peers.knownBoxes / peers.boxes};
 	}
 
-	private dividedFor(service: string): ReadonlyMap<string, Stretch> {
+	private divisionFor(service: string): ReadonlyMap<string, Stretch> {
 		const now = this.services.clock.monotonic();
 		const known = this.divisions.get(service);
 		if (known && now - known.at < divisionLifetime) {
@@ -109,10 +109,10 @@
 			[self, rateOf(demands.told, service) ?? 0],
 			...peers.all.map(({address, last}) => [address.name, last && (rateOf(last.demand ?? [], service) ?? 0)] as const),
 		]);
-		const told = [...rates.values()].filter(rate => rate !== undefined);
-		const mean = sumOf(told) / told.length;
-		const least = mean === 0 ? 1 : mean * leastPart;
-		return new Map([...rates].map(([name, rate]) => [name, Math.max(least, rate ?? mean)]));
+		const knownRates = [...rates.values()].filter(rate => rate !== undefined);
+		const mean = sumOf(knownRates) / knownRates.length;
+		const minWeight = mean === 0 ? 1 : mean * minWeightPart;
+		return new Map([...rates].map(([name, rate]) => [name, Math.max(minWeight, rate ?? mean)]));
 	}
 }
 
--- a/src/node/member-role.ts
+++ b/src/node/member-role.ts
@@ -16,13 +16,13 @@
 /** Kind of the boxes' own objects in the store. */
 const memberKind = 'waydrift-members';
 /** Mean milliseconds between two reads of the members. */
-const lookInterval = 10_000;
+const refreshInterval = 10_000;
 /** Milliseconds before the next read after a failed one. */
 const failurePause = 1000;
 /** Milliseconds from registering to the next read: boxes that start together do not see each other in their first read. */
-const lookAgain = 300;
+const refreshDelayAfterRegistration = 300;
 /** Milliseconds from the start to the first read: usually the seeds have answered by then. */
-const firstLook = 250;
+const firstRefreshDelay = 250;
 /** Milliseconds without a message after which a box counts as gone for good; one that still runs registers again. */
 const deadAfter = 30_000;
 
@@ -53,11 +53,11 @@
 
 	/** @returns An effect that refreshes the members until interrupted. */
 	run(): Effect.Effect<never> {
-		const looks = Effect.forever(this.look().pipe(
-			Effect.flatMap(hasWritten => Effect.sleep(hasWritten ? lookAgain : lookInterval * (0.75 + (Math.random() / 2)))),
+		const refreshes = Effect.forever(this.refresh().pipe(
+			Effect.flatMap(hasWritten => Effect.sleep(hasWritten ? refreshDelayAfterRegistration : refreshInterval * (0.75 + (Math.random() / 2)))),
 			Effect.catch(() => Effect.sleep(failurePause)),
 		));
-		return Effect.sleep(firstLook).pipe(Effect.andThen(looks));
+		return Effect.sleep(firstRefreshDelay).pipe(Effect.andThen(refreshes));
 	}
 
 	/**
@@ -65,7 +65,7 @@
 	 *
 	 * @returns An effect that yields whether this box was registered.
 	 */
-	look(): Effect.Effect<boolean, StoreUnavailable | RevisionConflict> {
+	refresh(): Effect.Effect<boolean, StoreUnavailable | RevisionConflict> {
 		return Effect.gen({self: this}, function * () {
 			const {store, self, peers, isNeeded} = this.services;
 			if (!isNeeded()) {
--- a/src/node/peer-fetch.ts
+++ b/src/node/peer-fetch.ts
@@ -16,16 +16,16 @@
 export class PeerFetch {
 	/**
 	 * @param path - Path of the document, which peers send compressed.
-	 * @param take - Called with the parsed JSON.
+	 * @param onContent - Called with the parsed JSON.
 	 * @returns The fetch, idle.
 	 */
-	static create(path: string, take: (content: unknown) => void): PeerFetch {
-		return new PeerFetch(path, take);
+	static create(path: string, onContent: (content: unknown) => void): PeerFetch {
+		return new PeerFetch(path, onContent);
 	}
 
 	private isRunning = false;
 
-	private constructor(private readonly path: string, private readonly take: (content: unknown) => void) {}
+	private constructor(private readonly path: string, private readonly onContent: (content: unknown) => void) {}
 
 	/**
 	 * Starts a fetch, unless one is running. A failure is ignored: the next gossip message announces the document again.
@@ -53,7 +53,7 @@
 			const {status, body} = yield * client.exchange({method: 'GET', path: this.path, timeout: peerTimeout});
 			if (status === okStatus) {
 				const text = yield * Effect.tryPromise(async () => gunzipAsync(body));
-				this.take(JSON.parse(text.toString()));
+				this.onContent(JSON.parse(text.toString()));
 			}
 		});
 	}
--- a/src/node/relay-node.ts
+++ b/src/node/relay-node.ts
@@ -35,8 +35,8 @@
 import {RouteTableView} from '../routes/route-table-view.js';
 import type {RelaySettings} from '../settings/relay-settings.js';
 import {ConfigurationRole, configurationPath} from './configuration-role.js';
-import {listen, openSmallListener, type SmallAnswer} from './control-listeners.js';
-import {openDuties} from './duty-roles.js';
+import {listen, openControlListener, type ControlResponse} from './control-listeners.js';
+import {createDutyRoles} from './duty-roles.js';
 import {ExchangeState} from './exchange-state.js';
 import {LimitStretches} from './limit-stretches.js';
 import {MemberRole} from './member-role.js';
@@ -48,20 +48,20 @@
 /** Milliseconds from the stop signal after which new requests are refused: they might not finish in time. */
 const closingDelay = 2800;
 /** Milliseconds before the end of the grace period at which the stop completes even with requests in progress, so that the process exits by itself. */
-const endMargin = 900;
+const stopMargin = 900;
 /** Milliseconds between two checks for the end of all requests. */
 const stopCheckInterval = 50;
 /** Milliseconds between two samples of the metrics and the clocks. */
 const sampleInterval = 1000;
 /** Milliseconds between two samples above which this process was suspended or its event loop blocked. */
-const longestSampleGap = 1800;
+const maxSampleGap = 1800;
 /**
  * Milliseconds without an update from the boxes that follow the store after which another box accesses it itself. The delay depends on the box's name, so
  * that not all boxes do so at once.
  */
-const configurationPatience = {least: 2500, spread: 1300} as const;
+const configurationFallbackDelay = {least: 2500, spread: 1300} as const;
 /** The same for the list of replicas. */
-const replicaPatience = {least: 4500, spread: 4000} as const;
+const replicaFallbackDelay = {least: 4500, spread: 4000} as const;
 /** Part of the burst that a large fleet may spend: all boxes know of a rush only after some gossip rounds. */
 const largeFleetBurst = 0.9;
 const millisecondsPerSecond = 1000;
@@ -101,7 +101,7 @@
 	private readonly configuration: ConfigurationRole;
 	private readonly replicaRole: ReplicaRole;
 	private readonly exchange: ExchangeState;
-	private readonly door: FrontDoor;
+	private readonly frontEnd: FrontDoor;
 	private stoppingSince: number | undefined;
 	/** Milliseconds of both clocks at the last sample. */
 	private sampledAt: {readonly monotonic: number; readonly wall: number};
@@ -113,23 +113,23 @@
 		this.self = {name: node, ...control, capacity: aggregatorCapacity(limits)};
 		this.peers = PeerTable.create(node, this.clock, log);
 		this.topology = ExchangeTopology.create(this.self, this.peers);
-		this.services = this.wire();
+		this.services = this.createServices();
 		this.stretches = LimitStretches.create({
 			self: node, clock: this.clock, peers: this.peers, topology: this.topology, demands: this.services.demands,
 		});
 		const {table, replicas} = this.services;
 		this.availability = StoreAvailability.create(this.clock, () => lapseTime(settings().bounds.heartbeat));
 		const {availability} = this;
-		const followed = {
+		const followerServices = {
 			link, log, clock: this.clock, availability, leads: () => this.topology.isAggregator,
 		};
-		this.configuration = ConfigurationRole.create({...followed, table, patience: patienceOf(node, configurationPatience)});
+		this.configuration = ConfigurationRole.create({...followerServices, table, patience: fallbackDelayOf(node, configurationFallbackDelay)});
 		this.replicaRole = ReplicaRole.create({
-			...followed,
+			...followerServices,
 			replicas,
-			patience: patienceOf(node, replicaPatience),
+			patience: fallbackDelayOf(node, replicaFallbackDelay),
 			drain: () => settings().bounds.drain,
-			noteUnreadable(kind) {
+			countUnreadable(kind) {
 				parts.metrics.entriesUnreadable.inc({kind});
 			},
 		});
@@ -145,7 +145,7 @@
 			stretches: this.stretches,
 			isStopping: () => this.stoppingSince !== undefined,
 		});
-		this.door = FrontDoor.create(this.services, {
+		this.frontEnd = FrontDoor.create(this.services, {
 			isStopping: () => this.stoppingSince !== undefined,
 			isClosing: () => this.stoppingFor > closingDelay,
 		});
@@ -181,14 +181,14 @@
 	stop(): Effect.Effect<void> {
 		return Effect.gen({self: this}, function * () {
 			this.stoppingSince = this.clock.monotonic();
-			this.parts.log.write('relayStopping', {inProgress: this.door.inProgress});
-			const longest = this.parts.settings().bounds.grace - endMargin;
+			this.parts.log.write('relayStopping', {inProgress: this.frontEnd.inProgress});
+			const maxStoppingTime = this.parts.settings().bounds.grace - stopMargin;
 			for (;;) {
 				yield * Effect.sleep(stopCheckInterval);
 				const connections = yield * this.openConnections();
-				const isDone = this.stoppingFor > balancerDelay && this.door.inProgress === 0 && connections === 0;
-				if (isDone || this.stoppingFor > longest) {
-					this.parts.log.write('relayStopped', {inProgress: this.door.inProgress, connections});
+				const isDone = this.stoppingFor > balancerDelay && this.frontEnd.inProgress === 0 && connections === 0;
+				if (isDone || this.stoppingFor > maxStoppingTime) {
+					this.parts.log.write('relayStopped', {inProgress: this.frontEnd.inProgress, connections});
 					return;
 				}
 			}
@@ -197,13 +197,13 @@
 
 	private openConnections(): Effect.Effect<number> {
 		return Effect.callback<number>(resume => {
-			this.door.server.getConnections((_, count) => {
+			this.frontEnd.server.getConnections((_, count) => {
 				resume(Effect.succeed(count));
 			});
 		});
 	}
 
-	private wire(): RelayServices {
+	private createServices(): RelayServices {
 		const {link, log, metrics, settings} = this.parts;
 		const {clock, peers, topology} = this;
 		const table = RouteTableView.create(clock, log);
@@ -260,14 +260,14 @@
 		return Effect.gen({self: this}, function * () {
 			const {settings, link, metrics, log} = this.parts;
 			const {front, ready, control, metrics: metricsAddress} = settings();
-			yield * openSmallListener(ready, path => path === link.format.readyPath
+			yield * openControlListener(ready, path => path === link.format.readyPath
 				? {status: this.isReady ? 200 : 503, contentType: 'text/plain', body: this.isReady ? 'ready\n' : 'not ready\n'}
 				: undefined);
-			yield * openSmallListener(control, path => compressed(this.documentAt(path)));
-			yield * openSmallListener(metricsAddress, async () => ({
+			yield * openControlListener(control, path => compressed(this.documentAt(path)));
+			yield * openControlListener(metricsAddress, async () => ({
 				status: 200, contentType: metrics.registry.contentType, body: await metrics.registry.metrics(),
 			}));
-			yield * listen(this.door.server, front);
+			yield * listen(this.frontEnd.server, front);
 			yield * superviseRoles(this.roles(), log, role => {
 				metrics.roleFailures.inc({role});
 			});
@@ -315,7 +315,7 @@
 			{name: 'lapsed-replicas', run: this.replicaRole.sweep()},
 			{name: 'members', run: members.run()},
 			{name: 'metrics', run: this.sampleMetrics()},
-			...openDuties({
+			...createDutyRoles({
 				link, log, settings, clock: this.clock, peers, topology, services: this.services, self: self.name, metrics,
 				incarnation: this.incarnation,
 				availability: this.availability,
@@ -334,12 +334,12 @@
 	}
 
 	/** Logs a suspension of the machine or a blocked event loop: what this box knew before it says little about the time after it. */
-	private noteStandstill(): void {
+	private logSuspension(): void {
 		const {clock, sampledAt} = this;
 		const now = clock.monotonic();
 		const wall = clock.wall();
 		const [gap, wallGap] = [now - sampledAt.monotonic, wall - sampledAt.wall];
-		if (Math.max(gap, wallGap) > longestSampleGap) {
+		if (Math.max(gap, wallGap) > maxSampleGap) {
 			this.parts.log.write('boxStoodStill', {steady: Math.round(gap), wall: Math.round(wallGap), isSuspension: clock.lastWake() > sampledAt.monotonic});
 		}
 
@@ -348,7 +348,7 @@
 
 	private sampleMetrics(): Effect.Effect<never> {
 		return Effect.forever(Effect.sync(() => {
-			this.noteStandstill();
+			this.logSuspension();
 			const {metrics} = this.parts;
 			const {table, replicas, limits, statements} = this.services;
 			metrics.proofAge.set(table.proofAge / millisecondsPerSecond);
@@ -375,11 +375,11 @@
 	}
 }
 
-function patienceOf(box: string, {least, spread}: {readonly least: number; readonly spread: number}): number {
+function fallbackDelayOf(box: string, {least, spread}: {readonly least: number; readonly spread: number}): number {
 	return least + (spread * shareOf(box));
 }
 
-function compressed(document: unknown): SmallAnswer | undefined {
+function compressed(document: unknown): ControlResponse | undefined {
 	return document === undefined
 		? undefined
 		: {status: 200, contentType: 'application/json', body: gzipSync(JSON.stringify(document))};
--- a/src/node/replica-role.ts
+++ b/src/node/replica-role.ts
@@ -24,13 +24,13 @@
 /** Number of changes that are kept to send to peers. */
 const historyLength = 512;
 /** Maximum number of changes in one message; a peer that misses more fetches the whole list. */
-const mostChangesTold = 32;
+const maxChangesPerMessage = 32;
 /** Long-poll time of a watch, in milliseconds: short, so that a connection that has gone silent does not hide departures for long. */
 const watchWait = {least: 1000, spread: 1000} as const;
 /** Milliseconds from the end of a store outage within which a running replica writes its entry again if it has expired. */
 const rewriteTime = 2000;
 /** Milliseconds of the bound on a departure that are reserved for sending a request after the last check of its replica. */
-const sendingTime = 200;
+const sendingMargin = 200;
 /** Heartbeats without a write after which the store drops an entry. */
 const heartbeatsToLapse = 3;
 /** Part of a heartbeat by which a write may be late. */
@@ -59,7 +59,7 @@
 	/** Milliseconds without an update from other boxes after which this box follows the store itself. */
 	readonly patience: number;
 	/** Counts an entry that cannot be decoded, by its kind. */
-	readonly noteUnreadable?: (kind: string) => void;
+	readonly countUnreadable?: (kind: string) => void;
 	/** Creates the fetch of a document from peers; `PeerFetch` over HTTP by default. */
 	readonly openFetch?: (path: string, take: (content: unknown) => void) => DocumentFetch;
 };
@@ -123,12 +123,12 @@
 		this.provenAt = services.clock.monotonic();
 		const {openFetch = PeerFetch.create} = services;
 		this.fetch = openFetch(replicasPath, content => {
-			this.takeDocument(content);
+			this.applyDocument(content);
 		});
 	}
 
 	/** Revision and age of the list, to send to other boxes; `undefined` before the first list. */
-	get told(): GossipMessage['replicas'] {
+	get listState(): GossipMessage['replicas'] {
 		return this.at < 0 ? undefined : {at: this.at, age: Math.max(0, Math.round(this.age))};
 	}
 
@@ -161,7 +161,7 @@
 				this.takeListing(listing, sentAt);
 			},
 			change: (changes, sentAt) => {
-				this.takeChanges(changes);
+				this.applyChanges(changes);
 				this.prove(sentAt);
 			},
 		}).run();
@@ -195,30 +195,30 @@
 		}
 
 		const missed = this.history.filter(({revision}) => revision > at);
-		return missed.length > mostChangesTold ? undefined : {from: at, at: this.at, changes: missed.map(({change}) => change)};
+		return missed.length > maxChangesPerMessage ? undefined : {from: at, at: this.at, changes: missed.map(({change}) => change)};
 	}
 
 	/**
 	 * Applies an update of the list that a peer sent.
 	 *
 	 * @param sender - The peer.
-	 * @param told - Revision and age of its list.
+	 * @param listState - Revision and age of its list.
 	 * @param changes - The changes that this box misses; `undefined` if the peer did not send them.
 	 */
-	take(sender: MemberAddress, told: NonNullable<GossipMessage['replicas']>, changes: Changes | undefined): void {
-		this.services.availability.noteIndirectAnswer(told.age);
-		const isLaterEra = eraOf(told.at) > eraOf(this.at);
-		if (told.at > this.at && (isLaterEra || !changes || (changes.from ?? this.at) > this.at)) {
+	take(sender: MemberAddress, listState: NonNullable<GossipMessage['replicas']>, changes: Changes | undefined): void {
+		this.services.availability.noteIndirectAnswer(listState.age);
+		const isLaterEra = eraOf(listState.at) > eraOf(this.at);
+		if (listState.at > this.at && (isLaterEra || !changes || (changes.from ?? this.at) > this.at)) {
 			this.fetch.from(sender);
 			return;
 		}
 
 		if (changes) {
-			this.takeChanges(changes);
+			this.applyChanges(changes);
 		}
 
-		if (told.at === this.at) {
-			this.prove(this.services.clock.monotonic() - told.age);
+		if (listState.at === this.at) {
+			this.prove(this.services.clock.monotonic() - listState.age);
 		}
 	}
 
@@ -231,7 +231,7 @@
 	takeListing({at, objects, held = []}: ReplicaListing, sentAt: number): void {
 		const {replicas, log, link: {names}} = this.services;
 		if (at < this.at) {
-			log.write('listOutdated', {kind: names.replicaKind, ...fieldsOf(at, this.at)});
+			log.write('listOutdated', {kind: names.replicaKind, ...positionFieldsOf(at, this.at)});
 			return;
 		}
 
@@ -242,11 +242,11 @@
 		const heldByPeer = held.filter(({object: {name}}) => isUnknown(name));
 		const isRestored = this.at >= 0 && eraOf(at) > eraOf(this.at);
 		if (isRestored) {
-			this.noteRestore(at, missing);
+			this.recordRestore(at, missing);
 		}
 
 		for (const object of missing) {
-			this.takeLoss(object, at, isRestored ? 'restored' : 'list');
+			this.holdOrDrop(object, at, isRestored ? 'restored' : 'list');
 		}
 
 		for (const object of objects) {
@@ -267,17 +267,17 @@
 	}
 
 	/** Records that the store was restored from a backup: replicas write the entries again that it has lost. */
-	private noteRestore(at: number, missing: readonly StoredObject[]): void {
+	private recordRestore(at: number, missing: readonly StoredObject[]): void {
 		const {replicas, log, availability, link: {names}} = this.services;
 		log.write('storeRestored', {
-			kind: names.replicaKind, ...fieldsOf(at, this.at), missing: missing.map(({name}) => name).join(' '),
+			kind: names.replicaKind, ...positionFieldsOf(at, this.at), missing: missing.map(({name}) => name).join(' '),
 		});
 		availability.noteRestore();
 		replicas.keepDepartures(at);
 	}
 
 	/** Applies the list document of a peer. */
-	private takeDocument(content: unknown): void {
+	private applyDocument(content: unknown): void {
 		const {clock, log, link: {names}} = this.services;
 		const decoded = decodeDocument(content);
 		if (Result.isFailure(decoded)) {
@@ -295,7 +295,7 @@
 	}
 
 	/** Applies changes. The same ones may arrive from the store and from peers, in batches that overlap. */
-	private takeChanges({at, changes}: Changes): void {
+	private applyChanges({at, changes}: Changes): void {
 		if (at <= this.at) {
 			return;
 		}
@@ -303,22 +303,22 @@
 		let revision = this.at + 1;
 		for (const change of changes) {
 			revision = Math.max(revision, change.object.revision);
-			this.takeChange(change, revision, at);
+			this.applyChange(change, revision, at);
 		}
 
 		this.at = at;
 	}
 
-	private takeChange(change: Change, revision: number, at: number): void {
+	private applyChange(change: Change, revision: number, at: number): void {
 		const {object, isGone} = change;
 		const known = this.objects.get(object.name);
 		if (isGone ? !known || known.revision > object.revision : this.isOld(object, known)) {
 			return;
 		}
 
-		this.remember(change, at);
+		this.addToHistory(change, at);
 		if (known && isGone) {
-			this.takeLoss(known, revision, 'change');
+			this.holdOrDrop(known, revision, 'change');
 			return;
 		}
 
@@ -333,14 +333,14 @@
 	}
 
 	/** Adds a change to the history under the revision of its batch: the revision of a removal may be that of its entry, which is lower than the removal. */
-	private remember(change: Change, at: number): void {
+	private addToHistory(change: Change, at: number): void {
 		this.history = [...this.history, {revision: at, change}].slice(-historyLength);
 		this.historyFrom = this.history.length === historyLength ? Math.max(this.historyFrom, this.history[0]!.revision) : this.historyFrom;
 	}
 
 	/** @returns The decoded entry; `undefined` if it cannot be decoded, since it then names no replica to use. */
 	private entryOf(object: StoredObject): ReplicaEntry | undefined {
-		const {link: {names}, log, noteUnreadable} = this.services;
+		const {link: {names}, log, countUnreadable} = this.services;
 		const decoded = names.decodeReplica(object);
 		if (Result.isSuccess(decoded)) {
 			this.unreadable.delete(object.name);
@@ -349,7 +349,7 @@
 
 		if (this.unreadable.get(object.name) !== object.revision) {
 			this.unreadable.set(object.name, object.revision);
-			noteUnreadable?.(names.replicaKind);
+			countUnreadable?.(names.replicaKind);
 			log.write('replicaUnreadable', {
 				replica: object.name, revision: object.revision, fault: describeFaults(names.replicaKind, decoded.failure),
 			});
@@ -366,7 +366,7 @@
 	/** Milliseconds within which an entry that is missing now may still be written again; negative once that time is over. */
 	private get graceLeft(): number {
 		const {clock, availability, drain} = this.services;
-		return availability.returnedAt + Math.min(rewriteTime, drain() - sendingTime) - clock.monotonic();
+		return availability.returnedAt + Math.min(rewriteTime, drain() - sendingMargin) - clock.monotonic();
 	}
 
 	/**
@@ -374,7 +374,7 @@
 	 * begins at the end of the outage, not when this box learns of the loss: a replica that leaves after the outage is dropped within the bound, however late
 	 * and from whichever box the change arrives.
 	 */
-	private takeLoss(object: StoredObject, revision: number, source: LossSource): void {
+	private holdOrDrop(object: StoredObject, revision: number, source: LossSource): void {
 		const left = this.graceLeft;
 		if (left > 0 && this.services.replicas.named(object.name)?.isLeaving === false) {
 			this.objects.delete(object.name);
@@ -407,6 +407,6 @@
 /** How this box learnt that an entry is missing: from a list, a change, a list of a store that was restored from a backup, or a list of a peer. */
 type LossSource = 'list' | 'change' | 'restored' | 'peer';
 
-const fieldsOf = (position: number, known: number): EventFields => ({
+const positionFieldsOf = (position: number, known: number): EventFields => ({
 	era: eraOf(position), revision: revisionOf(position), knownEra: eraOf(known), knownRevision: revisionOf(known),
 });
--- a/src/node/test/member-role.test.ts
+++ b/src/node/test/member-role.test.ts
@@ -31,15 +31,15 @@
 	standin.put(kind, 'living', {host: '127.0.0.1', port: 1});
 	standin.put(kind, 'gone', {host: '127.0.0.1', port: 2});
 	peers.take(heard('gone', 1));
-	await Effect.runPromise(role.look());
+	await Effect.runPromise(role.refresh());
 	assert.ok(standin.spec(kind, 'self'), 'it writes itself');
 	assert.ok(standin.spec(kind, 'gone'), 'right after the start nobody counts as gone');
 	clock.now += 40_000;
-	await Effect.runPromise(role.look());
+	await Effect.runPromise(role.refresh());
 	assert.ok(standin.spec(kind, 'gone'), 'a box that hears nobody takes nobody out');
 	peers.take(heard('living', 1));
 	peers.sweep();
-	await Effect.runPromise(role.look());
+	await Effect.runPromise(role.refresh());
 	assert.equal(standin.spec(kind, 'gone'), undefined);
 	assert.ok(standin.spec(kind, 'living'));
 	clock.now += 25_000;
--- a/src/node/test/replica-role.test.ts
+++ b/src/node/test/replica-role.test.ts
@@ -72,12 +72,12 @@
 test('the list counts as new for as long as somebody who is as far says so', () => {
 	const {role, clock} = roleWith([object('x', 1)], 10);
 	clock.now += 3000;
-	assert.equal(role.told?.age, 3000);
+	assert.equal(role.listState?.age, 3000);
 	role.take(sender, {at: 10, age: 200}, undefined);
-	assert.equal(role.told?.age, 200);
+	assert.equal(role.listState?.age, 200);
 	clock.now += 100;
 	role.take(sender, {at: 8, age: 0}, undefined);
-	assert.equal(role.told?.age, 300, 'one that is behind proves nothing');
+	assert.equal(role.listState?.age, 300, 'one that is behind proves nothing');
 });
 
 test('an entry that is missing when the store comes back counts as gone only after a while, and not if it is written again', () => {
@@ -137,7 +137,7 @@
 	const {role, replicas} = roleWith([object('x', 1)], 10);
 	// Told to the process that had this box's name before, which knew more.
 	role.take(sender, {at: 90, age: 0}, {at: 90, from: 80, changes: [put('z', 85)]});
-	assert.equal(role.told?.at, 10);
+	assert.equal(role.listState?.at, 10);
 	assert.deepEqual(ready(replicas), ['x']);
 });
 
--- a/src/node/test/suspension.test.ts
+++ b/src/node/test/suspension.test.ts
@@ -92,10 +92,10 @@
 			link: {names: {}} as unknown as PlatformLink, clock, log, replicas: ReplicaDirectory.create(clock, log), leads: () => false, patience: 5000, ...usualAvailability(clock),
 		});
 		role.takeListing({at: 4, objects: []}, clock.now);
-		assert.equal(role.told?.age, 0);
+		assert.equal(role.listState?.age, 0);
 		clock.suspend(time);
 		clock.now += 1;
-		assert.ok(role.told.age > 60_000 && Number.isFinite(role.told.age));
+		assert.ok(role.listState.age > 60_000 && Number.isFinite(role.listState.age));
 	}],
 	['connections from before it are not used', async (time: number) => {
 		const replica = await ReplicaStandin.start('i-1');
