--- a/src/node/test/absent-replicas.test.ts
+++ b/src/node/test/absent-replicas.test.ts
@@ -1,4 +1,4 @@
-/** Guards against a call or stream that is given up when its replica ends, although the next one is listed while there is time. */
+/** Guards against a call or stream that is given up when its only replica crashes, although another replica is listed before the deadline. */
 import assert from 'node:assert/strict';
 import {test, type TestContext} from 'node:test';
 import {setTimeout as pause} from 'node:timers/promises';
@@ -6,14 +6,14 @@
 	RelayInstallation, routeTimeout, until, type ClientCall,
 } from '../../../development/relay/relay-installation.js';
 
-/** Milliseconds of a run; longer than a replica that has left the list is still a last resort. */
+/** Milliseconds of a run; longer than a replica that was removed from the list may still be used as a last resort. */
 const runTime = 900;
-/** Milliseconds from the arrival of a request at a replica to its end; shorter than any answer here takes. */
+/** Milliseconds from the arrival of a request at a replica to its crash; shorter than the time of any response in these tests. */
 const timeToCut = 80;
 /** Milliseconds from the loss of the last replica to the listing of the next one. */
 const absence = 400;
 
-/** Ends the only replica that listens while it runs a request, and lists another one somewhat later. */
+/** Crashes the only replica while it runs a request, and lists another one somewhat later. */
 async function loseAllWhile(context: TestContext, call: ClientCall, conduct: {readonly delay: number; readonly events?: number}) {
 	const installation = await RelayInstallation.start({relays: 1, replicas: ['i-1']});
 	context.after(async () => installation.close());
@@ -30,20 +30,20 @@
 	return answer;
 }
 
-/** Guards against a call that is given up with 502, which tells its client nothing, while there is time for another run. */
+/** Guards against a call that is given up with 502, which gives its client no result, while there is time for another run. */
 test('a repeatable call that was cut is run by the next replica that is listed', async context => {
 	const {status, isWhole} = await loseAllWhile(context, {path: '/calls/x', method: 'POST', body: 'q'}, {delay: 200});
 	assert.deepEqual({status, isWhole}, {status: 200, isWhole: true});
 });
 
-/** Guards against a stream that ends in the middle while there is time to go on. */
-test('a resumable stream that was cut goes on at the next replica that is listed', async context => {
+/** Guards against a stream that is cut while there is time to resume it. */
+test('a resumable stream that was cut continues at the next replica that is listed', async context => {
 	const {status, isWhole} = await loseAllWhile(context, {path: '/stream/x', method: 'POST', body: 'q'}, {delay: 20, events: 60});
 	assert.deepEqual({status, isWhole}, {status: 200, isWhole: true});
 });
 
-/** Guards against a wait that serves nobody: a replica's own failure is an answer. */
-test('a call that a replica failed gets that answer at once where no replica is left', async context => {
+/** Guards against a needless wait for another replica: an error response of a replica is a response for the client. */
+test('a call that gets an error response of its replica returns it at once when no replica is left', async context => {
 	const installation = await RelayInstallation.start({relays: 1, replicas: ['i-1']});
 	context.after(async () => installation.close());
 	const [relay] = installation.relays;
--- a/src/node/test/client-bodies.test.ts
+++ b/src/node/test/client-bodies.test.ts
@@ -1,6 +1,5 @@
 /*
- * A request is passed on with the body that its client sent, or not at all: what ends early, or says two things of where it ends, reaches
- * no replica.
+ * A request is passed on with exactly the body that its client sent, or not at all: a body that is truncated or has ambiguous framing reaches no replica.
  */
 import assert from 'node:assert/strict';
 import {connect} from 'node:net';
@@ -9,7 +8,7 @@
 import {RelayInstallation, testHost, testKey} from '../../../development/relay/relay-installation.js';
 import type {ReplicaStandin} from '../../../development/relay/replica-standin.js';
 
-/** Milliseconds for an answer, or for the connection to be closed. */
+/** Maximum milliseconds to wait until the relay closes the connection. */
 const answerTime = 600;
 /** Milliseconds between two parts of a request. */
 const betweenParts = 20;
@@ -29,7 +28,11 @@
 
 type Ending = 'open' | 'fin' | 'reset';
 
-/** Sends the parts of a request one after the other, and ends the connection, or leaves it open. */
+/**
+ * Sends the parts of a request one after the other, then ends the connection or leaves it open.
+ *
+ * @returns The bytes that the relay sent back.
+ */
 async function send(parts: readonly string[], ending: Ending): Promise<string> {
 	const socket = connect(installation.relays[0]!.port, '127.0.0.1');
 	let answer = '';
@@ -64,15 +67,15 @@
 	'half of a body with a length, reset': [[heads(['Content-Length: 10']), 'first'], 'reset'],
 	'half of a body with a length, and nothing more': [[heads(['Content-Length: 10']), 'first'], 'open'],
 	'no chunk': [[heads(['Transfer-Encoding: chunked'])], 'fin'],
-	'one whole chunk and no end': [[heads(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n'], 'fin'],
-	'one whole chunk and no end, reset': [[heads(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n'], 'reset'],
+	'one whole chunk and no last chunk': [[heads(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n'], 'fin'],
+	'one whole chunk and no last chunk, reset': [[heads(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n'], 'reset'],
 	'half a chunk': [[heads(['Transfer-Encoding: chunked']), 'a\r\nfirst'], 'fin'],
 	'a last chunk without its blank line': [[heads(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n0\r\n'], 'fin'],
-	'half a head': [[heads(['Content-Length: 5']).slice(0, -4)], 'fin'],
+	'half of the header section': [[heads(['Content-Length: 5']).slice(0, -4)], 'fin'],
 };
 
 for (const [name, [parts, ending]] of Object.entries(cut)) {
-	test(`a body that is cut short reaches no replica: ${name}`, async () => {
+	test(`a truncated body reaches no replica: ${name}`, async () => {
 		seen().length = 0;
 		const answer = await send(parts, ending);
 		assert.deepEqual(seen().map(({body}) => body), []);
@@ -82,23 +85,23 @@
 
 const unclear: Readonly<Record<string, readonly string[]>> = {
 	'an empty length': ['Content-Length: '],
-	'a length in powers of ten': ['Content-Length: 1e0'],
+	'a length in exponent notation': ['Content-Length: 1e0'],
 	'a length with a sign': ['Content-Length: +5'],
-	'a length below zero': ['Content-Length: -5'],
+	'a negative length': ['Content-Length: -5'],
 	'a length in hexadecimal': ['Content-Length: 0x5'],
-	'a length that is no whole number': ['Content-Length: 5.0'],
-	'a length above all numbers': ['Content-Length: 99999999999999999999999'],
+	'a length with a decimal point': ['Content-Length: 5.0'],
+	'a length above the largest safe integer': ['Content-Length: 99999999999999999999999'],
 	'two lengths': ['Content-Length: 5', 'Content-Length: 3'],
 	'two lengths in one line': ['Content-Length: 5, 3'],
 	'the same length twice in one line': ['Content-Length: 5, 5'],
 	'a length and chunks': ['Content-Length: 5', 'Transfer-Encoding: chunked'],
 	'chunks and a length': ['Transfer-Encoding: chunked', 'Content-Length: 5'],
-	'an encoding that ends nowhere': ['Transfer-Encoding: gzip'],
+	'an encoding that does not delimit the body': ['Transfer-Encoding: gzip'],
 	'chunks that are not the last encoding': ['Transfer-Encoding: chunked, identity'],
 };
 
 for (const [name, lines] of Object.entries(unclear)) {
-	test(`a body whose end is not clear reaches no replica: ${name}`, async () => {
+	test(`a body with ambiguous or invalid framing reaches no replica: ${name}`, async () => {
 		seen().length = 0;
 		const answer = await send([heads(lines), 'first'], 'fin');
 		assert.deepEqual(seen().map(({body}) => body), []);
@@ -110,12 +113,12 @@
 	'a length': [heads(['Content-Length: 5']), 'first'],
 	'a length, byte by byte': [heads(['Content-Length: 5']), ...'first'],
 	chunks: [heads(['Transfer-Encoding: chunked']), '2\r\nfi\r\n3\r\nrst\r\n0\r\n\r\n'],
-	'chunks that are split anywhere': [heads(['Transfer-Encoding: chunked']), ...'2\r\nfi\r\n3\r\nrst\r\n0\r\n\r\n'],
+	'chunks, byte by byte': [heads(['Transfer-Encoding: chunked']), ...'2\r\nfi\r\n3\r\nrst\r\n0\r\n\r\n'],
 	'chunks with a trailer': [heads(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n0\r\nX-Sum: 1\r\n\r\n'],
 };
 
 for (const [name, parts] of Object.entries(whole)) {
-	test(`a whole body reaches a replica as it was sent, once: ${name}`, async () => {
+	test(`a complete body reaches a replica once and unchanged: ${name}`, async () => {
 		seen().length = 0;
 		const answer = await send(parts, 'open');
 		assert.equal(statusOf(answer), 200, answer);
--- a/src/node/test/departure-model.test.ts
+++ b/src/node/test/departure-model.test.ts
@@ -5,7 +5,7 @@
 import {randomOf} from '../../../development/harness/seeded-random.js';
 import {VirtualTime} from '../../../development/fuzz/virtual-time.js';
 
-/** Fleets by size: how many boxes, the milliseconds after its departure from which on a replica gets nothing, and how many histories are played. */
+/** Number of boxes, milliseconds after its departure from which on a replica must get no requests, and number of simulated histories. */
 const fleets = [
 	{boxes: 1, bound: 2000, histories: 12},
 	{boxes: 4, bound: 2000, histories: 12},
@@ -13,8 +13,9 @@
 	{boxes: 20, bound: 3000, histories: 3},
 ] as const;
 const replicaCount = 8;
+/** Milliseconds in which all boxes learn of all replicas. */
 const startTime = 3000;
-/** Milliseconds between two looks whether a box has been answered. */
+/** Milliseconds between two checks whether the store has answered a box. */
 const lookInterval = 20;
 const seedsUpTo = (count: number): readonly number[] => Array.from({length: count}, (_, index) => index + 1);
 
@@ -40,7 +41,7 @@
 const summaryOf = (late: readonly LateRequest[]): string =>
 	`${late.length} late at ${new Set(late.map(({box}) => box)).size} boxes, up to ${Math.max(...late.map(({after}) => after))} ms`;
 
-/** @returns What came late, by fleet and history. */
+/** @returns A summary of late requests for each fleet and history that has any. */
 async function lateAfter(happen: (fleet: DepartureFleet) => Promise<void>): Promise<readonly string[]> {
 	const lines: string[] = [];
 	for (const {boxes, bound, histories} of fleets) {
@@ -55,7 +56,7 @@
 
 const pick = <Item>(items: readonly Item[], random: () => number): Item => items[Math.floor(random() * items.length)]!;
 
-/** Boxes lose single answers of the store; entries change as they list anew, and replicas leave soon after. */
+/** Boxes lose single responses of the store; entries change while these boxes read the list again, and replicas leave soon after. */
 async function loseAnswersAndLeave(fleet: DepartureFleet): Promise<void> {
 	const {store, boxes, random} = fleet;
 	const upTo = async (duration: number) => fleet.pass(random() * duration);
@@ -78,17 +79,17 @@
 	await fleet.pass(4000);
 }
 
-/** Guards against a departed replica that stays in use at all boxes because one of them lost an answer of the store. */
-test('no replica gets requests later than allowed after its departure, whichever boxes lose single answers of the store', async () => {
+/** Guards against a departed replica that stays in use at all boxes because one of them lost a response of the store. */
+test('no replica gets requests later than allowed after its departure, whichever boxes lose single responses of the store', async () => {
 	assert.deepEqual(await lateAfter(loseAnswersAndLeave), []);
 });
 
-/** Milliseconds for which nobody reaches the store: from too short for any entry to lapse to longer than all last. */
+/** Milliseconds for which no box reaches the store: from too short for any entry to expire to long enough for all entries to expire. */
 const outages = [1500, 2350, 2700, 3600, 6000] as const;
-/** Milliseconds after the store is back by which a replica that lives has written its entry again. */
+/** Milliseconds from the end of an outage within which a running replica has written its entry again. */
 const rewriteTime = 1400;
 
-/** The store is away for longer than entries last, and replicas leave from the moment on at which it has answered a box again. */
+/** The store is unavailable for longer than entries last, and replicas leave as soon as it has answered a box again. */
 async function leaveAfterOutage(fleet: DepartureFleet): Promise<void> {
 	const {store, random} = fleet;
 	store.goAway(random() < 0.5 ? 'refused' : 'silent');
@@ -112,7 +113,7 @@
 
 for (const {boxes, bound} of fleets) {
 	for (const fault of ['refused', 'silent'] satisfies readonly CallFault[]) {
-		test(`replicas that live stay in use at ${boxes} boxes while the store is away (${fault}) and until they have written their entries again`, async () => {
+		test(`running replicas stay in use at ${boxes} boxes during a store outage (${fault}) and until they have written their entries again`, async () => {
 			for (const [seed, outage] of outages.entries()) {
 				await play({boxes, bound, seed}, async fleet => {
 					const {store} = fleet;
@@ -121,7 +122,7 @@
 					store.outage = undefined;
 					for (let passed = 0; passed < rewriteTime * 2; passed += 100) {
 						await fleet.pass(100);
-						assert.deepEqual(store.replicas.map(replica => fleet.usersOf(replica)), store.replicas.map(() => boxes), `${outage} ms away, ${passed} ms after the return`);
+						assert.deepEqual(store.replicas.map(replica => fleet.usersOf(replica)), store.replicas.map(() => boxes), `${passed} ms after an outage of ${outage} ms`);
 					}
 				});
 			}
@@ -129,16 +130,16 @@
 	}
 }
 
-/** Guards against a hold that outlives the bound because it is counted from the moment at which a box learns that the store is back. */
-test('a replica that leaves once the store is back gets no requests later than allowed', async () => {
+/** Guards against a hold that exceeds the bound because it is counted from the time at which a box learns that the store is available again. */
+test('a replica that leaves after a store outage gets no requests later than allowed', async () => {
 	assert.deepEqual(await lateAfter(leaveAfterOutage), []);
 });
 
-/** Milliseconds after which a box counts as in touch again whose connections went silent. */
+/** Milliseconds after which a box whose connections went silent must be connected to the store again. */
 const contactTime = 3000;
 
 /** Guards against a departure that is not noticed while the connections to the store hang, although new ones work. */
-test('a replica that leaves while all watches hang gets no requests once boxes count as in touch again', async () => {
+test('a replica that leaves while all watches hang gets no requests once boxes must be connected again', async () => {
 	for (const {boxes, histories} of fleets) {
 		for (const seed of seedsUpTo(histories)) {
 			const {late} = await play({boxes, bound: contactTime, seed}, async fleet => {
--- a/src/node/test/ended-replicas.test.ts
+++ b/src/node/test/ended-replicas.test.ts
@@ -1,21 +1,22 @@
 /*
- * Replicas that have ended stay listed for three heartbeats, and have no work, so that they are chosen first. In the test of ends of another cause 0.85 of the
- * requests that were lost had been cut once, or not at all, and were given up after three or four connections refused by such replicas, though a
- * sound one was listed ("tries 4 ... cut: socket hang up; unreachable: connect ECONNREFUSED ..."): 293 of 346 in 28 runs.
+ * Guards against requests that are refused although a healthy replica is listed. Crashed replicas stay listed for three heartbeats and have no work, so
+ * they are chosen first. In 28 runs of the test of unrelated crashes, 293 of 346 lost requests (85 %) had been cut once or never, and were given up after
+ * three or four connections refused by such replicas ("tries 4 ... cut: socket hang up; unreachable: connect ECONNREFUSED ...").
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {setTimeout as pause} from 'node:timers/promises';
 import {RelayInstallation, until, type ClientView} from '../../../development/relay/relay-installation.js';
 
-/** More than a request may be sent to. */
+/** More replicas than a request may be sent to. */
 const ended = ['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6'];
 const sound = 'i-7';
+/** Milliseconds of a run at the occupied replica. */
 const longRunTime = 400;
 const mostTries = 12;
 
 /**
- * Sends requests until one is at a replica that takes its time, so that replicas without work look better.
+ * Sends requests until a slow replica runs one, so that replicas without work are preferred.
  *
  * @returns The requests, in progress.
  */
@@ -33,7 +34,7 @@
 	return calls;
 }
 
-test('a request is served by the one sound replica, however many are listed that have ended', async context => {
+test('a request is served by the one healthy replica, however many crashed ones are listed', async context => {
 	const installation = await RelayInstallation.start({relays: 1, replicas: [...ended, sound]});
 	context.after(async () => installation.close());
 	const replica = installation.replicas.get(sound)!;
@@ -46,14 +47,14 @@
 	const vain = await installation.call({path: '/calls/vain'});
 	assert.equal(vain.status, 503);
 	const tries = installation.relays[0]!.log.lines.findLast(({eventName}) => eventName === 'requestRefused')?.tries;
-	assert.ok(Number(tries) <= mostTries, `${String(tries)} tries where nobody listens`);
+	assert.ok(Number(tries) <= mostTries, `${String(tries)} attempts although no replica listens`);
 });
 
-/** Replicas of a data centre that are lost together. */
+/** Number of replicas of a data centre that are lost together. */
 const lostTogether = 12;
 
-/** Guards against a request that is refused beside a sound replica because it was refused connections by several others first. */
-test('a request is served by the one sound replica when all replicas of a data centre are lost together', async context => {
+/** Guards against a request that is refused although a healthy replica is listed, because several other replicas refused connections first. */
+test('a request is served by the one healthy replica when all replicas of a data centre are lost together', async context => {
 	const lost = Array.from({length: lostTogether}, (_, index) => `lost-${index + 1}`);
 	const installation = await RelayInstallation.start({relays: 1, replicas: [...lost, sound]});
 	context.after(async () => installation.close());
@@ -63,7 +64,7 @@
 	await Promise.all(calls);
 });
 
-/** Guards against connecting again to a replica that has just refused, and against holding a request that nothing can serve. */
+/** Guards against connecting again to a replica that has just refused a connection, and against holding a request that no replica can serve. */
 test('a request that no replica has run is refused at once when each listed replica has refused one connection', async context => {
 	const installation = await RelayInstallation.start({relays: 1, replicas: ended});
 	context.after(async () => installation.close());
@@ -77,11 +78,11 @@
 	assert.ok(Number(line?.took) < 1000, `took ${String(line?.took)} ms`);
 });
 
-/** Milliseconds for which a box that starts has no part of a limit. */
+/** Milliseconds after which a box that has just started has a part of a limit. */
 const timeWithoutPart = 2500;
 
-/** Guards against a request that is refused because other replicas refuse connections, although a limited one has room in time. */
-test('a request waits for room at a limited replica where all others have ended', async context => {
+/** Guards against a request that is refused because other replicas refuse connections, although a limited replica has a free slot in time. */
+test('a request waits for a slot at a limited replica when all other replicas have crashed', async context => {
 	const [limited, other] = ['i-1', 'i-2'] as const;
 	const installation = await RelayInstallation.start({relays: 1, replicas: [limited, other]});
 	context.after(async () => installation.close());
--- a/src/node/test/exchange-load.test.ts
+++ b/src/node/test/exchange-load.test.ts
@@ -4,12 +4,12 @@
 import {MovedClock} from '../../../development/harness/moved-clock.js';
 import {sumOf} from '../../base/sum.js';
 
-/** Bytes a second of the smallest link on which the incident SHORT was seen: 7 Mbit/s. */
+/** Bytes per second of the slowest link on which the incident SHORT was seen: 7 Mbit/s. */
 const smallestLink = 875_000;
-/** Part of such a link that the exchange may fill in either direction, beside what the box is there for. */
+/** Maximum part of such a link that gossip may fill in either direction; the rest is for client requests. */
 const largestPart = 0.5;
 
-/** Rounds after which a box has told all its counters again. */
+/** Rounds after which a box has sent all its counters again. */
 const rounds = 8;
 
 const trafficOf = (shape: FleetShape, prepare: (fleet: ExchangeFleet) => void = () => undefined) => {
@@ -32,14 +32,14 @@
 		boxes: 340, replicas: 84, clientAccounts: 16, inProgress: 3,
 	},
 ]) {
-	test(`what an aggregator of ${shape.boxes} boxes sends and hears leaves room on a small link`, () => {
+	test(`the gossip of an aggregator of ${shape.boxes} boxes leaves room for requests on a slow link`, () => {
 		const {heard, sent} = trafficOf(shape);
 		assert.ok(heard < smallestLink * largestPart, `${heard} bytes a second heard`);
 		assert.ok(sent < smallestLink * largestPart, `${sent} bytes a second sent`);
 	});
 }
 
-test('what boxes tell of replicas that end leaves room on a small link too, though each has ended under requests of each box', () => {
+test('gossip about crashed replicas leaves room on a slow link, even when each replica has crashed under requests of each box', () => {
 	const {heard, sent} = trafficOf({
 		boxes: 86, replicas: 84, clientAccounts: 16, inProgress: 3,
 	}, fleet => {
@@ -49,7 +49,7 @@
 	assert.ok(sent < smallestLink * largestPart, `${sent} bytes a second sent`);
 });
 
-test('what boxes tell of limits leaves room on a small link too, though each replica has named one to each box', () => {
+test('gossip about request limits leaves room on a slow link, even when each replica has announced one to each box', () => {
 	const {heard, sent} = trafficOf({
 		boxes: 86, replicas: 84, clientAccounts: 16, inProgress: 3,
 	}, fleet => {
--- a/src/node/test/idle-connections.test.ts
+++ b/src/node/test/idle-connections.test.ts
@@ -1,7 +1,7 @@
 /*
- * A replica takes a number of connections from all callers together and resets what is beyond it. Boxes kept up to 24 idle ones each, whatever that number was
- * and however many boxes there were: four boxes that had each sent ten requests at once kept 40 connections at a replica that takes eight. What was read of the
- * number was looked at by nobody.
+ * Guards against boxes that ignore the maximum number of connections of a replica. A replica resets connections beyond its maximum for all callers together.
+ * Boxes kept up to 24 idle connections each, whatever the maximum and the number of boxes were: four boxes that had each sent ten requests at once
+ * kept 40 connections to a replica that accepts eight. The setting was decoded but not used.
  */
 import assert from 'node:assert/strict';
 import {after, before, test} from 'node:test';
@@ -11,7 +11,7 @@
 const relayCount = 4;
 const mostConnections = 8;
 const requestsAtOnce = 10;
-/** Milliseconds until answers have been read to their end. */
+/** Milliseconds in which boxes read all responses to their end. */
 const settlingTime = 300;
 
 let installation: RelayInstallation;
@@ -22,7 +22,7 @@
 
 after(async () => installation.close());
 
-test('boxes together keep no more idle connections than a replica takes', async () => {
+test('all boxes together keep no more idle connections than a replica accepts', async () => {
 	const replica = installation.replicas.get('i-1')!;
 	const areAllKnown = () => installation.relays.every(({log}) => new Set(log.lines.filter(({eventName}) => eventName === 'memberHeard').map(({member}) => member)).size === relayCount - 1);
 	await until(areAllKnown);
@@ -30,6 +30,6 @@
 	await Promise.all(installation.relays.flatMap(relay => Array.from({length: requestsAtOnce}, async () => installation.call({path: '/calls/x'}, relay))));
 	await pause(settlingTime);
 	const open = await replica.openConnections();
-	assert.ok(open <= mostConnections, `${open} connections at a replica that takes ${mostConnections}`);
-	assert.ok(open >= relayCount, 'each box keeps one all the same');
+	assert.ok(open <= mostConnections, `${open} connections to a replica that accepts ${mostConnections}`);
+	assert.ok(open >= relayCount, 'each box still keeps one');
 });
--- a/src/node/test/limit-stretches.test.ts
+++ b/src/node/test/limit-stretches.test.ts
@@ -7,7 +7,7 @@
 import {ServiceDemands} from '../../replicas/service-demand.js';
 import {LimitStretches} from '../limit-stretches.js';
 
-/** Milliseconds after which a box knows of others. */
+/** Milliseconds after which a box that has started owns a stretch. */
 const settled = 5000;
 
 function boxAmong(others: number) {
@@ -26,14 +26,14 @@
 	};
 }
 
-test('a box that has just started has no part, since it may know of no other; one that is alone has all', () => {
+test('a box that has just started owns no stretch, since it may not know the other boxes yet; later, a single box owns all', () => {
 	const {clock, stretches} = boxAmong(0);
 	assert.equal(stretches.of('s').length, 0);
 	clock.now += settled;
 	assert.deepEqual(stretches.of('s'), {from: 0, length: 1});
 });
 
-test('boxes that are not heard keep their part, and so do those that are only known to be there', () => {
+test('silent boxes keep their stretch, and so do boxes of which only the number is known', () => {
 	const {clock, peers, stretches, learn} = boxAmong(3);
 	learn();
 	clock.now += settled;
@@ -42,7 +42,7 @@
 	assert.equal(stretches.of('s').length, 1 / 8);
 });
 
-test('a box of a large fleet that does not hear all others has the part that it is told, and an even one where it is told none', () => {
+test('a box of a large fleet that is no aggregator uses the stretch that it receives, and an equal part if it receives none', () => {
 	const {clock, stretches, topology, learn} = boxAmong(40);
 	learn();
 	clock.now += settled;
--- a/src/node/test/member-role.test.ts
+++ b/src/node/test/member-role.test.ts
@@ -22,7 +22,7 @@
 	quota: [], isWhole: true, work: [], departed: [], usage: [], members: [],
 });
 
-test('a box that went for good is taken out of the store, and one that is heard stays', async () => {
+test('a box that is gone for good is removed from the store, and one that sends messages stays', async () => {
 	const clock = new MovedClock(1000);
 	const peers = PeerTable.create('self', clock, SilentEventLog.create());
 	const role = MemberRole.create({
@@ -32,11 +32,11 @@
 	standin.put(kind, 'gone', {host: '127.0.0.1', port: 2});
 	peers.take(heard('gone', 1));
 	await Effect.runPromise(role.refresh());
-	assert.ok(standin.spec(kind, 'self'), 'it writes itself');
-	assert.ok(standin.spec(kind, 'gone'), 'right after the start nobody counts as gone');
+	assert.ok(standin.spec(kind, 'self'), 'it registers itself');
+	assert.ok(standin.spec(kind, 'gone'), 'no box counts as gone right after the start');
 	clock.now += 40_000;
 	await Effect.runPromise(role.refresh());
-	assert.ok(standin.spec(kind, 'gone'), 'a box that hears nobody takes nobody out');
+	assert.ok(standin.spec(kind, 'gone'), 'a box that receives no messages removes no other box');
 	peers.take(heard('living', 1));
 	peers.sweep();
 	await Effect.runPromise(role.refresh());
--- a/src/node/test/odd-entries.test.ts
+++ b/src/node/test/odd-entries.test.ts
@@ -1,7 +1,7 @@
 /*
- * An entry of another writer among the replicas' kept a starting relay from ever being ready, and a running one from learning of
- * any replica after it: the decoder threw inside the follower. A replica that said that it leaves and started again under its id was never
- * used again. Both are inputs that end or blind whatever handles them.
+ * Guards against two faults. A malformed replica entry kept a starting relay from ever becoming ready, and a running one from learning of any later
+ * replica, because the decoder threw inside the follower. And a replica that had announced that it leaves and was started again under the same id was
+ * never used again.
  */
 import assert from 'node:assert/strict';
 import {after, before, test} from 'node:test';
@@ -22,17 +22,17 @@
 
 const odd: Readonly<Record<string, unknown>> = {
 	'no field': {},
-	'a text': 'ready',
-	nothing: null,
-	'a list': [good],
-	'a number for an address': {...good, addr: 7},
+	'a string': 'ready',
+	null: null,
+	'an array': [good],
+	'a number as address': {...good, addr: 7},
 	'an address without a port': {...good, addr: '127.0.0.1'},
-	'a port that is none': {...good, addr: '127.0.0.1:99999'},
-	'a text for slots': {...good, slots: 'many'},
-	'no slots at all': {...good, slots: 0},
+	'a port out of range': {...good, addr: '127.0.0.1:99999'},
+	'a string as slots': {...good, slots: 'many'},
+	'zero slots': {...good, slots: 0},
 	'an unknown state': {...good, state: 'thinking'},
-	'a birth that is no whole number': {...good, born: 'today'},
-	'a service that is no text': {...good, service: {name: 'plain'}},
+	'a start time that is no integer': {...good, born: 'today'},
+	'a service that is no string': {...good, service: {name: 'plain'}},
 };
 
 const hasLogged = ({log}: RelayMember, name: string, replica: string): boolean => log.lines.some(line => line.eventName === name && line.replica === replica);
@@ -59,19 +59,19 @@
 	}
 
 	const lines = running!.log.lines.filter(({eventName, replica}) => eventName === 'replicaUnreadable' && replica === name);
-	assert.equal(lines.length, 1, 'told once a change');
+	assert.equal(lines.length, 1, 'logged once per change');
 	await starting.end();
 	installation.unlist(name);
 	installation.unlist(`late-${index}`);
 }
 
 for (const [index, [what, spec]] of Object.entries(odd).entries()) {
-	test(`an entry that holds ${what} names no replica, and the others hold, at a relay that runs and at one that starts`, async () => {
+	test(`an entry with ${what} is skipped and the other entries are used, by a running relay and by a starting one`, async () => {
 		await holdOthers(index, spec);
 	});
 }
 
-test('an entry that becomes unreadable takes its replica out, until it can be read again', async () => {
+test('a replica whose entry becomes malformed is removed until the entry is valid again', async () => {
 	const [relay] = installation.relays;
 	await installation.addReplica('i-2');
 	await until(() => hasLogged(relay!, 'replicaListed', 'i-2'));
@@ -84,7 +84,7 @@
 	assert.ok((await servedBy(relay!)).has('answer of i-2'));
 });
 
-test('a configuration that cannot be read leaves the one in force in force', async () => {
+test('a malformed configuration does not replace the one in force', async () => {
 	const [relay] = installation.relays;
 	const unreadable = () => relay!.log.lines.filter(({eventName}) => eventName === 'routesUnreadable').length;
 	const broken: readonly unknown[] = [{routes: 7}, {routes: [{host: 1}]}, {tenants: [null]}, {services: [{name: 's', autoscale: {zone_prices: 3}}]}, {limits: 'none'}];
@@ -99,7 +99,7 @@
 	await servedBy(relay!);
 });
 
-test('a replica that was leaving and starts again under its id is used at once, and has nothing of before', async () => {
+test('a leaving replica that starts again under the same id is used at once, without the state of its previous start', async () => {
 	const [relay] = installation.relays;
 	installation.list('i-2', {state: 'draining', seq: 9});
 	await until(() => hasLogged(relay!, 'replicaLeaving', 'i-2'));
@@ -111,10 +111,10 @@
 	installation.list('i-1', {seq: 2, cold_left_ms: 3});
 	installation.store.put(replicaKind, 'marker', {...good, state: 'draining'});
 	await until(() => hasLogged(relay!, 'replicaListed', 'marker'));
-	assert.ok((await servedBy(relay!)).has('answer of i-2'), 'what an older start still says changes nothing');
+	assert.ok((await servedBy(relay!)).has('answer of i-2'), 'a late entry of an older start changes nothing');
 });
 
-test('a stream at a start that is replaced goes on elsewhere at once, though its connection stays silent', async () => {
+test('a stream at a replica that has started again continues at another replica at once, although its connection stays open and silent', async () => {
 	const [relay] = installation.relays;
 	const silent = await installation.addReplica('i-3');
 	await until(() => hasLogged(relay!, 'replicaListed', 'i-3'));
--- a/src/node/test/poison-request.test.ts
+++ b/src/node/test/poison-request.test.ts
@@ -1,10 +1,9 @@
 /*
- * One request of one caller ended every replica that ran it. It came again with a new attempt id at other boxes, each of
- * which took it for a new one, blamed the replica alone and sent it to the next sound one, so that all replicas of the service
- * ended again and again and nearly everybody lost service. The record of the day showed 24 and 28 ended replicas for two
- * such requests; with four boxes and eight replicas on loopback 44 ended in 19 s, and 0.71 of the other requests were lost.
- * What settled it were the lines on ended replicas ("replicaEnded ... suspects nB3iCGBhCkdh"): of 19 ends one fingerprint was
- * in all, on each box in turn, and no other in more than two.
+ * Guards against a request that crashes every replica that runs it. Its client sent it again with a new attempt id to other boxes. Each box took it
+ * for a new request, blamed the replica alone and sent the request to the next healthy replica, so that all replicas of the service crashed again and
+ * again. In the incident 24 and 28 replicas crashed under two such requests; with four boxes and eight replicas on loopback 44 crashed in 19 s, and
+ * 71 % of the other requests were lost. The log lines of the crashes ("replicaEnded ... suspects nB3iCGBhCkdh") showed the cause: of 19 crashes one
+ * fingerprint was in all, on each box in turn, and no other in more than two.
  */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -18,23 +17,25 @@
 const relayCount = 4;
 const replicaIds = Array.from({length: 8}, (_, index) => `i-${index + 1}`);
 const mark = 'poison';
+/** How often the poison request is sent. */
 const sends = 24;
-/** Milliseconds between two of them. */
+/** Milliseconds between two of these requests, and between two unrelated crashes. */
 const sendPause = 300;
 const otherClients = 24;
-/** Milliseconds in which boxes that reach each other know of each other's news. */
+/** Milliseconds within which boxes that reach each other have received each other's updates. */
 const contactTime = 3000;
-/** Runs that may follow once the third replica has ended for as long. */
+/** Replicas that may still crash later than that after the third crash. */
 const runsAllowed = 3;
-/** Replicas that may end in all: three, and what boxes send before they hear of them. */
+/** Replicas that may crash in total: three, and those to which boxes send the request before they know of these crashes. */
 const endsAllowed = 6;
+/** Part of the other requests that may be lost. */
 const lossAllowed = 0.05;
-/** Replicas that end for a reason of their own, each back after two seconds. */
+/** Replicas that crash for an unrelated reason; each is listed again after two seconds. */
 const otherEnds = 12;
 const poison = {path: '/calls/x', method: 'POST', body: `${mark} ${'x'.repeat(100)}`};
 
 let installation: RelayInstallation;
-/** What clients saw beside ends of another cause. */
+/** Responses that clients got during the unrelated crashes. */
 let besideOtherEnds: readonly ClientView[] = [];
 
 before(async () => {
@@ -51,7 +52,7 @@
 type Others = {
 	readonly isOver: () => boolean;
 	readonly bodyOf: (client: number, count: number) => string;
-	/** @returns What to call when a request of a client that begins now was served. */
+	/** @returns Callback for when the request that this client starts now was served. */
 	readonly begin?: (client: number) => () => void;
 };
 
@@ -75,7 +76,7 @@
 	return views;
 }
 
-test('a request that ends replicas is kept from them after three, at whichever box it comes, and the others are served', async () => {
+test('a request that crashes replicas is quarantined on all boxes after three crashes, and the other requests are served', async () => {
 	const ends: number[] = [];
 	let isOver = false;
 	installation.crashOn(mark, () => {
@@ -93,25 +94,25 @@
 	const third = ends[2] ?? Number.POSITIVE_INFINITY;
 	const late = ends.filter(at => at > third + contactTime);
 	const lost = views.filter(view => !isServed(view));
-	assert.ok(late.length <= runsAllowed, `${late.length} replicas ended later than ${contactTime} ms after the third, ${ends.length} in all`);
-	assert.ok(ends.length <= endsAllowed, `${ends.length} replicas ended`);
+	assert.ok(late.length <= runsAllowed, `${late.length} replicas crashed later than ${contactTime} ms after the third, ${ends.length} in total`);
+	assert.ok(ends.length <= endsAllowed, `${ends.length} replicas crashed`);
 	assert.ok(lost.length <= views.length * lossAllowed, `${lost.length} of ${views.length} other requests were lost`);
-	assert.ok(answers.every(({status}) => status === 502 || status === 503), 'nobody is told that it was served');
-	assert.ok(answers.filter(({status}) => status === 503).every(({headers}) => Number(headers['retry-after']) > 0), 'who is refused is told when to come back');
+	assert.ok(answers.every(({status}) => status === 502 || status === 503), 'no response says that the request was served');
+	assert.ok(answers.filter(({status}) => status === 503).every(({headers}) => Number(headers['retry-after']) > 0), 'a refusal says when to retry');
 });
 
-test('a box that starts later keeps it from replicas too', async () => {
+test('a box that starts later quarantines the request too', async () => {
 	const relay = await installation.addRelay('relay-late');
 	await until(() => relay.node.suspectsRequests);
 	const answer = await installation.call(poison, relay);
 	assert.equal(answer.status, 503);
 });
 
-test('requests that stood beside ends of another cause are kept from nothing, though they come again and again', async () => {
+test('requests that were in progress during unrelated crashes are not quarantined, although their clients send them again and again', async () => {
 	let isOver = false;
 	const linesBefore = installation.relays.map(({log}) => log.lines.length);
 	let ends = 0;
-	/** Clients that were served by what they sent since the last end. */
+	/** Clients that were served since the last crash by a request that they sent after it. */
 	const served = new Set<number>();
 	const others = callOthers({
 		isOver: () => isOver,
@@ -127,7 +128,7 @@
 	});
 	for (const index of Array.from({length: otherEnds}).keys()) {
 		await pause(sendPause);
-		// Who is cut at end after end and never served between cannot be told from who ends them, however slow this machine is.
+		// A request that is cut by crash after crash and never served in between looks like their cause, so wait until all are served on a slow machine too.
 		await until(() => served.size === otherClients);
 		await installation.end(replicaIds[index % replicaIds.length]!);
 		ends++;
@@ -138,18 +139,18 @@
 	isOver = true;
 	const views = await others;
 	const lines = installation.relays.flatMap(({log}, index) => log.lines.slice(linesBefore[index]));
-	assert.ok(lines.some(({eventName}) => eventName === 'replicaEnded'), 'replicas ended under requests');
+	assert.ok(lines.some(({eventName}) => eventName === 'replicaEnded'), 'replicas crashed under requests');
 	assert.deepEqual(lines.filter(({eventName, reason}) => eventName === 'requestQuarantined' || reason === 'quarantined'), []);
 	besideOtherEnds = views;
 });
 
-test('hardly any of those that stood beside ends of another cause is lost', () => {
+test('few requests that were in progress during unrelated crashes are lost', () => {
 	const lost = besideOtherEnds.filter(view => !isServed(view));
 	assert.ok(besideOtherEnds.length > 0);
 	assert.ok(lost.length <= besideOtherEnds.length * lossAllowed, `${lost.length} of ${besideOtherEnds.length} were lost`);
 });
 
-test('a request that stood beside three ends, at another box, is served, and the one that ended them is not run', async context => {
+test('a request that was in progress at another box during three crashes is served, and the request that caused them is not run', async context => {
 	const small = await RelayInstallation.start({relays: 2, replicas: ['i-1']});
 	context.after(async () => small.close());
 	const [first, second] = small.relays;
@@ -157,7 +158,7 @@
 	const asked = fingerprintOf({
 		method: innocent.method, target: innocent.path, clientAccount: 'basin', body: Buffer.from(innocent.body),
 	});
-	// It answers nothing by itself: whoever is there when it ends is cut, however slow this machine is.
+	// The replica answers nothing in time, so every request that it runs is cut by the crash, on a slow machine too.
 	small.replicas.get('i-1')!.behave({delay: 10_000});
 	small.crashOn(mark, () => undefined);
 	const isListed = (times: number) => small.relays.every(({log}) => log.lines.filter(({eventName}) => eventName === 'replicaListed').length === times);
@@ -166,17 +167,17 @@
 		const {everyReplica} = small;
 		const beside = small.call(innocent, first);
 		await until(() => everyReplica.at(-1)!.seen.length === 1);
-		// Some time later, so that the two were there for different times.
+		// The poison request starts later, so that the two have run for different times at the crash.
 		await pause(150);
 		await small.call(poison, second);
 		assert.notEqual((await beside).status, 200);
 	}
 
-	// An end is told some time after the cut.
+	// A crash is logged some time after the connections were cut.
 	await until(() => isListed(4));
 	small.replicas.get('i-1')!.behave({});
 	const ends = first!.log.lines.filter(({eventName, suspects}) => eventName === 'replicaEnded' && String(suspects).includes(asked)).map(({start}) => start);
-	assert.equal(new Set(ends).size, 3, 'it stood beside three');
+	assert.equal(new Set(ends).size, 3, 'the innocent request was in progress during three crashes');
 	for (const relay of small.relays) {
 		assert.equal((await small.call(innocent, relay)).status, 200);
 		assert.equal((await small.call(poison, relay)).status, 503);
--- a/src/node/test/relay-configuration.test.ts
+++ b/src/node/test/relay-configuration.test.ts
@@ -15,7 +15,7 @@
 const versionsReach = async (version: number, relays: readonly RelayMember[] = installation.relays): Promise<void> =>
 	until(() => relays.every(({log}) => log.lines.some(line => line.eventName === 'routesApplied' && line.version === version)));
 
-test('a new configuration is in force on every relay, and an older one never again', async () => {
+test('a new configuration is applied on every relay, and an older version is never applied again', async () => {
 	const version = installation.configure({routes: [routeTo('/calls/'), routeTo('/new/')]});
 	await versionsReach(version);
 	const views = await Promise.all(installation.relays.map(async relay => installation.call({path: '/new/x'}, relay)));
@@ -27,7 +27,7 @@
 	assert.equal((await installation.call({path: '/new/x'})).status, 200);
 });
 
-test('a change in a gap of the history arrives by a list', async () => {
+test('a configuration change that the watch history no longer has arrives with the next list', async () => {
 	const quiet = installation.store.faults;
 	installation.store.faults = {...quiet, isBusy: true};
 	const version = installation.configure({routes: [routeTo('/calls/'), routeTo('/gap/')]});
@@ -37,7 +37,7 @@
 	assert.equal((await installation.call({path: '/gap/x'})).status, 200);
 });
 
-test('without any proof of freshness requests with keys are refused as not run, and served again afterwards', async () => {
+test('requests with keys are refused without being run while no proof of freshness arrives, and are served again afterwards', async () => {
 	installation.store.faults = {isSilent: true, isBusy: false, losesAnswers: false};
 	await until(() => installation.relays.every(({node}) => !node.isReady));
 	const view = await installation.call({path: '/calls/x'});
@@ -48,7 +48,7 @@
 	assert.equal((await installation.call({path: '/calls/x'})).status, 200);
 });
 
-test('a relay that starts while the store is out answers 503 and does not end; then it serves', async () => {
+test('a relay that starts during a store outage answers 503 and does not exit, and serves requests after the outage', async () => {
 	installation.store.faults = {isSilent: false, isBusy: true, losesAnswers: false};
 	const late = await installation.startRelay('relay-late');
 	assert.equal(late.node.isReady, false);
--- a/src/node/test/relay-duties.test.ts
+++ b/src/node/test/relay-duties.test.ts
@@ -27,17 +27,17 @@
 	const counts = new Map<unknown, string>();
 	for (const {body} of reports()) {
 		const text = JSON.stringify(body.counts);
-		assert.equal(counts.get(body.window_id) ?? text, text, 'no window is reported with two counts');
+		assert.equal(counts.get(body.window_id) ?? text, text, 'no window is reported with different counts');
 		counts.set(body.window_id, text);
 	}
 
 	const holders = new Map(calls.map(({fence, holder}) => [fence, holder]));
 	for (const {fence, holder} of calls) {
-		assert.equal(holders.get(fence), holder, 'a fence belongs to one holder');
+		assert.equal(holders.get(fence), holder, 'a fence token belongs to one holder');
 	}
 
 	const fences = calls.map(({fence}) => fence);
-	assert.deepEqual(fences, [...fences].sort((left, right) => left - right), 'fences only rise');
+	assert.deepEqual(fences, [...fences].sort((left, right) => left - right), 'fence tokens never decrease');
 }
 
 const reported = (): number => {
@@ -45,7 +45,7 @@
 	return [...byWindow.values()].map(counts => counts.basin ?? 0).reduce((left, right) => left + right, 0);
 };
 
-test('usage of all relays is reported once by one holder, and another goes on when it ends, also with lost answers', async () => {
+test('one holder reports the usage of all relays once, and another takes over when it exits, also when store responses are lost', async () => {
 	await until(() => reports().length > 0);
 	await Promise.all(installation.relays.flatMap(relay => Array.from({length: 5}, async () => installation.call({path: '/calls/x'}, relay))));
 	await until(() => reported() === 15);
@@ -64,7 +64,7 @@
 	assertRules(installation.store.dutyCalls);
 });
 
-test('replicas are ordered in every data centre of the service, and the orders stand in the store', async () => {
+test('replicas are ordered in every data centre of the service, and the orders are saved in the store', async () => {
 	await until(() => new Set(orders().map(({body}) => body.zone)).size === 2);
 	const record = installation.store.spec('waydrift-duties', 'record') as {readonly orders: readonly unknown[]; readonly baseline: ReadonlyArray<{readonly replicas: number}>};
 	assert.equal(record.orders.length, 2);
@@ -72,7 +72,7 @@
 	assertRules(installation.store.dutyCalls);
 });
 
-test('a first fleet that lists itself one replica after the other is counted whole before any of it is given up', async () => {
+test('the first replicas of a fleet are all counted before any is given up, although they register one after the other', async () => {
 	const slow = await RelayInstallation.start({
 		relays: 1,
 		replicas: ['i-1'],
--- a/src/node/test/relay-large-fleet.test.ts
+++ b/src/node/test/relay-large-fleet.test.ts
@@ -6,8 +6,9 @@
 import {RelayInstallation, routeTo, until} from '../../../development/relay/relay-installation.js';
 
 const boxes = 15;
+/** Maximum number of requests until a condition must hold. */
 const mostAsked = 300;
-/** Milliseconds until all boxes were told their parts and their metrics were sampled. */
+/** Milliseconds in which all boxes receive their parts of a limit and sample their metrics. */
 const settlingTime = 4000;
 let installation: RelayInstallation;
 
@@ -15,7 +16,7 @@
 	installation = await RelayInstallation.start({
 		relays: boxes, replicas: ['i-1', 'i-2'], withDuties: true, bounds: {reportWindow: 2000, reportDelay: 9000},
 	});
-	// One knows of all others only after some rounds.
+	// A box knows all other boxes only after some gossip rounds.
 	await until(() => aggregators().length === 3);
 });
 
@@ -24,7 +25,7 @@
 const isAggregator = (relay: RelayInstallation['relays'][number]): boolean => relay.log.lines
 	.findLast(({eventName}) => eventName === 'aggregatorChanged')?.isAggregator === true;
 const aggregators = () => installation.relays.filter(relay => isAggregator(relay));
-/** @returns Requests a second that are the box's part of limits, as its metrics have it. */
+/** @returns The part of the limits of replicas that a box may use, in requests per second, from its metrics. */
 async function partOf({metrics}: RelayInstallation['relays'][number]): Promise<number> {
 	const {values} = await metrics.replicaLimitPart.get();
 	return sumOf(values.map(({value}) => value));
@@ -39,8 +40,8 @@
 }
 
 const versionsIn = () => installation.relays.map(({log}) => log.lines.findLast(({eventName}) => eventName === 'routesApplied')?.version);
-test('a few boxes ask the store for all', async () => {
-	// Boxes that followed the store before they knew the fleet end their last watch.
+test('only a few boxes read the store, on behalf of all', async () => {
+	// Boxes that followed the store before they knew the fleet finish their last watch.
 	await pause(4500);
 	const before = installation.store.calls;
 	await pause(3000);
@@ -48,7 +49,7 @@
 	assert.ok(calls < boxes * 3, `${calls} calls in 3 s`);
 });
 
-test('a configuration and a replica that leaves are known on every box, though few boxes ask', async () => {
+test('a new configuration and the departure of a replica reach every box, although few boxes read the store', async () => {
 	const version = installation.configure({routes: [routeTo('/new/')]});
 	await until(() => versionsIn().every(known => known === version));
 	installation.list('i-2', {state: 'draining'});
@@ -67,10 +68,10 @@
 
 	await until(() => reported() === boxes);
 	const holder = installation.store.dutyCalls.findLast(({path}) => path === '/usage')?.holder;
-	assert.ok(aggregators().some(({name}) => name === holder), `${holder} hears few others`);
+	assert.ok(aggregators().some(({name}) => name === holder), `${holder} is no aggregator`);
 });
 
-test('what a replica names to one box is known on all, their parts of it add up to it, and so is its end', async () => {
+test('a limit that a replica announces to one box reaches all boxes, their parts add up to it, and its end reaches all boxes too', async () => {
 	const limit = 15;
 	const outsider = installation.relays.find(relay => !isAggregator(relay))!;
 	const replica = installation.replicas.get('i-3')!;
@@ -79,20 +80,20 @@
 	await askUntil(outsider, () => hasHeard('replicaLimited'));
 	// Metrics are sampled each second, and parts follow the demand.
 	for (let asked = 0; await partOf(outsider) < limit / boxes * 1.5; asked++) {
-		assert.ok(asked < mostAsked, `${await partOf(outsider)} is its part, though it alone is asked`);
+		assert.ok(asked < mostAsked, `${await partOf(outsider)} is its part, although it alone gets requests`);
 		await installation.call({path: '/new/x'}, outsider);
 	}
 
 	await pause(settlingTime);
 	const parts = await Promise.all(installation.relays.map(async relay => partOf(relay)));
-	assert.ok(Math.abs(sumOf(parts) - limit) < limit * 0.1, `${sumOf(parts)} in all`);
+	assert.ok(Math.abs(sumOf(parts) - limit) < limit * 0.1, `${sumOf(parts)} in total`);
 	replica.limit = undefined;
-	// Only who asks it hears that.
+	// Only a box that sends requests to the replica learns of this from its responses.
 	await askUntil(outsider, () => hasHeard('replicaLimitEnded'));
 	assert.ok(installation.relays.some(({log}) => log.lines.some(({eventName, source}) => eventName === 'replicaLimited' && source === 'digest')));
 });
 
-test('when all aggregators end others take their place, and a configuration still comes to every box', async () => {
+test('when all aggregators exit, other boxes replace them, and a new configuration still reaches every box', async () => {
 	const gone = aggregators();
 	await Promise.all(gone.map(async ({end}) => end()));
 	for (const relay of gone) {
--- a/src/node/test/relay-quota.test.ts
+++ b/src/node/test/relay-quota.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {RelayInstallation, until} from '../../../development/relay/relay-installation.js';
 
-test('a relay that starts among others holds nothing against a client account that passed long before', async () => {
+test('a relay that joins a fleet does not charge a client account for requests that were admitted long before', async () => {
 	const installation = await RelayInstallation.start({relays: 2, replicas: ['i-1'], tenant: {rate_per_s: 100, burst: 60}});
 	const [first, second] = installation.relays;
 	try {
@@ -30,7 +30,7 @@
 	}
 });
 
-test('a request that says it uses less than nothing gives its client account nothing', async () => {
+test('a request with a negative token count gives its client account no quota back', async () => {
 	const installation = await RelayInstallation.start({
 		relays: 1, replicas: ['i-1'], tenant: {
 			rate_per_s: 1, burst: 1000, unit: 'token_count', plain_tokens: 100,
--- a/src/node/test/relay-serving.test.ts
+++ b/src/node/test/relay-serving.test.ts
@@ -31,7 +31,7 @@
 const seen = (): readonly SeenRequest[] => [...first.seen, ...second.seen];
 const runs = (): readonly SeenRequest[] => [...first.runs, ...second.runs];
 
-test('a request reaches one replica with path, query, body and id as sent, the client account set and the key taken off', async () => {
+test('a request reaches one replica with its path, query, body and id unchanged, the client account set and the key removed', async () => {
 	const view = await installation.call({
 		path: '/calls/a%2Fb?x=1', method: 'POST', body: 'bytes', headers: {'Attempt-Id': 'abc', Tenant: 'somebody', 'X-Own': 'kept'},
 	});
@@ -43,35 +43,35 @@
 	assert.equal(request!.headers.tenant, 'basin');
 	assert.equal(request!.headers.authorization, undefined);
 	assert.equal(request!.headers['x-own'], 'kept');
-	assert.ok(Number(request!.headers['deadline-ms']) <= 2000, 'the deadline handed on is what the route leaves');
+	assert.ok(Number(request!.headers['deadline-ms']) <= 2000, 'the deadline that is passed on is bounded by the timeout of the route');
 });
 
-test('a stream that may be resumed is begun elsewhere when its replica fails it before the first event, another is not', async () => {
+test('a resumable stream is retried at another replica after a failure before the first event, and other streams are not', async () => {
 	for (const replica of [first, second]) {
 		replica.behave({fault: 'error'});
 	}
 
 	const failed = await installation.call({path: '/stream/x', method: 'POST', body: '1'});
-	assert.equal(failed.status, 500, 'the replica\'s own answer goes to the client where nothing better comes');
+	assert.equal(failed.status, 500, 'the client gets the error response of a replica if no attempt succeeds');
 	assert.deepEqual([first.runs.length, second.runs.length], [1, 1]);
 	await installation.call({path: '/whole/x', method: 'POST', body: '1'});
 	assert.equal(runs().length, 3);
 });
 
-test('headers that are the system\'s to set reach no replica as a client sent them', async () => {
+test('values that a client sends for headers of the system reach no replica', async () => {
 	const sent = Object.fromEntries(Object.values(systemHeader).map(name => [name, '31']));
-	// Each by itself too: one of them may hide another's passing.
+	// Each header is also sent alone: one of them may hide that another is passed on.
 	await installation.call({path: '/calls/all', headers: sent});
 	await Promise.all(Object.entries(sent).map(async ([name, value]) => installation.call({path: `/calls/${name}`, headers: {[name]: value}})));
 	assert.equal(seen().length, 1 + Object.keys(sent).length);
 	for (const {headers, target} of seen()) {
 		const passed = Object.keys(sent).filter(name => headers[name.toLowerCase()] === '31' && name !== systemHeader.deadline);
 		assert.deepEqual(passed, [], target);
-		assert.ok(Number(headers['deadline-ms']) <= 31 || !target.endsWith('all'), 'the client\'s own deadline bounds what is handed on');
+		assert.ok(Number(headers['deadline-ms']) <= 31 || !target.endsWith('all'), 'the deadline of the client bounds the one that is passed on');
 	}
 });
 
-test('a body in chunks arrives whole, with a length', async () => {
+test('a chunked body arrives complete, with a length', async () => {
 	const view = await installation.call({
 		path: '/calls/x', method: 'POST', body: 'chunked', headers: {'Transfer-Encoding': 'chunked'},
 	});
@@ -79,7 +79,7 @@
 	assert.equal(seen()[0]!.body, 'chunked');
 });
 
-test('what no route takes is 404, an unknown key 401, and neither reaches a replica', async () => {
+test('a request without a route gets 404, one with an unknown key gets 401, and neither reaches a replica', async () => {
 	const views = await Promise.all([
 		installation.call({path: '/nowhere/x'}),
 		installation.call({path: '/calls/x', host: 'other.example'}),
@@ -89,18 +89,18 @@
 	assert.equal(seen().length, 0);
 });
 
-test('a request that may be repeated is sent again after a 500, once, and the good answer counts', async () => {
+test('a retryable request is retried once after a 500, and the client gets the successful response', async () => {
 	first.behave({fault: 'error'});
 	second.behave({fault: 'error'});
 	const failed = await installation.call({path: '/calls/x'});
-	assert.equal(failed.status, 500, 'the replica\'s own answer goes to the client where nothing better comes');
+	assert.equal(failed.status, 500, 'the client gets the error response of a replica if no attempt succeeds');
 	assert.equal(runs().length, 2);
 	second.behave({});
 	const views = await Promise.all(Array.from({length: 6}, async () => installation.call({path: '/calls/x'})));
 	assert.deepEqual(views.map(({status}) => status), Array.from({length: 6}, () => 200));
 });
 
-test('a failure that a replica made goes to the client also where the next try brings nothing before the deadline', async () => {
+test('the error response of a replica goes to the client if the next attempt gets no response before the deadline', async () => {
 	first.behave({fault: 'error', delay: 900});
 	second.behave({fault: 'error', delay: 900});
 	const view = await installation.call({path: '/calls/x', headers: {'Deadline-Ms': '1500'}});
@@ -120,12 +120,12 @@
 
 const badAnswers = ['reset', 'cut', 'wrong-id', 'encoded', 'unframed-reset', 'unframed-crash'] as const;
 for (const fault of badAnswers) {
-	test(`a request that may run once is sent once, and gets 502 when its answer is bad: ${fault}`, async () => {
+	test(`a request that may run only once is sent once, and gets 502 when its response is invalid: ${fault}`, async () => {
 		await assertOnceWith502(fault);
 	});
 }
 
-test('a request that every replica refuses without running gets 503 with the time to come back', async () => {
+test('a request that every replica refuses without running it gets 503 with a retry time', async () => {
 	first.behave({fault: 'refuse'});
 	second.behave({fault: 'refuse'});
 	const view = await installation.call({path: '/once/x', method: 'POST', body: '1'});
@@ -134,7 +134,7 @@
 	assert.equal(runs().length, 0);
 });
 
-test('a replica that has its address no more gets nothing further, and the request runs elsewhere', async () => {
+test('a replica whose address now belongs to another one gets no further requests, and the request runs at another replica', async () => {
 	first.behave({fault: 'elsewhere'});
 	const views = await Promise.all(Array.from({length: 8}, async () => installation.call({path: '/once/x', method: 'POST', body: '1'})));
 	assert.ok(views.every(({status}) => status === 200));
@@ -148,7 +148,7 @@
 	await until(() => installation.relays[0]!.log.lines.some(({replica, eventName}) => eventName === 'replicaListed' && replica === 'i-1b'));
 });
 
-test('surplus bytes behind an answer reach no other request', async () => {
+test('surplus bytes after a response do not reach another request', async () => {
 	const agent = new Agent({keepAlive: true, maxSockets: 1});
 	first.behave({fault: 'extra'});
 	second.behave({fault: 'extra'});
@@ -162,7 +162,7 @@
 	assert.deepEqual(views.map(({headers}) => headers['attempt-id']), [1, 2, 3, 4, 5, 6].map(index => `e-${index}`));
 });
 
-test('an answer without a length is whole when its connection ends', async () => {
+test('a response without a length is complete when its connection ends', async () => {
 	first.behave({fault: 'unframed'});
 	second.behave({fault: 'unframed'});
 	const view = await installation.call({path: '/calls/x'});
@@ -170,7 +170,7 @@
 	assert.match(view.body, /^answer of i-/v);
 });
 
-test('a stream that may be resumed goes on elsewhere with no event missing or doubled', async () => {
+test('a resumable stream continues at another replica with no event missing or duplicated', async () => {
 	first.behave({events: 10, fault: 'cut-stream'});
 	second.behave({events: 10, fault: 'cut-stream'});
 	const views = await Promise.all(Array.from({length: 9}, async () => installation.call({path: '/stream/x', method: 'POST', body: 'p'})));
@@ -185,7 +185,7 @@
 	assert.equal(resumed.length, 9);
 });
 
-test('a stream that may not be resumed does not look whole when it was cut', async () => {
+test('a stream that is not resumable does not look complete to the client when it was cut', async () => {
 	first.behave({events: 10, fault: 'cut-stream'});
 	second.behave({events: 10, fault: 'cut-stream'});
 	const view = await installation.call({path: '/whole/x', method: 'POST', body: 'p'});
@@ -193,7 +193,7 @@
 	assert.equal(runs().length, 1);
 });
 
-test('a replica stops work when the client leaves, long before any time-out', async () => {
+test('a replica stops a run when the client disconnects, long before any timeout', async () => {
 	first.behave({events: 3000, gap: 20});
 	second.behave({events: 3000, gap: 20});
 	const leaving = new AbortController();
@@ -206,7 +206,7 @@
 	await until(() => seen()[0]!.isAbandoned);
 });
 
-test('a request held to its route\'s time-out ends then, and is not said to have not run', async () => {
+test('a request that gets no response before its deadline ends with 504, which does not claim that it was not run', async () => {
 	first.behave({fault: 'mute'});
 	second.behave({fault: 'mute'});
 	const view = await installation.call({
@@ -216,7 +216,7 @@
 	await until(() => seen()[0]!.isAbandoned);
 });
 
-test('a replica that drains gets no new request, also one seen draining by a late list', async () => {
+test('a draining replica gets no new request, even if a later entry says that it is ready', async () => {
 	installation.list('i-2', {state: 'draining', seq: 2});
 	await until(() => installation.relays[0]!.log.lines.some(({eventName, replica}) => eventName === 'replicaLeaving' && replica === 'i-2'));
 	installation.list('i-2', {state: 'ready', seq: 3});
@@ -225,7 +225,7 @@
 	assert.equal(first.seen.length, 10);
 });
 
-test('connections to replicas are kept', async () => {
+test('connections to replicas are kept alive and reused', async () => {
 	const before = first.connections;
 	for (const _ of Array.from({length: 10})) {
 		await installation.call({path: '/calls/x', headers: {Authorization: `Bearer ${testKey}`}});
--- a/src/node/test/relay-stopping.test.ts
+++ b/src/node/test/relay-stopping.test.ts
@@ -23,7 +23,7 @@
 	}).on('error', reject);
 });
 
-test('a relay that is stopped is not ready at once, goes on serving, ends kept connections by answers, and ends', async () => {
+test('a relay that is stopped becomes unready at once, goes on serving, closes kept-alive connections with its responses, and stops', async () => {
 	const agent = new Agent({keepAlive: true, maxSockets: 1});
 	assert.equal(await readiness(), 200);
 	assert.equal((await installation.call({path: '/calls/x', agent})).headers.connection, 'keep-alive');
@@ -32,14 +32,14 @@
 	const kept = await installation.call({path: '/calls/x', agent});
 	assert.equal(kept.status, 200);
 	assert.equal(kept.headers.connection, 'close');
-	assert.equal((await installation.call({path: '/calls/x'})).status, 200, 'new connections are taken while the balancer still sends');
+	assert.equal((await installation.call({path: '/calls/x'})).status, 200, 'new connections are accepted while the load balancer still sends them');
 	installation.replicas.get('i-1')!.behave({events: 60, gap: 20});
 	const stream = installation.call({path: '/whole/x', method: 'POST', body: 'p'});
 	await new Promise(resolve => {
 		setTimeout(resolve, 3200);
 	});
 	const late = await installation.call({path: '/calls/x'});
-	assert.equal(late.status, 503, 'what comes long after the stop is refused, so that nothing is given up at its end');
+	assert.equal(late.status, 503, 'a request long after the stop signal is refused, so that none is aborted at the end');
 	assert.equal(late.headers.connection, 'close');
 	assert.equal((await stream).isWhole, true);
 	await stopped;
--- a/src/node/test/relay-store-outage.test.ts
+++ b/src/node/test/relay-store-outage.test.ts
@@ -29,11 +29,11 @@
 
 const silence = () => {
 	installation.store.faults = {isSilent: true, isBusy: false, losesAnswers: false};
-	// Watches that wait are cut.
+	// Ends the watches in progress.
 	installation.store.forgetHistory();
 };
 
-test('while the store is out no request is lost, on new connections and on kept ones, whatever may be repeated', async () => {
+test('no request is lost during a store outage, on new and on kept-alive connections, whether it may be retried or not', async () => {
 	silence();
 	staying.behave({delay: 300});
 	leaving.behave({delay: 300});
@@ -47,14 +47,14 @@
 	}));
 	agent.destroy();
 	assert.deepEqual(views.map(({status, isWhole}) => [status, isWhole]), Array.from({length: 24}, () => [200, true]));
-	assert.equal(staying.runs.length + leaving.runs.length, 24, 'each ran once');
+	assert.equal(staying.runs.length + leaving.runs.length, 24, 'each request ran once');
 });
 
-test('a leaving that a relay knows of binds it while the store is out, and when it is back', async () => {
+test('a known departure of a replica is respected during a store outage and after it', async () => {
 	installation.list('i-2', {state: 'draining', seq: 2});
 	await until(() => installation.relays.every(({log}) => log.lines.some(({eventName, replica}) => eventName === 'replicaLeaving' && replica === 'i-2')));
 	silence();
-	// Longer than any list of theirs is believed to be whole.
+	// The requests last longer than a list of replicas counts as complete without an update.
 	const {relays} = installation;
 	const views = await Promise.all(Array.from({length: 24}, async (_, index) => {
 		await pause(index * 50);
--- a/src/node/test/relay-streams.test.ts
+++ b/src/node/test/relay-streams.test.ts
@@ -1,10 +1,9 @@
 /**
- * Clients of streams that may be resumed got an event without an id: one byte of an event of a replica that had ended, and
- * behind it the whole event of the next replica. A piece of one character that came while nothing was held back was taken for a
- * whole event, since the blank line "was found" at position -1, and the length less two was -1 too. Where a replica ended one byte
- * into the third of six events the client read "iid: 3", and the line of the request told "events":7,"resumedBehind":"2","misfits":1
- * with nothing held back. Where each event came with its first byte by itself 22 of 22 streams were wrong: no id was seen at all, the
- * next run began anew, and numbers went back.
+ * Guards against corrupt events in resumable streams. A client got one byte of an event of a crashed replica, followed by the whole event of the next
+ * replica. A chunk of one character that arrived while no bytes were buffered counted as a whole event, since the search for the blank line returned -1
+ * and the length minus two was -1 too. When a replica crashed one byte into the third of six events, the client read "iid: 3", and the log line of the
+ * request had "events":7,"resumedBehind":"2","misfits":1 with no bytes held back. When each event arrived with its first byte in a separate chunk, 22 of
+ * 22 streams were wrong: no id was recognised, the next run began from the start, and event numbers went back.
  */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -19,9 +18,9 @@
 const brokenEvent = 3;
 const eventBytes = Buffer.byteLength(eventOf('i-1', brokenEvent));
 const everyCut = Array.from({length: eventBytes}, (_, bytes) => bytes);
-/** Repeats are not what is tested: none is refused for their number. */
+/** High enough that no retry is denied: the retry budget is not tested here. */
 const bounds = {retrySlack: 100_000};
-/** Streams at once, so that each replica takes all of them. */
+/** Number of concurrent streams, within the slots of each replica. */
 const atOnce = 8;
 
 let installation: RelayInstallation;
@@ -38,24 +37,24 @@
 
 after(async () => installation.close());
 
-/** @returns What a client gets of a stream that is written so. */
+/** @returns What a client receives of a stream that replicas write as described. */
 const streamOnce = async (stream: Partial<StreamConduct>, headers: Readonly<Record<string, string>> = {}): Promise<ClientView> => installation.call({
 	path: '/stream/x', method: 'POST', body: JSON.stringify(stream), headers,
 });
 
-/** @returns The events of a body, each with its blank line, and behind them what has none. */
+/** @returns The events of a body, each with its blank line, and after them any incomplete event. */
 const eventsIn = (body: string): readonly string[] => body.split(/(?<=\n\n)/v).filter(event => event !== '');
 
 const isOneEvent = (event: string, number: number): boolean => replicas.some(({id}) => event === eventOf(id, number));
 
-/** @returns What is wrong with what a client got; `undefined` where it is each event once, whole and in order. */
+/** @returns What is wrong with a received stream; `undefined` if it has each event once, whole and in order. */
 const faultOf = ({status, body, isWhole}: ClientView, first = 1): string | undefined => {
 	const got = eventsIn(body);
 	const isRight = isWhole && got.length === events - first + 1 && got.every((event, index) => isOneEvent(event, first + index));
 	return isRight ? undefined : `${status} ${isWhole ? 'whole' : 'cut'} ${JSON.stringify(body)}`;
 };
 
-/** @returns Whether a client got events from the first on, each whole and in order, however many, or the news that there are none. */
+/** @returns Whether a client got any number of events from the first on, each whole and in order, or status 502 and no event. */
 const isBeginning = ({status, body}: ClientView): boolean => {
 	const got = eventsIn(body);
 	return status === 502 ? !body.includes('id:') : got.every((event, index) => isOneEvent(event, index + 1));
@@ -80,7 +79,7 @@
 const pieces = ['whole', 'first-apart', 'bytes', 'together'] as const;
 const endings = ['reset', 'close'] as const;
 
-test('a stream whose replica ends inside an event goes on with whole events only, wherever it ends and in whatever pieces bytes come', async () => {
+test('a stream whose replica crashes inside an event continues with whole events only, at whichever byte it crashes and however bytes are chunked', async () => {
 	const chunked = pieces.flatMap(piece => endings.flatMap(ending => everyCut.map(bytes => ({pieces: piece, ending, breaksAt: {event: brokenEvent, bytes}}))));
 	const unframed = pieces.flatMap(piece => everyCut.map(bytes => ({
 		pieces: piece, framing: 'none' as const, ending: 'reset' as const, breaksAt: {event: brokenEvent, bytes},
@@ -88,8 +87,8 @@
 	assert.deepEqual(await faultsOf([...chunked, ...unframed]), []);
 });
 
-test('a stream without a length whose connection ends inside an event is not whole', async () => {
-	// Where no byte of an event has come nobody can tell.
+test('a stream without a length whose connection ends inside an event counts as cut', async () => {
+	// Without any byte of the event the cut cannot be detected.
 	const streams = pieces.flatMap(piece => everyCut.slice(1).map(bytes => ({
 		pieces: piece, framing: 'none' as const, ending: 'close' as const, breaksAt: {event: brokenEvent, bytes},
 	})));
@@ -108,16 +107,16 @@
 	}
 
 	const anew = await streamOnce({goesOn: 'anew'}, {'Last-Event-Id': '2'});
-	assert.deepEqual([anew.status, anew.body.includes('id:')], [502, false], 'a stream that the client takes up again');
+	assert.deepEqual([anew.status, anew.body.includes('id:')], [502, false], 'a stream that the client resumes');
 });
 
-test('a stream that a client takes up again goes on behind the event that it names', async () => {
+test('a stream that a client resumes continues after the event that the client names', async () => {
 	assert.equal(faultOf(await streamOnce({}, {'Last-Event-Id': '2'}), 3), undefined);
 });
 
-test('a stream goes on elsewhere where a replica brings an event that does not come next', async () => {
+test('a stream continues at another replica when a replica sends an event out of sequence', async () => {
 	const scripts = replicas.map(({scriptOf}) => scriptOf);
-	// Whichever replica is asked first.
+	// Every second run sends an event without an id, whichever replica is asked first.
 	let runs = 0;
 	const everySecond = (): Partial<StreamConduct> => {
 		runs++;
@@ -139,11 +138,11 @@
 
 	assert.deepEqual(views.map(view => faultOf(view)).filter(fault => fault !== undefined), []);
 	const garbled = installation.relays[0]!.log.lines.filter(({failures, events: count}) => String(failures).includes('unnumbered') && count === events);
-	assert.equal(garbled.length, atOnce, 'each stream had a run that did not fit');
+	assert.equal(garbled.length, atOnce, 'each stream had a run with an event out of sequence');
 });
 
-test('events that were passed on reach the client, also where its stream is cut in the same moment', async () => {
-	// The next event comes in one piece with the first and does not fit; the route allows no other try.
+test('events that were passed on reach the client even if its stream is cut at the same moment', async () => {
+	// The second event arrives in one chunk with the first and is out of sequence; the route allows no second attempt.
 	const views = await Promise.all(everyCut.map(async () => installation.call({
 		path: '/whole/x', method: 'POST', body: JSON.stringify({pieces: 'together', nameless: 2}),
 	})));
--- a/src/node/test/replica-limit.test.ts
+++ b/src/node/test/replica-limit.test.ts
@@ -1,8 +1,8 @@
 /*
- * A replica in need named in its answers how many requests a second it takes from all boxes together. The boxes passed its word on to
- * clients and went on as before: none read it, so each sent its full share, and none knew of what the others sent. The record of
- * the day has a replica that named one a second and got 12 in four seconds of light load, where 11 are allowed; with four boxes and
- * three replicas on loopback it got 436 in four seconds, while every answer was a 200 and no line of any log told of it.
+ * Guards against boxes that ignore the request limit of a replica. An overloaded replica announced in its responses how many requests per second it accepts
+ * from all boxes together. The boxes passed the header on to clients but did not read it, so each sent its full share, and none knew what the other boxes
+ * sent. In the incident a replica that announced one request per second got 12 in four seconds of light load, where 11 are allowed; with four boxes and three
+ * replicas on loopback it got 436 in four seconds, while every response was a 200 and no log line showed it.
  */
 import assert from 'node:assert/strict';
 import {after, before, test} from 'node:test';
@@ -17,17 +17,17 @@
 const clientCount = 24;
 /** Milliseconds between two requests of a client. */
 const clientPause = 60;
-/** Milliseconds from the first answer that names a limit until all boxes must know. */
+/** Milliseconds from the first response with a limit after which all boxes must know it. */
 const contactTime = 3000;
-/** Milliseconds of the spans in which requests are counted. */
+/** Length in milliseconds of the spans in which requests are counted. */
 const span = 4000;
-/** Spans that are looked at behind that. */
+/** Number of spans that are observed after that. */
 const observedSpans = 2;
-/** Requests a second. */
+/** Limit in requests per second. */
 const limit = 1;
-/** One and a half times the limit, and five requests. */
+/** Requests allowed in a span: one and a half times the limit, and five more. */
 const allowed = (1.5 * limit * span / 1000) + 5;
-/** Part of its even share that a replica has to get once it names no limit any more. */
+/** Minimum part of its equal share that a replica must get once it announces no limit any more. */
 const leastShare = 0.5;
 
 let installation: RelayInstallation;
@@ -50,7 +50,7 @@
 	await installation.close();
 });
 
-test('a replica that names a limit gets no more than that of all boxes together, and everybody is served elsewhere', async () => {
+test('a replica that announces a limit gets no more requests than that from all boxes together, and the other replicas serve the rest', async () => {
 	await until(() => arrivalsSince(limited, 0).length > clientCount);
 	const namedAt = performance.now();
 	const viewsBefore = clients.views.length;
@@ -58,23 +58,23 @@
 	await pause(contactTime + (observedSpans * span));
 	const most = mostWithin(arrivalsSince(limited, namedAt + contactTime), span);
 	const served = clients.views.slice(viewsBefore).filter(({status, isWhole}) => status === 200 && isWhole);
-	assert.ok(most <= allowed, `${most} requests in ${span} ms at a replica that takes ${limit} a second; ${allowed} allowed`);
-	assert.equal(served.length, clients.views.length - viewsBefore, 'all are served');
+	assert.ok(most <= allowed, `${most} requests in ${span} ms at a replica with a limit of ${limit} per second; ${allowed} allowed`);
+	assert.equal(served.length, clients.views.length - viewsBefore, 'all requests are served');
 	const lines = installation.relays.flatMap(({log}) => log.lines.filter(({eventName}) => eventName === 'requestAnswered'));
-	assert.ok(lines.some(({keptFrom}) => keptFrom === 1), 'a line says that its request was kept from a replica');
+	assert.ok(lines.some(({keptFrom}) => keptFrom === 1), 'a log line says that a replica was excluded for its request');
 	const inVain = lines.filter(({failures}) => String(failures).includes('withheld'));
-	assert.ok(inVain.length <= clientCount, `${inVain.length} requests were meant for it in vain`);
+	assert.ok(inVain.length <= clientCount, `${inVain.length} requests chose the replica and were withheld`);
 });
 
-test('a box that sends nothing to it hears of it from the others', () => {
+test('a box that sends no requests to the replica learns the limit from the other boxes', () => {
 	const idle = installation.relays[relayCount]!;
 	const told = idle.log.lines.filter(({eventName, replica: id}) => eventName === 'replicaLimited' && id === limited);
-	// In a round of another box, or in the answer to a question of its own.
+	// In a gossip message of another box, or in the digest that it requested.
 	assert.ok(told.some(({source}) => source === 'box' || source === 'digest'), JSON.stringify(told));
-	assert.ok(idle.log.lines.every(({eventName}) => eventName !== 'requestAnswered'), 'it has heard it from no replica');
+	assert.ok(idle.log.lines.every(({eventName}) => eventName !== 'requestAnswered'), 'the box has received no response of a replica');
 });
 
-test('once it names no limit any more it gets its share again', async () => {
+test('a replica that no longer announces a limit gets its share of the requests again', async () => {
 	replica(limited).limit = undefined;
 	await pause(contactTime + span);
 	const since = performance.now() - span;
--- a/src/node/test/replica-role.test.ts
+++ b/src/node/test/replica-role.test.ts
@@ -17,7 +17,7 @@
 const put = (name: string, revision: number, isDraining = false) => ({object: object(name, revision, isDraining), isGone: false});
 const gone = (name: string, revision: number) => ({object: object(name, revision), isGone: true});
 
-/** A role that learns from others alone, given a list to begin with. */
+/** Creates a role that receives updates from peers only and starts with a given list. */
 const roleWith = (objects: readonly StoredObject[], at: number, log: EventLog = SilentEventLog.create()) => {
 	const clock = new MovedClock(1000);
 	const replicas = ReplicaDirectory.create(clock, log);
@@ -48,7 +48,7 @@
 	role.take(sender, {at: changes.at, age: 0}, changes);
 };
 
-test('changes that a peer tells are taken once and in order, also in batches that overlap', () => {
+test('changes from a peer are applied once and in order, also in overlapping batches', () => {
 	const {role, replicas} = roleWith([object('x', 1)], 10);
 	tell(role, {at: 20, changes: [put('y', 12), gone('x', 15)]});
 	assert.deepEqual(ready(replicas), ['y']);
@@ -58,18 +58,18 @@
 	assert.deepEqual(ready(replicas), ['y', 'z']);
 });
 
-test('what was told goes on to a third box, and one that misses too much gets no changes', () => {
+test('received changes are passed on to a third box, and a box that misses too many gets none', () => {
 	const {role} = roleWith([object('x', 1)], 10);
 	tell(role, {at: 20, changes: [put('y', 12), gone('x', 3)]});
 	assert.deepEqual(role.changesSince(10)?.changes.map(({object: {name}}) => name), ['y', 'x']);
 	assert.equal(role.changesSince(10)?.at, 20);
 	assert.deepEqual(role.changesSince(20)?.changes, []);
-	assert.equal(role.changesSince(5), undefined, 'what came before the list is not known');
+	assert.equal(role.changesSince(5), undefined, 'changes before the list are not known');
 	tell(role, {at: 500, changes: Array.from({length: 60}, (_, index) => put(`n${index}`, 100 + index))});
-	assert.equal(role.changesSince(20), undefined, 'too much for one message');
+	assert.equal(role.changesSince(20), undefined, 'too many changes for one message');
 });
 
-test('the list counts as new for as long as somebody who is as far says so', () => {
+test('the list counts as up to date while a peer with the same revision confirms it', () => {
 	const {role, clock} = roleWith([object('x', 1)], 10);
 	clock.now += 3000;
 	assert.equal(role.listState?.age, 3000);
@@ -77,23 +77,23 @@
 	assert.equal(role.listState?.age, 200);
 	clock.now += 100;
 	role.take(sender, {at: 8, age: 0}, undefined);
-	assert.equal(role.listState?.age, 300, 'one that is behind proves nothing');
+	assert.equal(role.listState?.age, 300, 'a peer that is behind proves nothing');
 });
 
-test('an entry that is missing when the store comes back counts as gone only after a while, and not if it is written again', () => {
+test('an entry that is missing after a store outage counts as gone only after a grace time, and not if it is written again', () => {
 	const {role, replicas, clock, comeBack} = roleWith([object('x', 1), object('y', 2), object('z', 3, true)], 10);
 	comeBack();
 	role.takeListing({at: 30, objects: []}, clock.monotonic());
-	assert.deepEqual(ready(replicas), ['x', 'y'], 'what was draining is gone');
+	assert.deepEqual(ready(replicas), ['x', 'y'], 'a draining replica is gone at once');
 	tell(role, {at: 40, changes: [put('y', 35)]});
 	clock.now += 2500;
 	role.dropLapsed();
 	assert.deepEqual(ready(replicas), ['y']);
 	role.takeListing({at: 50, objects: []}, clock.monotonic());
-	assert.equal(replicas.all.length, 0, 'a list in calm times is taken as it is');
+	assert.equal(replicas.all.length, 0, 'without an outage a missing entry is gone at once');
 });
 
-test('a box that learns changes from another one drops in time what may have lapsed, and keeps what is written again', () => {
+test('a box that receives changes from a peer drops expired entries in time, and keeps those that are written again', () => {
 	const first = [object('w', 1), object('x', 1), object('y', 2)];
 	const following = roleWith(first, 10);
 	const learning = roleWith(first, 10);
@@ -101,15 +101,15 @@
 	learning.comeBack();
 	tell(following.role, {at: 20, changes: [gone('x', 15), gone('y', 16)]});
 	tell(learning.role, following.role.changesSince(10)!);
-	assert.deepEqual(ready(learning.replicas), ['w', 'x', 'y'], 'a replica that lives writes its entry again');
+	assert.deepEqual(ready(learning.replicas), ['w', 'x', 'y'], 'a running replica may still write its entry again');
 	tell(learning.role, {at: 30, changes: [put('y', 25)]});
 	learning.clock.now += 2500;
 	learning.role.dropLapsed();
 	assert.deepEqual(ready(learning.replicas), ['w', 'y']);
-	assert.deepEqual(learning.role.listing?.objects.map(({name}) => name), ['w', 'y'], 'nor does it tell others of it');
+	assert.deepEqual(learning.role.listing?.objects.map(({name}) => name), ['w', 'y'], 'the dropped entry is not served to peers either');
 });
 
-test('a box that takes the whole list from another one drops in time what may have lapsed there', () => {
+test('a box that fetches the whole list from a peer drops the entries in time that the peer holds', () => {
 	const following = roleWith([object('x', 1), object('y', 2)], 10);
 	following.comeBack();
 	following.role.takeListing({at: 20, objects: [object('y', 2)]}, following.clock.monotonic());
@@ -122,32 +122,32 @@
 	assert.deepEqual(ready(learning.replicas), ['y']);
 });
 
-test('a change that is told as gone at the revision of its entry reaches a box that is between two revisions', () => {
+test('a removal that has the revision of its entry reaches a box that knows a part of the batch', () => {
 	const first = [object('w', 2), object('x', 3), object('y', 4)];
 	const {role} = roleWith(first, 10);
 	const between = roleWith(first, 10);
-	// What one watch brings in a batch, another one brings in two.
+	// One watch returns in one batch what another watch returns in two.
 	tell(role, {at: 13, changes: [gone('x', 3), gone('y', 4)]});
 	tell(between.role, {at: 12, changes: [gone('x', 3)]});
 	tell(between.role, role.changesSince(12)!);
 	assert.deepEqual(ready(between.replicas), ['w']);
 });
 
-test('changes that begin behind what a box knows are not taken for all there are', () => {
+test('changes that begin after the revision that a box knows are not applied, since some are missing', () => {
 	const {role, replicas} = roleWith([object('x', 1)], 10);
-	// Told to the process that had this box's name before, which knew more.
+	// Sent to the previous process of this box, which knew a higher revision.
 	role.take(sender, {at: 90, age: 0}, {at: 90, from: 80, changes: [put('z', 85)]});
 	assert.equal(role.listState?.at, 10);
 	assert.deepEqual(ready(replicas), ['x']);
 });
 
-/** A position after the store came back from a copy. */
+/** A position after the store was restored from a backup. */
 const restored = (revision: number): number => positionOf(1, revision)!;
 
-test('the list of a store that came back from a copy counts, though its revision is lower, and one of before that comes late does not', () => {
+test('the list of a restored store is applied although its revision is lower, and a late list from before is not', () => {
 	const {role, replicas, clock} = roleWith([object('x', 1), object('y', 2)], 90);
 	role.takeListing({at: restored(20), objects: [object('x', restored(1), true), object('z', restored(12))]}, clock.monotonic());
-	assert.deepEqual(ready(replicas), ['y', 'z'], 'what is missing may be written again');
+	assert.deepEqual(ready(replicas), ['y', 'z'], 'a missing entry may be written again');
 	role.takeListing({at: 95, objects: [object('x', 1), object('y', 2)]}, clock.monotonic());
 	tell(role, {at: 95, changes: [gone('z', 94)]});
 	assert.deepEqual(ready(replicas), ['y', 'z']);
@@ -156,7 +156,7 @@
 	assert.deepEqual(ready(replicas), ['z']);
 });
 
-test('what a peer tells of an era before is older, whatever its revision, and its changes of a later era are no whole list', () => {
+test('an update of an earlier era is ignored whatever its revision, and changes of a later era do not replace a whole list', () => {
 	const {role, replicas} = roleWith([object('x', restored(1))], restored(20));
 	role.take(sender, {at: 90, age: 0}, {at: 90, changes: [gone('x', 90)]});
 	assert.deepEqual(ready(replicas), ['x']);
@@ -165,17 +165,17 @@
 	assert.deepEqual(ready(behind.replicas), ['x']);
 });
 
-test('an entry that left before the store lost that stays without work, and its next start or a later entry of it counts', () => {
+test('a replica stays out of use when the store has lost its departure, until it starts again or writes a later entry', () => {
 	const {role, replicas, clock} = roleWith([object('w', 1), object('x', 2), object('y', 3), object('z', 4)], 50);
 	tell(role, {at: 80, changes: [put('w', 60, true), gone('x', 70), gone('y', 71)]});
 	role.takeListing({at: restored(20), objects: [object('w', restored(1)), object('x', restored(2)), object('y', restored(3)), object('z', restored(4))]}, clock.monotonic());
 	assert.deepEqual(ready(replicas), ['z']);
-	assert.ok(replicas.departedWithin().every(({revision}) => revision === restored(20)), 'boxes that have taken the list are told so too');
+	assert.ok(replicas.departedWithin().every(({revision}) => revision === restored(20)), 'departures are sent with the position of the new list, so that boxes that have applied it accept them');
 	tell(role, {at: restored(30), changes: [gone('x', restored(22)), put('x', restored(25))]});
 	assert.deepEqual(ready(replicas), ['x', 'z']);
 });
 
-test('what goes soon after the store came back counts as gone when entries that lapsed must be back, not as long after it went', () => {
+test('the grace time of an entry that is removed soon after an outage counts from the end of the outage, not from the removal', () => {
 	const {role, replicas, clock, comeBack} = roleWith([object('x', 1), object('y', 2)], 10);
 	comeBack();
 	clock.now += 1600;
@@ -185,7 +185,7 @@
 	assert.deepEqual(ready(replicas), ['y']);
 });
 
-test('a hold is logged with what caused it, how long the store has answered and how long it lasts', () => {
+test('a hold is logged with its cause, the time since the end of the outage, and its duration', () => {
 	const log = new KeepingLog();
 	const {role, clock, comeBack} = roleWith([object('x', 1), object('y', 2)], 10, log);
 	comeBack();
@@ -204,8 +204,8 @@
 	]);
 });
 
-/** Guards against a departed replica that stays in use because one answer of the store was lost. */
-test('an entry that goes after one lost answer of the store, while others are answered, counts as gone at once', () => {
+/** Guards against a departed replica that stays in use because one response of the store was lost. */
+test('an entry that is removed after one lost response of the store, while other boxes get responses, counts as gone at once', () => {
 	const {role, replicas, clock, availability} = roleWith([object('x', 1), object('y', 2), object('z', 3)], 10);
 	availability.noteOwnAnswer();
 	clock.now += 1500;
@@ -217,16 +217,16 @@
 	assert.deepEqual(ready(replicas), ['z']);
 });
 
-/** Guards against a departure that a box has seen and takes back because a peer takes it for a lapse. */
-test('what a peer still holds does not bring back a replica whose departure this box has seen', () => {
+/** Guards against a departure that a box has seen and undoes because a peer assumes that the entry has expired. */
+test('a hold of a peer does not bring back a replica whose departure this box has seen', () => {
 	const {role, replicas, clock} = roleWith([object('x', 1), object('y', 2)], 10);
 	tell(role, {at: 20, changes: [gone('x', 15)]});
 	role.takeListing({at: 30, objects: [object('y', 2)], held: [{object: object('x', 1), left: 1500}]}, clock.monotonic());
 	assert.deepEqual(ready(replicas), ['y']);
 });
 
-/** Guards against a hold that outlives the bound on a departure because it is ended by a sweep that runs later. */
-test('a replica that is held gets nothing from the end of its hold on, nor as a last resort', () => {
+/** Guards against a hold that exceeds the bound on a departure because only a later sweep ends it. */
+test('a held replica gets no requests after the end of its hold, not even as a last resort', () => {
 	const {role, replicas, clock, comeBack} = roleWith([object('x', 1)], 10);
 	comeBack();
 	tell(role, {at: 20, changes: [gone('x', 15)]});
@@ -240,7 +240,7 @@
 	assert.deepEqual(ready(replicas), []);
 });
 
-/** Guards against a peer whose list, or a list that was spoilt on its way, keeps a replica in use for any time. */
+/** Guards against a faulty or corrupted list of a peer that keeps a replica in use for an unlimited time. */
 test('a peer cannot hold a replica for longer than an entry takes to be written again', () => {
 	const {role, replicas, clock} = roleWith([object('y', 2)], 10);
 	role.takeListing({at: 20, objects: [object('y', 2)], held: [{object: object('x', 1), left: 1e9}]}, clock.monotonic());
--- a/src/node/test/replica-start-model.test.ts
+++ b/src/node/test/replica-start-model.test.ts
@@ -13,12 +13,12 @@
 
 const newsKinds = ['list', 'whole', 'late', 'departure', 'restore', 'write-again', 'away'] as const;
 
-/** What may happen to the entry of a replica in the store, or to what a box hears of it. */
+/** What may happen to the entry of a replica in the store, or which update a box receives. */
 type Step =
 	| {readonly kind: 'start' | 'drain' | 'go' | 'spoil'; readonly id: string}
 	| {readonly kind: typeof newsKinds[number]; readonly id: string; readonly part: number};
 
-/** Milliseconds after which what may have lapsed counts as gone. */
+/** Milliseconds after which an expired entry that was not written again counts as gone. */
 const lapseTime = 2500;
 const ids = ['i-1', 'i-2', 'i-3'] as const;
 const sender = {name: 'peer', host: '127.0.0.1', port: 1};
@@ -28,10 +28,10 @@
 	fc.record({kind: fc.constantFrom(...newsKinds), id, part: fc.double({min: 0, max: 1, noNaN: true})}),
 );
 
-/** What the store held at one moment. */
+/** A backup of the store. */
 type Copy = {readonly objects: ReadonlyMap<string, StoredObject>; readonly revision: number; readonly history: ReadonlyArray<Change & {readonly at: number}>};
 
-/** A store with its history, which may come back from a copy, and a box that hears of it in any order that the exchange allows. */
+/** A store with its history, which may be restored from a backup, and a box that receives updates in any order that the gossip protocol allows. */
 class Model {
 	private readonly clock = new MovedClock(100_000);
 	private readonly replicas = ReplicaDirectory.create(this.clock, SilentEventLog.create());
@@ -42,16 +42,16 @@
 	});
 
 	private objects = new Map<string, StoredObject>();
-	/** Changes of eras before. */
+	/** Changes of earlier eras of the store. */
 	private lostHistory: ReadonlyArray<Change & {readonly at: number}> = [];
-	/** What replicas wrote last, whatever the store has lost of it. */
+	/** The last entry that each replica wrote, even if the store has lost it. */
 	private readonly written = new Map<string, unknown>();
 	private copies: readonly Copy[] = [];
 	private era = 0;
 	private history: ReadonlyArray<Change & {readonly at: number}> = [];
 	private revision = 1;
 	private toldTo = 1;
-	/** Whether the box has read a list since the store last came back from a copy. */
+	/** Whether the box has read a list since the store was last restored from a backup. */
 	private isListed = true;
 
 	constructor() {
@@ -94,7 +94,7 @@
 			case 'late': {
 				const known = this.history.filter(({object}) => object.name === what.id);
 				const old = known[Math.floor(what.part * known.length)];
-				// A peer that is behind; what it does not tell lies before that.
+				// A peer that is behind sends one old change; the box already knows the changes before it.
 				if (old && old.at <= this.toldTo) {
 					this.role.take(sender, {at: old.at, age: 0}, {at: old.at, changes: [old]});
 				}
@@ -118,7 +118,7 @@
 			}
 
 			case 'departure': {
-				// Another box saw that an earlier state of the replica was leaving.
+				// Another box reports the departure of an earlier start of the replica.
 				const own = [...this.lostHistory, ...this.history].filter(({object}) => object.name === what.id);
 				const draining = own.filter(({object, isGone}) => isGone || (object.spec as {readonly state: string}).state === 'draining');
 				const one = draining[Math.floor(what.part * draining.length)];
@@ -131,7 +131,7 @@
 		}
 	}
 
-	/** @returns Replicas that the box would use, and those that the store names to use, once all news are in. */
+	/** @returns Replicas that the box would use, and those that the store lists as ready, after all updates have arrived. */
 	settle(): readonly [used: readonly string[], named: readonly string[]] {
 		this.tell(this.revision);
 		for (const name of ids) {
@@ -159,13 +159,13 @@
 		this.objects = new Map(copy.objects);
 		this.revision = positionOf(this.era, revisionOf(copy.revision))!;
 		this.lostHistory = [...this.lostHistory, ...this.history];
-		// The box has to list anew.
+		// Without a history the box has to read the whole list.
 		this.history = [];
 		this.copies = [];
 		this.isListed = false;
 	}
 
-	/** What a replica wrote and the store has lost is written again; the entry of one that has gone lapses. */
+	/** Writes again the entry of a running replica that the store has lost, and drops the entry of one that is gone. */
 	private writeAgain(name: string): void {
 		const spec = this.written.get(name);
 		if (spec === undefined) {
@@ -212,7 +212,7 @@
 		this.isListed = true;
 	}
 
-	/** Changes up to a revision, from anywhere before: batches overlap. */
+	/** Sends all changes up to a revision, including known ones: batches overlap. */
 	private tell(upTo: number): void {
 		if (!this.isListed) {
 			this.listAnew();
@@ -225,7 +225,7 @@
 	}
 }
 
-test('a replica is used if and only if the newest entry of its newest start is ready, whatever came late or twice', () => {
+test('a replica is used if and only if the newest entry of its newest start is ready, whichever updates arrive late or twice', () => {
 	fc.assert(fc.property(fc.array(step, {maxLength: 40}), steps => {
 		const model = new Model();
 		for (const one of steps) {
--- a/src/node/test/replica-statements.test.ts
+++ b/src/node/test/replica-statements.test.ts
@@ -1,6 +1,6 @@
 /*
- * Boxes went on sending requests to a replica whose answers said that it leaves, until the store's list said so, and to one that had answered 503 and asked
- * for a time without requests.
+ * Guards against boxes that ignore what a replica states in its responses. They went on sending requests to a replica whose responses announced that it
+ * leaves, until the list of the store said so, and to a replica that had answered 503 and asked for a pause.
  */
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, test} from 'node:test';
@@ -14,18 +14,19 @@
 const clientCount = 24;
 /** Milliseconds between two requests of a client. */
 const clientPause = 60;
-/** Milliseconds for which requests are counted after a replica has said something of itself. */
+/** Milliseconds for which requests are counted after a statement of a replica. */
 const observed = 6000;
-/** Milliseconds after an answer that says that its replica leaves, from which on the box that got it sends it nothing. */
+/** Milliseconds after a response that announces a departure from which on the box that received it must send no requests. */
 const drainTime = 2000;
-/** Seconds without requests that a replica asks for. */
+/** Seconds of the pause that a replica asks for. */
 const pauseAsked = 3;
-/** Milliseconds after the answer that asks for them, from which on requests count. */
+/** Milliseconds after the response that asks for a pause from which on requests are counted. */
 const pauseNotice = 500;
-/** Requests that may come in that time all the same. */
+/** Number of requests that may still arrive during the pause. */
 const pauseSlack = 2;
-/** Milliseconds within which what cannot be served is refused. */
+/** Milliseconds within which a request that cannot be served is refused. */
 const refusalTime = 200;
+/** Milliseconds in which the boxes and their clients start up. */
 const settleTime = 1500;
 
 let installation: RelayInstallation;
@@ -35,7 +36,7 @@
 const relayOf = ({id}: SeenRequest): string => id.split(':')[0]!;
 const byRelay = (requests: readonly SeenRequest[]): ReadonlyMap<string, readonly SeenRequest[]> => groupBy(requests, request => relayOf(request));
 
-/** Requests at a replica that a relay sent in a time in which that relay had been asked for none. */
+/** @returns For each pause that a replica asked a relay for, the number of requests that the relay sent during it. */
 function inPauses(requests: readonly SeenRequest[]): readonly number[] {
 	return requests
 		.filter(({pauseAsked: asked}) => asked !== undefined)
@@ -60,23 +61,23 @@
 	await installation.close();
 });
 
-test('a box sends nothing to a replica that says in its answers that it leaves, whatever its entry in the store says', async () => {
+test('a box sends no requests to a replica whose responses announce that it leaves, whatever its entry in the store says', async () => {
 	const before = clients.views.length;
 	const saidAt = performance.now();
 	told().isLeaving = true;
 	await pause(observed);
 	const after = [...byRelay(told().seen.filter(({at}) => at >= saidAt)).values()];
 	const late = after.flatMap(requests => requests.filter(({at}) => at > requests[0]!.at + drainTime));
-	assert.equal(late.length, 0, `${late.length} requests later than ${drainTime} ms after the first answer that said so`);
+	assert.equal(late.length, 0, `${late.length} requests later than ${drainTime} ms after the first response that announced it`);
 	const served = clients.views.slice(before).filter(({status}) => status === 200);
-	assert.equal(served.length, clients.views.length - before, 'all are served');
+	assert.equal(served.length, clients.views.length - before, 'all requests are served');
 	const idle = installation.relays[relayCount]!;
 	assert.ok(idle.log.lines.some(({eventName, source}) => eventName === 'replicaAnnouncedLeaving' && source === 'box'), 'a box without requests learns of it');
 	await installation.end('i-1');
 	await until(() => told().isUp && told().runs.length > 0);
 });
 
-test('a request whose replicas all leave is refused at once, with a time to come back', async () => {
+test('a request whose replicas are all leaving is refused at once with a retry time', async () => {
 	for (const replica of installation.replicas.values()) {
 		replica.isLeaving = true;
 	}
@@ -89,7 +90,7 @@
 	assert.ok(performance.now() - since < refusalTime);
 });
 
-test('a request whose replicas have all asked its box for a pause is refused at once; another box serves it until it is asked too', async () => {
+test('a box whose replicas have all asked it for a pause refuses requests at once; another box serves them until it is asked for a pause too', async () => {
 	await clients.stop();
 	for (const replica of installation.replicas.values()) {
 		replica.shedding = {every: 1, retryAfter: String(pauseAsked)};
@@ -110,13 +111,13 @@
 	assert.equal((await installation.call({path: '/calls/fourth'})).status, 200);
 });
 
-test('a box sends nothing to a replica that has turned it away and asked for a time without requests', async () => {
+test('a box sends no requests to a replica that has answered 503 and asked for a pause', async () => {
 	const before = clients.views.length;
 	told().shedding = {every: 2, retryAfter: String(pauseAsked)};
 	await pause(observed);
 	const most = Math.max(...[...byRelay(told().seen).values()].flatMap(requests => inPauses(requests)));
-	assert.ok(told().seen.some(({pauseAsked: asked}) => asked !== undefined), 'requests are turned away');
-	assert.ok(most <= pauseSlack, `${most} requests of one box in ${pauseAsked} s in which it had been asked for none`);
+	assert.ok(told().seen.some(({pauseAsked: asked}) => asked !== undefined), 'the replica has asked for a pause');
+	assert.ok(most <= pauseSlack, `${most} requests of one box in a pause of ${pauseAsked} s`);
 	const served = clients.views.slice(before).filter(({status}) => status === 200);
-	assert.equal(served.length, clients.views.length - before, 'all are served');
+	assert.equal(served.length, clients.views.length - before, 'all requests are served');
 });
--- a/src/node/test/restored-store.test.ts
+++ b/src/node/test/restored-store.test.ts
@@ -1,6 +1,6 @@
 /*
- * After the store had come back from a copy, boxes ignored its list of replicas until its revision had passed the one that they knew: they went on sending to
- * a replica that left, and used no new one.
+ * Guards against boxes that ignore a store that was restored from a backup. They ignored its list of replicas until its revision had passed the one that
+ * they knew: they went on sending requests to a replica that was leaving, and used no new replica.
  */
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, test} from 'node:test';
@@ -14,13 +14,13 @@
 const clientCount = 16;
 /** Milliseconds between two requests of a client. */
 const clientPause = 40;
-/** Milliseconds for which the store is away. */
+/** Milliseconds for which the store is unavailable. */
 const away = 500;
-/** Writes that the store loses. */
+/** Number of writes that the store loses. */
 const writesLost = 40;
-/** Milliseconds after the store has taken that a replica leaves, from which on it gets nothing. */
+/** Milliseconds after the store has accepted a departure from which on the replica must get no requests. */
 const drainTime = 2000;
-/** Milliseconds within which boxes find out that the store holds what they know. */
+/** Milliseconds within which boxes prove that the store has the configuration that they know. */
 const provingTime = 2500;
 /** Milliseconds for which requests are counted. */
 const observed = 5000;
@@ -31,7 +31,7 @@
 
 const arrivalsAt = (id: string): readonly number[] => installation.replicas.get(id)?.seen.map(({at}) => at) ?? [];
 
-/** Comes back from a copy that lacks the last writes, having been away for a while. */
+/** Makes the store unavailable for a while and restores it from a backup that lacks the last writes. */
 async function loseWrites(): Promise<void> {
 	const {store} = installation;
 	store.faults = {isSilent: false, isBusy: true, losesAnswers: false};
@@ -57,7 +57,7 @@
 	await installation.close();
 });
 
-test('boxes take the list of a store that has lost its last writes, though its revisions are lower', async () => {
+test('boxes apply the list of a store that has lost its last writes, although its revisions are lower', async () => {
 	await loseWrites();
 	await pause(200);
 	installation.list('i-1', {state: 'draining', seq: 2});
@@ -65,11 +65,11 @@
 	await installation.addReplica('i-4');
 	await pause(observed);
 	const late = arrivalsAt('i-1').filter(at => at > takenAt + drainTime);
-	assert.equal(late.length, 0, `${late.length} requests at a replica later than ${drainTime} ms after the store had taken that it leaves`);
+	assert.equal(late.length, 0, `${late.length} requests at a replica later than ${drainTime} ms after the store had accepted its departure`);
 	assert.ok(arrivalsAt('i-4').some(at => at < takenAt + drainTime), 'a new replica is used');
 });
 
-test('boxes keep the configuration that the store has lost, also one that starts then, and a key that was taken away stays so', async () => {
+test('boxes keep a configuration that the store has lost, a box that starts then receives it, and a revoked key stays revoked', async () => {
 	const {store, relays} = installation;
 	const tenants = [{
 		name: 'basin', api_keys: ['another'], unit: 'requests', plain_tokens: 1, rate_per_s: 0, burst: 0,
@@ -87,13 +87,13 @@
 		return views.map(({status}) => status);
 	};
 
-	assert.ok((await statuses()).every(status => status === 401 || status === 503), 'a box that cannot tell whether it knows the newest one refuses');
+	assert.ok((await statuses()).every(status => status === 401 || status === 503), 'a box that cannot prove that its configuration is the newest refuses requests');
 	store.put(configurationKind, configurationName, written);
 	await pause(provingTime);
 	assert.deepEqual(await statuses(), relays.map(() => 401));
 });
 
-test('duties go on after the store has lost their record, with fences that only rise and no window reported twice', async () => {
+test('duties continue after the store has lost their record, with fence tokens that never decrease and no window reported with different counts', async () => {
 	const {store} = installation;
 	const usage = () => store.dutyCalls.filter(({path}) => path === '/usage');
 	await until(() => usage().length > 1);
--- a/src/node/test/suspension.test.ts
+++ b/src/node/test/suspension.test.ts
@@ -20,7 +20,7 @@
 import {ReplicaRole} from '../replica-role.js';
 
 const log = SilentEventLog.create();
-/** Milliseconds of suspensions, of which the steady clock shows nothing. */
+/** Milliseconds of suspensions, during which the monotonic clock does not advance. */
 const suspensions = [1000, 5000, 30_000];
 let standin: StoreStandin;
 let clock: MovedClock;
@@ -42,7 +42,7 @@
 });
 
 const checks: ReadonlyArray<readonly [what: string, check: (time: number) => void | Promise<void>]> = [
-	['no proof of the configuration counts, until one that was asked for after it', (time: number) => {
+	['no proof of the configuration is valid until one that was requested afterwards', (time: number) => {
 		const table = RouteTableView.create(clock, log);
 		const guard = FreshnessGuard.create(table, () => ({isStrict: true, revoke: 5000}));
 		table.apply({
@@ -53,12 +53,12 @@
 		clock.suspend(time);
 		assert.deepEqual([guard.allowsKeys, guard.believesAbsence], [false, false]);
 		table.prove(3, clock.now - 5);
-		assert.equal(guard.allowsKeys, false, 'asked for before it');
+		assert.equal(guard.allowsKeys, false, 'requested before the suspension');
 		clock.now += 20;
 		table.prove(3, clock.now - 4);
 		assert.ok(guard.allowsKeys && guard.believesAbsence);
 	}],
-	['no permit of a duty is valid, and a holder looks before it decides', async (time: number) => {
+	['no permit of a duty is valid, and a holder reads its lease before it decides', async (time: number) => {
 		const lease = leaseOf('a', clock);
 		await Effect.runPromise(lease.acquire());
 		clock.now += 1;
@@ -70,9 +70,9 @@
 		await Effect.runPromise(leaseOf('b', new MovedClock(500)).acquire());
 		const {calls} = standin;
 		await assert.rejects(Effect.runPromise(lease.decide(record => record)));
-		assert.equal(standin.calls, calls + 1, 'it looked, and wrote nothing');
+		assert.equal(standin.calls, calls + 1, 'it read the lease and wrote nothing');
 	}],
-	['no box counts as heard until one is, which tells how long it was', (time: number) => {
+	['no other box counts as reachable until a message arrives, from which the duration of the suspension follows', (time: number) => {
 		const peers = PeerTable.create('self', clock, log);
 		const message = (sequence: number) => ({
 			sender: {name: 'a', host: '127.0.0.1', port: 1}, incarnation: 'one', sequence, uptime: 5000, wall: clock.wall(), version: 1, isStopping: false, storeAge: 0,
@@ -85,9 +85,9 @@
 		clock.now += 30;
 		peers.take(message(2));
 		assert.equal(peers.heard.length, 1);
-		assert.equal(peers.ownTime, clock.wall(), 'the others tell how long it was');
+		assert.equal(peers.ownTime, clock.wall(), 'the time of the other boxes shows how long the suspension was');
 	}],
-	['the list of replicas is not told as new', (time: number) => {
+	['the list of replicas is not reported as up to date', (time: number) => {
 		const role = ReplicaRole.create({
 			link: {names: {}} as unknown as PlatformLink, clock, log, replicas: ReplicaDirectory.create(clock, log), leads: () => false, patience: 5000, ...usualAvailability(clock),
 		});
@@ -97,7 +97,7 @@
 		clock.now += 1;
 		assert.ok(role.listState.age > 60_000 && Number.isFinite(role.listState.age));
 	}],
-	['connections from before it are not used', async (time: number) => {
+	['connections from before the suspension are not reused', async (time: number) => {
 		const replica = await ReplicaStandin.start('i-1');
 		const connections = ReplicaConnections.create('127.0.0.1', replica.port, clock);
 		const {socket} = await Effect.runPromise(connections.acquire(false));
@@ -117,7 +117,7 @@
 	}
 }
 
-test('a suspension is seen from the wall clock, which runs ahead of the steady one; a wall clock that is set back is none', () => {
+test('a suspension is detected when the wall clock gets ahead of the monotonic one; a wall clock that is set back is not one', () => {
 	let ahead = 0;
 	const wall = Date.now;
 	const mocked = mock.method(Date, 'now', () => wall() + ahead);
@@ -129,6 +129,6 @@
 	ahead = -4000;
 	const wokenAt = system.lastWake();
 	assert.ok(wokenAt >= before);
-	assert.equal(system.lastWake(), wokenAt, 'once');
+	assert.equal(system.lastWake(), wokenAt, 'one suspension is detected once');
 	mocked.mock.restore();
 });
--- a/src/node/test/trial-turns.test.ts
+++ b/src/node/test/trial-turns.test.ts
@@ -1,8 +1,8 @@
 /*
- * Two ends in a row, with nobody served between them, put all that stood beside on trial. Where one sound replica was left, a box ran
- * one of them and refused the others at once, though the run was over some 100 ms later and cleared who ran: in 61 runs of the
- * test of ends of another cause, three at a time, 60 refusals of innocent requests in 13 runs, each after it had found the one
- * replica taken by another on trial ("standing trial, retryAfter 0.5").
+ * Guards against innocent requests that are refused while they are on trial. Two crashes in a row, with no request served in between, put all requests that
+ * were in progress on trial: each runs alone on a replica. With one healthy replica left, a box ran one of them and refused the others at once, although
+ * that run was over some 100 ms later and cleared its request. In 61 runs of the test of unrelated crashes, three at a time, 60 innocent requests were
+ * refused in 13 runs, each because the one replica was reserved for another request on trial ("standing trial, retryAfter 0.5").
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -11,7 +11,7 @@
 const mark = 'poison';
 const poison = {path: '/calls/x', method: 'POST', body: mark};
 const [first, second] = ['first', 'second'].map(body => ({path: '/calls/innocent', method: 'POST', body}));
-/** Milliseconds of a run; of one that lasts longer than others wait for it. */
+/** Milliseconds of a short run, and of a run for which other requests on trial do not wait. */
 const runTime = 100;
 const longRunTime = 1800;
 
@@ -21,7 +21,7 @@
 	await until(() => relays[0]!.log.lines.filter(({eventName}) => eventName === 'replicaListed').length === times);
 }
 
-/** Both requests stood beside the same two ends of the only replica, at the only box. */
+/** Starts one box and one replica that has crashed twice, each time with both requests in progress. */
 async function startBesideTwoEnds(): Promise<RelayInstallation> {
 	const installation = await RelayInstallation.start({relays: 1, replicas: ['i-1']});
 	for (const round of [1, 2]) {
@@ -38,7 +38,7 @@
 	return installation;
 }
 
-test('requests that stood beside the same two ends take turns at the one replica, and all are served', async context => {
+test('requests that were in progress during the same two crashes take turns at the one replica, and all are served', async context => {
 	const installation = await startBesideTwoEnds();
 	context.after(async () => installation.close());
 	installation.everyReplica.at(-1)!.behave({delay: runTime});
@@ -46,7 +46,7 @@
 	assert.deepEqual(statusesOf(views), [200, 200, 200]);
 });
 
-test('who is on trial waits for no run that lasts, and is told when to come back', async context => {
+test('a request on trial does not wait for a long run of another one, and its response says when to retry', async context => {
 	const installation = await startBesideTwoEnds();
 	context.after(async () => installation.close());
 	const replica = installation.everyReplica.at(-1)!;
@@ -56,10 +56,10 @@
 	assert.equal(beside.status, 503);
 	assert.ok(Number(beside.headers['retry-after']) > 0);
 	assert.equal((await long).status, 200);
-	assert.equal(replica.seen.length, 1, 'the other was not run beside it');
+	assert.equal(replica.seen.length, 1, 'the other request was not run at the same time');
 });
 
-test('a request on trial that comes twice at once ends one replica more, not two', async context => {
+test('a request on trial that arrives twice at once crashes one more replica, not two', async context => {
 	const installation = await RelayInstallation.start({relays: 1, replicas: ['i-1', 'i-2']});
 	context.after(async () => installation.close());
 	const ends: string[] = [];
@@ -68,7 +68,7 @@
 	});
 	await untilListed(installation, 2);
 	assert.equal((await installation.call(poison)).status, 502);
-	assert.equal(ends.length, 2, 'it was sent to the other replica too');
+	assert.equal(ends.length, 2, 'the request was sent to the other replica too');
 	await untilListed(installation, 4);
 	const views = await Promise.all([poison, poison].map(async request => installation.call(request)));
 	assert.deepEqual(statusesOf(views), [502, 503]);
