--- a/src/node/test/absent-replicas.test.ts
+++ b/src/node/test/absent-replicas.test.ts
@@ -14,7 +14,7 @@
 const absence = 400;
 
 /** Crashes the only replica while it runs a request, and lists another one somewhat later. */
-async function loseAllWhile(context: TestContext, call: ClientCall, conduct: {readonly delay: number; readonly events?: number}) {
+async function callDuringCrash(context: TestContext, call: ClientCall, conduct: {readonly delay: number; readonly events?: number}) {
 	const installation = await RelayInstallation.start({relays: 1, replicas: ['i-1']});
 	context.after(async () => installation.close());
 	installation.prepareReplicas(replica => {
@@ -32,13 +32,13 @@
 
 /** Guards against a call that is given up with 502, which gives its client no result, while there is time for another run. */
 test('a repeatable call that was cut is run by the next replica that is listed', async context => {
-	const {status, isWhole} = await loseAllWhile(context, {path: '/calls/x', method: 'POST', body: 'q'}, {delay: 200});
+	const {status, isWhole} = await callDuringCrash(context, {path: '/calls/x', method: 'POST', body: 'q'}, {delay: 200});
 	assert.deepEqual({status, isWhole}, {status: 200, isWhole: true});
 });
 
 /** Guards against a stream that is cut while there is time to resume it. */
 test('a resumable stream that was cut continues at the next replica that is listed', async context => {
-	const {status, isWhole} = await loseAllWhile(context, {path: '/stream/x', method: 'POST', body: 'q'}, {delay: 20, events: 60});
+	const {status, isWhole} = await callDuringCrash(context, {path: '/stream/x', method: 'POST', body: 'q'}, {delay: 20, events: 60});
 	assert.deepEqual({status, isWhole}, {status: 200, isWhole: true});
 });
 
--- a/src/node/test/client-bodies.test.ts
+++ b/src/node/test/client-bodies.test.ts
@@ -9,9 +9,9 @@
 import type {ReplicaStandin} from '../../../development/relay/replica-standin.js';
 
 /** Maximum milliseconds to wait until the relay closes the connection. */
-const answerTime = 600;
+const closeTimeout = 600;
 /** Milliseconds between two parts of a request. */
-const betweenParts = 20;
+const partInterval = 20;
 let installation: RelayInstallation;
 
 before(async () => {
@@ -22,7 +22,7 @@
 
 const seen = (): ReplicaStandin['seen'] => installation.replicas.get('i-1')!.seen;
 
-const heads = (lines: readonly string[]): string => [
+const headerSection = (lines: readonly string[]): string => [
 	'POST /calls/x HTTP/1.1', `Host: ${testHost}`, `Authorization: Bearer ${testKey}`, 'Attempt-Id: raw', ...lines, '', '',
 ].join('\r\n');
 
@@ -45,7 +45,7 @@
 	});
 	for (const part of parts) {
 		socket.write(part, 'latin1');
-		await pause(betweenParts);
+		await pause(partInterval);
 	}
 
 	if (ending === 'fin') {
@@ -54,27 +54,27 @@
 		socket.resetAndDestroy();
 	}
 
-	await Promise.race([closed, pause(answerTime)]);
+	await Promise.race([closed, pause(closeTimeout)]);
 	socket.destroy();
 	return answer;
 }
 
 const statusOf = (answer: string): number => Number(answer.slice('HTTP/1.1 '.length, 'HTTP/1.1 200'.length));
 
-const cut: Readonly<Record<string, readonly [parts: readonly string[], ending: Ending]>> = {
-	'no byte of a body with a length': [[heads(['Content-Length: 10'])], 'fin'],
-	'half of a body with a length': [[heads(['Content-Length: 10']), 'first'], 'fin'],
-	'half of a body with a length, reset': [[heads(['Content-Length: 10']), 'first'], 'reset'],
-	'half of a body with a length, and nothing more': [[heads(['Content-Length: 10']), 'first'], 'open'],
-	'no chunk': [[heads(['Transfer-Encoding: chunked'])], 'fin'],
-	'one whole chunk and no last chunk': [[heads(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n'], 'fin'],
-	'one whole chunk and no last chunk, reset': [[heads(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n'], 'reset'],
-	'half a chunk': [[heads(['Transfer-Encoding: chunked']), 'a\r\nfirst'], 'fin'],
-	'a last chunk without its blank line': [[heads(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n0\r\n'], 'fin'],
-	'half of the header section': [[heads(['Content-Length: 5']).slice(0, -4)], 'fin'],
+const truncatedRequests: Readonly<Record<string, readonly [parts: readonly string[], ending: Ending]>> = {
+	'no byte of a body with a length': [[headerSection(['Content-Length: 10'])], 'fin'],
+	'half of a body with a length': [[headerSection(['Content-Length: 10']), 'first'], 'fin'],
+	'half of a body with a length, reset': [[headerSection(['Content-Length: 10']), 'first'], 'reset'],
+	'half of a body with a length, and nothing more': [[headerSection(['Content-Length: 10']), 'first'], 'open'],
+	'no chunk': [[headerSection(['Transfer-Encoding: chunked'])], 'fin'],
+	'one whole chunk and no last chunk': [[headerSection(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n'], 'fin'],
+	'one whole chunk and no last chunk, reset': [[headerSection(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n'], 'reset'],
+	'half a chunk': [[headerSection(['Transfer-Encoding: chunked']), 'a\r\nfirst'], 'fin'],
+	'a last chunk without its blank line': [[headerSection(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n0\r\n'], 'fin'],
+	'half of the header section': [[headerSection(['Content-Length: 5']).slice(0, -4)], 'fin'],
 };
 
-for (const [name, [parts, ending]] of Object.entries(cut)) {
+for (const [name, [parts, ending]] of Object.entries(truncatedRequests)) {
 	test(`a truncated body reaches no replica: ${name}`, async () => {
 		seen().length = 0;
 		const answer = await send(parts, ending);
@@ -83,7 +83,7 @@
 	});
 }
 
-const unclear: Readonly<Record<string, readonly string[]>> = {
+const ambiguousHeaders: Readonly<Record<string, readonly string[]>> = {
 	'an empty length': ['Content-Length: '],
 	'a length in exponent notation': ['Content-Length: 1e0'],
 	'a length with a sign': ['Content-Length: +5'],
@@ -100,24 +100,24 @@
 	'chunks that are not the last encoding': ['Transfer-Encoding: chunked, identity'],
 };
 
-for (const [name, lines] of Object.entries(unclear)) {
+for (const [name, lines] of Object.entries(ambiguousHeaders)) {
 	test(`a body with ambiguous or invalid framing reaches no replica: ${name}`, async () => {
 		seen().length = 0;
-		const answer = await send([heads(lines), 'first'], 'fin');
+		const answer = await send([headerSection(lines), 'first'], 'fin');
 		assert.deepEqual(seen().map(({body}) => body), []);
 		assert.equal(statusOf(answer), 400, answer);
 	});
 }
 
-const whole: Readonly<Record<string, readonly string[]>> = {
-	'a length': [heads(['Content-Length: 5']), 'first'],
-	'a length, byte by byte': [heads(['Content-Length: 5']), ...'first'],
-	chunks: [heads(['Transfer-Encoding: chunked']), '2\r\nfi\r\n3\r\nrst\r\n0\r\n\r\n'],
-	'chunks, byte by byte': [heads(['Transfer-Encoding: chunked']), ...'2\r\nfi\r\n3\r\nrst\r\n0\r\n\r\n'],
-	'chunks with a trailer': [heads(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n0\r\nX-Sum: 1\r\n\r\n'],
+const completeRequests: Readonly<Record<string, readonly string[]>> = {
+	'a length': [headerSection(['Content-Length: 5']), 'first'],
+	'a length, byte by byte': [headerSection(['Content-Length: 5']), ...'first'],
+	chunks: [headerSection(['Transfer-Encoding: chunked']), '2\r\nfi\r\n3\r\nrst\r\n0\r\n\r\n'],
+	'chunks, byte by byte': [headerSection(['Transfer-Encoding: chunked']), ...'2\r\nfi\r\n3\r\nrst\r\n0\r\n\r\n'],
+	'chunks with a trailer': [headerSection(['Transfer-Encoding: chunked']), '5\r\nfirst\r\n0\r\nX-Sum: 1\r\n\r\n'],
 };
 
-for (const [name, parts] of Object.entries(whole)) {
+for (const [name, parts] of Object.entries(completeRequests)) {
 	test(`a complete body reaches a replica once and unchanged: ${name}`, async () => {
 		seen().length = 0;
 		const answer = await send(parts, 'open');
--- a/src/node/test/departure-model.test.ts
+++ b/src/node/test/departure-model.test.ts
@@ -16,10 +16,10 @@
 /** Milliseconds in which all boxes learn of all replicas. */
 const startTime = 3000;
 /** Milliseconds between two checks whether the store has answered a box. */
-const lookInterval = 20;
+const checkInterval = 20;
 const seedsUpTo = (count: number): readonly number[] => Array.from({length: count}, (_, index) => index + 1);
 
-async function play(shape: Omit<DepartureFleetShape, 'replicas' | 'loss'>, happen: (fleet: DepartureFleet) => Promise<void>) {
+async function simulate(shape: Omit<DepartureFleetShape, 'replicas' | 'loss'>, scenario: (fleet: DepartureFleet) => Promise<void>) {
 	const time = VirtualTime.start();
 	const {random} = Math;
 	Math.random = randomOf(shape.seed);
@@ -27,7 +27,7 @@
 		const fleet = DepartureFleet.create({...shape, replicas: replicaCount, loss: 0.05}, time);
 		await fleet.pass(startTime);
 		assert.ok(fleet.store.replicas.every(replica => fleet.usersOf(replica) === shape.boxes), 'all replicas are in use');
-		await happen(fleet);
+		await scenario(fleet);
 		const closing = fleet.close();
 		await time.advance(0);
 		await closing;
@@ -42,11 +42,11 @@
 	`${late.length} late at ${new Set(late.map(({box}) => box)).size} boxes, up to ${Math.max(...late.map(({after}) => after))} ms`;
 
 /** @returns A summary of late requests for each fleet and history that has any. */
-async function lateAfter(happen: (fleet: DepartureFleet) => Promise<void>): Promise<readonly string[]> {
+async function lateRequestsAfter(scenario: (fleet: DepartureFleet) => Promise<void>): Promise<readonly string[]> {
 	const lines: string[] = [];
 	for (const {boxes, bound, histories} of fleets) {
 		for (const seed of seedsUpTo(histories)) {
-			const {late} = await play({boxes, bound, seed}, happen);
+			const {late} = await simulate({boxes, bound, seed}, scenario);
 			lines.push(...late.length > 0 ? [`${boxes} boxes, seed ${seed}: ${summaryOf(late)}`] : []);
 		}
 	}
@@ -81,7 +81,7 @@
 
 /** Guards against a departed replica that stays in use at all boxes because one of them lost a response of the store. */
 test('no replica gets requests later than allowed after its departure, whichever boxes lose single responses of the store', async () => {
-	assert.deepEqual(await lateAfter(loseAnswersAndLeave), []);
+	assert.deepEqual(await lateRequestsAfter(loseAnswersAndLeave), []);
 });
 
 /** Milliseconds for which no box reaches the store: from too short for any entry to expire to long enough for all entries to expire. */
@@ -97,7 +97,7 @@
 	store.outage = undefined;
 	const {answers} = store;
 	while (store.answers === answers) {
-		await fleet.pass(lookInterval);
+		await fleet.pass(checkInterval);
 	}
 
 	for (const replica of store.replicas.slice(1)) {
@@ -115,7 +115,7 @@
 	for (const fault of ['refused', 'silent'] satisfies readonly CallFault[]) {
 		test(`running replicas stay in use at ${boxes} boxes during a store outage (${fault}) and until they have written their entries again`, async () => {
 			for (const [seed, outage] of outages.entries()) {
-				await play({boxes, bound, seed}, async fleet => {
+				await simulate({boxes, bound, seed}, async fleet => {
 					const {store} = fleet;
 					store.goAway(fault);
 					await fleet.pass(outage);
@@ -132,7 +132,7 @@
 
 /** Guards against a hold that exceeds the bound because it is counted from the time at which a box learns that the store is available again. */
 test('a replica that leaves after a store outage gets no requests later than allowed', async () => {
-	assert.deepEqual(await lateAfter(leaveAfterOutage), []);
+	assert.deepEqual(await lateRequestsAfter(leaveAfterOutage), []);
 });
 
 /** Milliseconds after which a box whose connections went silent must be connected to the store again. */
@@ -142,7 +142,7 @@
 test('a replica that leaves while all watches hang gets no requests once boxes must be connected again', async () => {
 	for (const {boxes, histories} of fleets) {
 		for (const seed of seedsUpTo(histories)) {
-			const {late} = await play({boxes, bound: contactTime, seed}, async fleet => {
+			const {late} = await simulate({boxes, bound: contactTime, seed}, async fleet => {
 				await fleet.pass(fleet.random() * contactTime);
 				for (const {door} of fleet.boxes) {
 					door.loseAnswer('silent');
--- a/src/node/test/exchange-load.test.ts
+++ b/src/node/test/exchange-load.test.ts
@@ -5,9 +5,9 @@
 import {sumOf} from '../../base/sum.js';
 
 /** Bytes per second of the slowest link on which the incident SHORT was seen: 7 Mbit/s. */
-const smallestLink = 875_000;
+const slowestLink = 875_000;
 /** Maximum part of such a link that gossip may fill in either direction; the rest is for client requests. */
-const largestPart = 0.5;
+const maxLinkPart = 0.5;
 
 /** Rounds after which a box has sent all its counters again. */
 const rounds = 8;
@@ -34,8 +34,8 @@
 ]) {
 	test(`the gossip of an aggregator of ${shape.boxes} boxes leaves room for requests on a slow link`, () => {
 		const {heard, sent} = trafficOf(shape);
-		assert.ok(heard < smallestLink * largestPart, `${heard} bytes a second heard`);
-		assert.ok(sent < smallestLink * largestPart, `${sent} bytes a second sent`);
+		assert.ok(heard < slowestLink * maxLinkPart, `${heard} bytes a second heard`);
+		assert.ok(sent < slowestLink * maxLinkPart, `${sent} bytes a second sent`);
 	});
 }
 
@@ -45,8 +45,8 @@
 	}, fleet => {
 		fleet.endReplicas();
 	});
-	assert.ok(heard < smallestLink * largestPart, `${heard} bytes a second heard`);
-	assert.ok(sent < smallestLink * largestPart, `${sent} bytes a second sent`);
+	assert.ok(heard < slowestLink * maxLinkPart, `${heard} bytes a second heard`);
+	assert.ok(sent < slowestLink * maxLinkPart, `${sent} bytes a second sent`);
 });
 
 test('gossip about request limits leaves room on a slow link, even when each replica has announced one to each box', () => {
@@ -55,6 +55,6 @@
 	}, fleet => {
 		fleet.limitReplicas();
 	});
-	assert.ok(heard < smallestLink * largestPart, `${heard} bytes a second heard`);
-	assert.ok(sent < smallestLink * largestPart, `${sent} bytes a second sent`);
+	assert.ok(heard < slowestLink * maxLinkPart, `${heard} bytes a second heard`);
+	assert.ok(sent < slowestLink * maxLinkPart, `${sent} bytes a second sent`);
 });
--- a/src/node/test/idle-connections.test.ts
+++ b/src/node/test/idle-connections.test.ts
@@ -9,7 +9,7 @@
 import {RelayInstallation, until} from '../../../development/relay/relay-installation.js';
 
 const relayCount = 4;
-const mostConnections = 8;
+const maxConnections = 8;
 const requestsAtOnce = 10;
 /** Milliseconds in which boxes read all responses to their end. */
 const settlingTime = 300;
@@ -17,7 +17,7 @@
 let installation: RelayInstallation;
 
 before(async () => {
-	installation = await RelayInstallation.start({relays: relayCount, replicas: ['i-1'], services: [{name: 'plain', max_conns: mostConnections}]});
+	installation = await RelayInstallation.start({relays: relayCount, replicas: ['i-1'], services: [{name: 'plain', max_conns: maxConnections}]});
 });
 
 after(async () => installation.close());
@@ -30,6 +30,6 @@
 	await Promise.all(installation.relays.flatMap(relay => Array.from({length: requestsAtOnce}, async () => installation.call({path: '/calls/x'}, relay))));
 	await pause(settlingTime);
 	const open = await replica.openConnections();
-	assert.ok(open <= mostConnections, `${open} connections to a replica that accepts ${mostConnections}`);
+	assert.ok(open <= maxConnections, `${open} connections to a replica that accepts ${maxConnections}`);
 	assert.ok(open >= relayCount, 'each box still keeps one');
 });
--- a/src/node/test/limit-model.test.ts
+++ b/src/node/test/limit-model.test.ts
@@ -14,20 +14,20 @@
 /** Time in milliseconds at which the limit is announced. */
 const settledAt = 16_000;
 /** Milliseconds for which requests are counted. */
-const observed = 20_000;
+const observationTime = 20_000;
 /** @returns Requests allowed in a span, for a limit in requests per second. */
 const allowedAt = (limit: number): number => (1.5 * limit * span / 1000) + 5;
 /** Minimum part of the limit that is used when demand is sufficient: spread evenly over all boxes, or concentrated on one box in eight. */
-const leastUse = {even: 0.75, uneven: 0.5} as const;
+const minUse = {even: 0.75, uneven: 0.5} as const;
 
 /** @returns The maximum number of requests in a span, and the part of the limit that was used. */
-function play(limit: number, shape: Omit<LimitFleetShape, 'limitAt' | 'seed'> & Partial<LimitFleetShape>): {readonly most: number; readonly use: number} {
+function simulate(limit: number, shape: Omit<LimitFleetShape, 'limitAt' | 'seed'> & Partial<LimitFleetShape>): {readonly most: number; readonly use: number} {
 	const fleet = LimitFleet.create({
 		limitAt: now => now >= settledAt ? limit : undefined, seed: 36, ...shape,
 	});
-	fleet.pass(settledAt + contactTime + observed - fleet.now);
+	fleet.pass(settledAt + contactTime + observationTime - fleet.now);
 	const counted = fleet.arrivals.filter(at => at >= settledAt + contactTime);
-	return {most: fleet.mostWithin(span, settledAt + contactTime), use: counted.length / (limit * observed / 1000)};
+	return {most: fleet.mostWithin(span, settledAt + contactTime), use: counted.length / (limit * observationTime / 1000)};
 }
 
 const shapes = [1, 8, 12, 13, 87].flatMap(boxes => [1, 20].map(limit => ({boxes, limit})));
@@ -36,32 +36,32 @@
 
 for (const {boxes, limit} of [...shapes, ...extremes, {boxes: 340, limit: 3}]) {
 	test(`${boxes} boxes together keep to a limit of ${limit} per second, and use it`, () => {
-		const {most, use} = play(limit, {boxes, demandOf: () => Math.max(2, limit * 6 / boxes)});
+		const {most, use} = simulate(limit, {boxes, demandOf: () => Math.max(2, limit * 6 / boxes)});
 		assert.ok(most <= allowedAt(limit), `${most} in ${span} ms; ${allowedAt(limit)} allowed`);
-		assert.ok(use >= leastUse.even, `${use} of the limit is used`);
+		assert.ok(use >= minUse.even, `${use} of the limit is used`);
 	});
 }
 
 for (const boxes of [8, 87]) {
 	test(`${boxes} boxes of which a few have most of the demand leave little of the limit unused`, () => {
-		const {most, use} = play(4, {boxes, demandOf: box => box % 8 === 0 ? 160 / boxes : 0.1});
+		const {most, use} = simulate(4, {boxes, demandOf: box => box % 8 === 0 ? 160 / boxes : 0.1});
 		assert.ok(most <= allowedAt(4), `${most} in ${span} ms; ${allowedAt(4)} allowed`);
-		assert.ok(use >= leastUse.uneven, `${use} of the limit is used`);
+		assert.ok(use >= minUse.uneven, `${use} of the limit is used`);
 	});
 
 	test(`${boxes} boxes keep to the limit during a network partition into halves`, () => {
 		const isHalf = (box: number) => box < boxes / 2;
-		const {most} = play(2, {boxes, demandOf: () => 3, reach: (left, right, now) => now < settledAt - 4000 || now > settledAt + 12_000 || isHalf(left) === isHalf(right)});
+		const {most} = simulate(2, {boxes, demandOf: () => 3, reach: (left, right, now) => now < settledAt - 4000 || now > settledAt + 12_000 || isHalf(left) === isHalf(right)});
 		assert.ok(most <= allowedAt(2), `${most} in ${span} ms; ${allowedAt(2)} allowed`);
 	});
 
 	test(`${boxes} boxes keep to the limit while a third of them restart`, () => {
-		const {most} = play(1, {boxes, demandOf: () => 3, startsAt: box => box % 3 === 0 ? settledAt + 5000 + (box * 200) : undefined});
+		const {most} = simulate(1, {boxes, demandOf: () => 3, startsAt: box => box % 3 === 0 ? settledAt + 5000 + (box * 200) : undefined});
 		assert.ok(most <= allowedAt(1), `${most} in ${span} ms; ${allowedAt(1)} allowed`);
 	});
 
 	test(`${boxes} boxes keep to the limit although links delay some requests`, () => {
-		const {most} = play(2, {boxes, demandOf: () => 3, wayOf: random => random < 0.2 ? 700 : 2});
+		const {most} = simulate(2, {boxes, demandOf: () => 3, wayOf: random => random < 0.2 ? 700 : 2});
 		assert.ok(most <= allowedAt(2), `${most} in ${span} ms; ${allowedAt(2)} allowed`);
 	});
 }
@@ -86,7 +86,7 @@
 });
 
 test('when the limit changes with each response, boxes keep to the largest of them', () => {
-	const {most} = play(4, {boxes: 8, demandOf: () => 10, limitAt: (now, answers) => now >= settledAt ? 1 + (answers % 4) : undefined});
+	const {most} = simulate(4, {boxes: 8, demandOf: () => 10, limitAt: (now, answers) => now >= settledAt ? 1 + (answers % 4) : undefined});
 	assert.ok(most <= allowedAt(4), `${most} in ${span} ms; ${allowedAt(4)} allowed`);
 });
 
--- a/src/node/test/limit-stretches.test.ts
+++ b/src/node/test/limit-stretches.test.ts
@@ -8,9 +8,9 @@
 import {LimitStretches} from '../limit-stretches.js';
 
 /** Milliseconds after which a box that has started owns a stretch. */
-const settled = 5000;
+const startUpTime = 5000;
 
-function boxAmong(others: number) {
+function createBox(others: number) {
 	const clock = new MovedClock(1000);
 	const peers = PeerTable.create('edge-0', clock, SilentEventLog.create());
 	const topology = ExchangeTopology.create({name: 'edge-0'}, peers);
@@ -27,25 +27,25 @@
 }
 
 test('a box that has just started owns no stretch, since it may not know the other boxes yet; later, a single box owns all', () => {
-	const {clock, stretches} = boxAmong(0);
+	const {clock, stretches} = createBox(0);
 	assert.equal(stretches.of('s').length, 0);
-	clock.now += settled;
+	clock.now += startUpTime;
 	assert.deepEqual(stretches.of('s'), {from: 0, length: 1});
 });
 
 test('silent boxes keep their stretch, and so do boxes of which only the number is known', () => {
-	const {clock, peers, stretches, learn} = boxAmong(3);
+	const {clock, peers, stretches, learn} = createBox(3);
 	learn();
-	clock.now += settled;
+	clock.now += startUpTime;
 	assert.equal(stretches.of('s').length, 1 / 4);
 	peers.noteFleetSize(8);
 	assert.equal(stretches.of('s').length, 1 / 8);
 });
 
 test('a box of a large fleet that is no aggregator uses the stretch that it receives, and an equal part if it receives none', () => {
-	const {clock, stretches, topology, learn} = boxAmong(40);
+	const {clock, stretches, topology, learn} = createBox(40);
 	learn();
-	clock.now += settled;
+	clock.now += startUpTime;
 	assert.ok(!topology.isAggregator);
 	assert.equal(stretches.of('s').length, 1 / 41);
 	stretches.take([{service: 's', from: 0.4, length: 0.1}]);
--- a/src/node/test/member-role.test.ts
+++ b/src/node/test/member-role.test.ts
@@ -17,7 +17,7 @@
 after(async () => standin.close());
 
 const kind = 'waydrift-members';
-const heard = (name: string, sequence: number): GossipMessage => ({
+const messageFrom = (name: string, sequence: number): GossipMessage => ({
 	sender: {name, host: '127.0.0.1', port: 1}, incarnation: 'one', sequence, uptime: 5000, wall: 0, version: 1, isStopping: false, storeAge: 0,
 	quota: [], isWhole: true, work: [], departed: [], usage: [], members: [],
 });
@@ -30,20 +30,20 @@
 	});
 	standin.put(kind, 'living', {host: '127.0.0.1', port: 1});
 	standin.put(kind, 'gone', {host: '127.0.0.1', port: 2});
-	peers.take(heard('gone', 1));
+	peers.take(messageFrom('gone', 1));
 	await Effect.runPromise(role.refresh());
 	assert.ok(standin.spec(kind, 'self'), 'it registers itself');
 	assert.ok(standin.spec(kind, 'gone'), 'no box counts as gone right after the start');
 	clock.now += 40_000;
 	await Effect.runPromise(role.refresh());
 	assert.ok(standin.spec(kind, 'gone'), 'a box that receives no messages removes no other box');
-	peers.take(heard('living', 1));
+	peers.take(messageFrom('living', 1));
 	peers.sweep();
 	await Effect.runPromise(role.refresh());
 	assert.equal(standin.spec(kind, 'gone'), undefined);
 	assert.ok(standin.spec(kind, 'living'));
 	clock.now += 25_000;
-	peers.take(heard('living', 2));
+	peers.take(messageFrom('living', 2));
 	peers.sweep();
 	assert.deepEqual(peers.all.map(({address}) => address.name), ['living']);
 });
--- a/src/node/test/odd-entries.test.ts
+++ b/src/node/test/odd-entries.test.ts
@@ -16,23 +16,23 @@
 
 after(async () => installation.close());
 
-const good = {
+const validEntry = {
 	service: 'plain', addr: '127.0.0.1:1', zone: 'zone-1', slots: 8, state: 'ready', seq: 1,
 };
 
-const odd: Readonly<Record<string, unknown>> = {
+const malformedEntries: Readonly<Record<string, unknown>> = {
 	'no field': {},
 	'a string': 'ready',
 	null: null,
-	'an array': [good],
-	'a number as address': {...good, addr: 7},
-	'an address without a port': {...good, addr: '127.0.0.1'},
-	'a port out of range': {...good, addr: '127.0.0.1:99999'},
-	'a string as slots': {...good, slots: 'many'},
-	'zero slots': {...good, slots: 0},
-	'an unknown state': {...good, state: 'thinking'},
-	'a start time that is no integer': {...good, born: 'today'},
-	'a service that is no string': {...good, service: {name: 'plain'}},
+	'an array': [validEntry],
+	'a number as address': {...validEntry, addr: 7},
+	'an address without a port': {...validEntry, addr: '127.0.0.1'},
+	'a port out of range': {...validEntry, addr: '127.0.0.1:99999'},
+	'a string as slots': {...validEntry, slots: 'many'},
+	'zero slots': {...validEntry, slots: 0},
+	'an unknown state': {...validEntry, state: 'thinking'},
+	'a start time that is no integer': {...validEntry, born: 'today'},
+	'a service that is no string': {...validEntry, service: {name: 'plain'}},
 };
 
 const hasLogged = ({log}: RelayMember, name: string, replica: string): boolean => log.lines.some(line => line.eventName === name && line.replica === replica);
@@ -43,7 +43,7 @@
 	return new Set(views.map(({body}) => body));
 }
 
-async function holdOthers(index: number, spec: unknown): Promise<void> {
+async function assertOthersAreUsed(index: number, spec: unknown): Promise<void> {
 	const [running] = installation.relays;
 	const name = `odd-${index}`;
 	installation.store.put(replicaKind, name, spec);
@@ -65,9 +65,9 @@
 	installation.unlist(`late-${index}`);
 }
 
-for (const [index, [what, spec]] of Object.entries(odd).entries()) {
+for (const [index, [what, spec]] of Object.entries(malformedEntries).entries()) {
 	test(`an entry with ${what} is skipped and the other entries are used, by a running relay and by a starting one`, async () => {
-		await holdOthers(index, spec);
+		await assertOthersAreUsed(index, spec);
 	});
 }
 
@@ -109,7 +109,7 @@
 	assert.ok((await servedBy(relay!)).has('answer of i-2'));
 	installation.list('i-2', {state: 'draining', seq: 8, born: 5});
 	installation.list('i-1', {seq: 2, cold_left_ms: 3});
-	installation.store.put(replicaKind, 'marker', {...good, state: 'draining'});
+	installation.store.put(replicaKind, 'marker', {...validEntry, state: 'draining'});
 	await until(() => hasLogged(relay!, 'replicaListed', 'marker'));
 	assert.ok((await servedBy(relay!)).has('answer of i-2'), 'a late entry of an older start changes nothing');
 });
--- a/src/node/test/poison-request.test.ts
+++ b/src/node/test/poison-request.test.ts
@@ -16,27 +16,27 @@
 
 const relayCount = 4;
 const replicaIds = Array.from({length: 8}, (_, index) => `i-${index + 1}`);
-const mark = 'poison';
+const poisonMark = 'poison';
 /** How often the poison request is sent. */
-const sends = 24;
+const poisonRequests = 24;
 /** Milliseconds between two of these requests, and between two unrelated crashes. */
 const sendPause = 300;
 const otherClients = 24;
 /** Milliseconds within which boxes that reach each other have received each other's updates. */
 const contactTime = 3000;
 /** Replicas that may still crash later than that after the third crash. */
-const runsAllowed = 3;
+const maxLateCrashes = 3;
 /** Replicas that may crash in total: three, and those to which boxes send the request before they know of these crashes. */
-const endsAllowed = 6;
+const maxCrashes = 6;
 /** Part of the other requests that may be lost. */
-const lossAllowed = 0.05;
+const maxLossPart = 0.05;
 /** Replicas that crash for an unrelated reason; each is listed again after two seconds. */
-const otherEnds = 12;
-const poison = {path: '/calls/x', method: 'POST', body: `${mark} ${'x'.repeat(100)}`};
+const unrelatedCrashes = 12;
+const poison = {path: '/calls/x', method: 'POST', body: `${poisonMark} ${'x'.repeat(100)}`};
 
 let installation: RelayInstallation;
 /** Responses that clients got during the unrelated crashes. */
-let besideOtherEnds: readonly ClientView[] = [];
+let viewsDuringUnrelatedCrashes: readonly ClientView[] = [];
 
 before(async () => {
 	installation = await RelayInstallation.start({relays: relayCount, replicas: replicaIds});
@@ -49,23 +49,23 @@
 
 const isServed = ({status, isWhole}: ClientView): boolean => status === 200 && isWhole;
 
-type Others = {
+type OtherClients = {
 	readonly isOver: () => boolean;
 	readonly bodyOf: (client: number, count: number) => string;
 	/** @returns Callback for when the request that this client starts now was served. */
 	readonly begin?: (client: number) => () => void;
 };
 
-async function callOthers({isOver, bodyOf, begin = () => () => undefined}: Others): Promise<readonly ClientView[]> {
+async function runOtherClients({isOver, bodyOf, begin = () => () => undefined}: OtherClients): Promise<readonly ClientView[]> {
 	const views: ClientView[] = [];
 	const client = async (index: number): Promise<void> => {
 		for (let count = 0; !isOver(); count++) {
 			const relay = installation.relays[(index + count) % relayCount];
-			const noteServed = begin(index);
+			const onServed = begin(index);
 			const view = await installation.call({path: `/calls/${index}`, method: 'POST', body: bodyOf(index, count)}, relay);
 			views.push(view);
 			if (isServed(view)) {
-				noteServed();
+				onServed();
 			}
 
 			await pause(20);
@@ -77,26 +77,26 @@
 }
 
 test('a request that crashes replicas is quarantined on all boxes after three crashes, and the other requests are served', async () => {
-	const ends: number[] = [];
+	const crashTimes: number[] = [];
 	let isOver = false;
-	installation.crashOn(mark, () => {
-		ends.push(performance.now());
+	installation.crashOn(poisonMark, () => {
+		crashTimes.push(performance.now());
 	});
-	const others = callOthers({isOver: () => isOver, bodyOf: (client, count) => `question ${client}-${count}`});
+	const others = runOtherClients({isOver: () => isOver, bodyOf: (client, count) => `question ${client}-${count}`});
 	const answers: ClientView[] = [];
-	for (const index of Array.from({length: sends}).keys()) {
+	for (const index of Array.from({length: poisonRequests}).keys()) {
 		void installation.call(poison, installation.relays[index % relayCount]).then(view => answers.push(view));
 		await pause(sendPause);
 	}
 
 	isOver = true;
 	const views = await others;
-	const third = ends[2] ?? Number.POSITIVE_INFINITY;
-	const late = ends.filter(at => at > third + contactTime);
+	const third = crashTimes[2] ?? Number.POSITIVE_INFINITY;
+	const late = crashTimes.filter(at => at > third + contactTime);
 	const lost = views.filter(view => !isServed(view));
-	assert.ok(late.length <= runsAllowed, `${late.length} replicas crashed later than ${contactTime} ms after the third, ${ends.length} in total`);
-	assert.ok(ends.length <= endsAllowed, `${ends.length} replicas crashed`);
-	assert.ok(lost.length <= views.length * lossAllowed, `${lost.length} of ${views.length} other requests were lost`);
+	assert.ok(late.length <= maxLateCrashes, `${late.length} replicas crashed later than ${contactTime} ms after the third, ${crashTimes.length} in total`);
+	assert.ok(crashTimes.length <= maxCrashes, `${crashTimes.length} replicas crashed`);
+	assert.ok(lost.length <= views.length * maxLossPart, `${lost.length} of ${views.length} other requests were lost`);
 	assert.ok(answers.every(({status}) => status === 502 || status === 503), 'no response says that the request was served');
 	assert.ok(answers.filter(({status}) => status === 503).every(({headers}) => Number(headers['retry-after']) > 0), 'a refusal says when to retry');
 });
@@ -111,27 +111,27 @@
 test('requests that were in progress during unrelated crashes are not quarantined, although their clients send them again and again', async () => {
 	let isOver = false;
 	const linesBefore = installation.relays.map(({log}) => log.lines.length);
-	let ends = 0;
+	let crashCount = 0;
 	/** Clients that were served since the last crash by a request that they sent after it. */
 	const served = new Set<number>();
-	const others = callOthers({
+	const others = runOtherClients({
 		isOver: () => isOver,
 		bodyOf: client => `the same question of client ${client}`,
 		begin(client) {
-			const begunAt = ends;
+			const countAtStart = crashCount;
 			return () => {
-				if (begunAt === ends) {
+				if (countAtStart === crashCount) {
 					served.add(client);
 				}
 			};
 		},
 	});
-	for (const index of Array.from({length: otherEnds}).keys()) {
+	for (const index of Array.from({length: unrelatedCrashes}).keys()) {
 		await pause(sendPause);
 		// A request that is cut by crash after crash and never served in between looks like their cause, so wait until all are served on a slow machine too.
 		await until(() => served.size === otherClients);
 		await installation.end(replicaIds[index % replicaIds.length]!);
-		ends++;
+		crashCount++;
 		served.clear();
 	}
 
@@ -141,13 +141,13 @@
 	const lines = installation.relays.flatMap(({log}, index) => log.lines.slice(linesBefore[index]));
 	assert.ok(lines.some(({eventName}) => eventName === 'replicaEnded'), 'replicas crashed under requests');
 	assert.deepEqual(lines.filter(({eventName, reason}) => eventName === 'requestQuarantined' || reason === 'quarantined'), []);
-	besideOtherEnds = views;
+	viewsDuringUnrelatedCrashes = views;
 });
 
 test('few requests that were in progress during unrelated crashes are lost', () => {
-	const lost = besideOtherEnds.filter(view => !isServed(view));
-	assert.ok(besideOtherEnds.length > 0);
-	assert.ok(lost.length <= besideOtherEnds.length * lossAllowed, `${lost.length} of ${besideOtherEnds.length} were lost`);
+	const lost = viewsDuringUnrelatedCrashes.filter(view => !isServed(view));
+	assert.ok(viewsDuringUnrelatedCrashes.length > 0);
+	assert.ok(lost.length <= viewsDuringUnrelatedCrashes.length * maxLossPart, `${lost.length} of ${viewsDuringUnrelatedCrashes.length} were lost`);
 });
 
 test('a request that was in progress at another box during three crashes is served, and the request that caused them is not run', async context => {
@@ -155,29 +155,29 @@
 	context.after(async () => small.close());
 	const [first, second] = small.relays;
 	const innocent = {path: '/calls/innocent', method: 'POST', body: 'the same question again'};
-	const asked = fingerprintOf({
+	const innocentFingerprint = fingerprintOf({
 		method: innocent.method, target: innocent.path, clientAccount: 'basin', body: Buffer.from(innocent.body),
 	});
 	// The replica answers nothing in time, so every request that it runs is cut by the crash, on a slow machine too.
 	small.replicas.get('i-1')!.behave({delay: 10_000});
-	small.crashOn(mark, () => undefined);
+	small.crashOn(poisonMark, () => undefined);
 	const isListed = (times: number) => small.relays.every(({log}) => log.lines.filter(({eventName}) => eventName === 'replicaListed').length === times);
 	for (const round of [1, 2, 3]) {
 		await until(() => isListed(round));
 		const {everyReplica} = small;
-		const beside = small.call(innocent, first);
+		const innocentCall = small.call(innocent, first);
 		await until(() => everyReplica.at(-1)!.seen.length === 1);
 		// The poison request starts later, so that the two have run for different times at the crash.
 		await pause(150);
 		await small.call(poison, second);
-		assert.notEqual((await beside).status, 200);
+		assert.notEqual((await innocentCall).status, 200);
 	}
 
 	// A crash is logged some time after the connections were cut.
 	await until(() => isListed(4));
 	small.replicas.get('i-1')!.behave({});
-	const ends = first!.log.lines.filter(({eventName, suspects}) => eventName === 'replicaEnded' && String(suspects).includes(asked)).map(({start}) => start);
-	assert.equal(new Set(ends).size, 3, 'the innocent request was in progress during three crashes');
+	const crashedStarts = first!.log.lines.filter(({eventName, suspects}) => eventName === 'replicaEnded' && String(suspects).includes(innocentFingerprint)).map(({start}) => start);
+	assert.equal(new Set(crashedStarts).size, 3, 'the innocent request was in progress during three crashes');
 	for (const relay of small.relays) {
 		assert.equal((await small.call(innocent, relay)).status, 200);
 		assert.equal((await small.call(poison, relay)).status, 503);
--- a/src/node/test/relay-duties.test.ts
+++ b/src/node/test/relay-duties.test.ts
@@ -40,7 +40,7 @@
 	assert.deepEqual(fences, [...fences].sort((left, right) => left - right), 'fence tokens never decrease');
 }
 
-const reported = (): number => {
+const reportedUsage = (): number => {
 	const byWindow = new Map(reports().map(({body}) => [body.window_id, body.counts as Record<string, number>]));
 	return [...byWindow.values()].map(counts => counts.basin ?? 0).reduce((left, right) => left + right, 0);
 };
@@ -48,19 +48,19 @@
 test('one holder reports the usage of all relays once, and another takes over when it exits, also when store responses are lost', async () => {
 	await until(() => reports().length > 0);
 	await Promise.all(installation.relays.flatMap(relay => Array.from({length: 5}, async () => installation.call({path: '/calls/x'}, relay))));
-	await until(() => reported() === 15);
+	await until(() => reportedUsage() === 15);
 	const [holder] = reports().map(call => call.holder).slice(-1);
-	const ended = installation.relays.find(({log}) => log.lines.some(({eventName}) => eventName === 'dutyAcquired'))!;
+	const formerHolder = installation.relays.find(({log}) => log.lines.some(({eventName}) => eventName === 'dutyAcquired'))!;
 	installation.store.faults = {isSilent: false, isBusy: false, losesAnswers: true};
 	await new Promise(resolve => {
 		setTimeout(resolve, 1500);
 	});
 	installation.store.heal();
-	await ended.end();
-	installation.relays.splice(installation.relays.indexOf(ended), 1);
+	await formerHolder.end();
+	installation.relays.splice(installation.relays.indexOf(formerHolder), 1);
 	await until(() => reports().some(call => call.holder !== holder));
 	await Promise.all(installation.relays.map(async relay => installation.call({path: '/calls/x'}, relay)));
-	await until(() => reported() === 17);
+	await until(() => reportedUsage() === 17);
 	assertRules(installation.store.dutyCalls);
 });
 
@@ -73,7 +73,7 @@
 });
 
 test('the first replicas of a fleet are all counted before any is given up, although they register one after the other', async () => {
-	const slow = await RelayInstallation.start({
+	const slowFleet = await RelayInstallation.start({
 		relays: 1,
 		replicas: ['i-1'],
 		withDuties: true,
@@ -88,13 +88,13 @@
 			await new Promise(resolve => {
 				setTimeout(resolve, 1500);
 			});
-			await slow.addReplica(id);
+			await slowFleet.addReplica(id);
 		}
 
-		await until(() => slow.store.spec('waydrift-duties', 'record') !== undefined && slow.store.dutyCalls.some(({path}) => path === '/scale'));
-		const record = slow.store.spec('waydrift-duties', 'record') as {readonly baseline: ReadonlyArray<{readonly replicas: number}>};
+		await until(() => slowFleet.store.spec('waydrift-duties', 'record') !== undefined && slowFleet.store.dutyCalls.some(({path}) => path === '/scale'));
+		const record = slowFleet.store.spec('waydrift-duties', 'record') as {readonly baseline: ReadonlyArray<{readonly replicas: number}>};
 		assert.equal(record.baseline[0]!.replicas, 3);
 	} finally {
-		await slow.close();
+		await slowFleet.close();
 	}
 });
--- a/src/node/test/relay-large-fleet.test.ts
+++ b/src/node/test/relay-large-fleet.test.ts
@@ -7,7 +7,7 @@
 
 const boxes = 15;
 /** Maximum number of requests until a condition must hold. */
-const mostAsked = 300;
+const maxRequests = 300;
 /** Milliseconds in which all boxes receive their parts of a limit and sample their metrics. */
 const settlingTime = 4000;
 let installation: RelayInstallation;
@@ -31,15 +31,15 @@
 	return sumOf(values.map(({value}) => value));
 }
 
-async function askUntil(relay: RelayInstallation['relays'][number], holds: () => boolean): Promise<void> {
+async function sendRequestsUntil(relay: RelayInstallation['relays'][number], holds: () => boolean): Promise<void> {
 	for (let asked = 0; !holds(); asked++) {
-		assert.ok(asked < mostAsked, holds.toString());
+		assert.ok(asked < maxRequests, holds.toString());
 		await installation.call({path: '/new/x'}, relay);
 		await pause(50);
 	}
 }
 
-const versionsIn = () => installation.relays.map(({log}) => log.lines.findLast(({eventName}) => eventName === 'routesApplied')?.version);
+const appliedVersions = () => installation.relays.map(({log}) => log.lines.findLast(({eventName}) => eventName === 'routesApplied')?.version);
 test('only a few boxes read the store, on behalf of all', async () => {
 	// Boxes that followed the store before they knew the fleet finish their last watch.
 	await pause(4500);
@@ -51,7 +51,7 @@
 
 test('a new configuration and the departure of a replica reach every box, although few boxes read the store', async () => {
 	const version = installation.configure({routes: [routeTo('/new/')]});
-	await until(() => versionsIn().every(known => known === version));
+	await until(() => appliedVersions().every(known => known === version));
 	installation.list('i-2', {state: 'draining'});
 	await until(() => installation.relays.every(({log}) => log.lines.some(({eventName, replica}) => eventName === 'replicaLeaving' && replica === 'i-2')));
 	await installation.addReplica('i-3');
@@ -75,12 +75,12 @@
 	const limit = 15;
 	const outsider = installation.relays.find(relay => !isAggregator(relay))!;
 	const replica = installation.replicas.get('i-3')!;
-	const hasHeard = (eventName: EventName) => installation.relays.every(({log}) => log.lines.some(line => line.eventName === eventName && line.replica === replica.id));
+	const isLoggedByAll = (eventName: EventName) => installation.relays.every(({log}) => log.lines.some(line => line.eventName === eventName && line.replica === replica.id));
 	replica.limit = String(limit);
-	await askUntil(outsider, () => hasHeard('replicaLimited'));
+	await sendRequestsUntil(outsider, () => isLoggedByAll('replicaLimited'));
 	// Metrics are sampled each second, and parts follow the demand.
 	for (let asked = 0; await partOf(outsider) < limit / boxes * 1.5; asked++) {
-		assert.ok(asked < mostAsked, `${await partOf(outsider)} is its part, although it alone gets requests`);
+		assert.ok(asked < maxRequests, `${await partOf(outsider)} is its part, although it alone gets requests`);
 		await installation.call({path: '/new/x'}, outsider);
 	}
 
@@ -89,19 +89,19 @@
 	assert.ok(Math.abs(sumOf(parts) - limit) < limit * 0.1, `${sumOf(parts)} in total`);
 	replica.limit = undefined;
 	// Only a box that sends requests to the replica learns of this from its responses.
-	await askUntil(outsider, () => hasHeard('replicaLimitEnded'));
+	await sendRequestsUntil(outsider, () => isLoggedByAll('replicaLimitEnded'));
 	assert.ok(installation.relays.some(({log}) => log.lines.some(({eventName, source}) => eventName === 'replicaLimited' && source === 'digest')));
 });
 
 test('when all aggregators exit, other boxes replace them, and a new configuration still reaches every box', async () => {
-	const gone = aggregators();
-	await Promise.all(gone.map(async ({end}) => end()));
-	for (const relay of gone) {
+	const formerAggregators = aggregators();
+	await Promise.all(formerAggregators.map(async ({end}) => end()));
+	for (const relay of formerAggregators) {
 		installation.relays.splice(installation.relays.indexOf(relay), 1);
 	}
 
 	const version = installation.configure();
-	await until(() => versionsIn().every(known => known === version));
+	await until(() => appliedVersions().every(known => known === version));
 	await until(() => installation.relays.every(({node}) => node.isReady));
 	const answers = await Promise.all(installation.relays.map(async relay => installation.call({path: '/calls/x'}, relay)));
 	assert.deepEqual(answers.map(({status}) => status), answers.map(() => 200));
--- a/src/node/test/relay-serving.test.ts
+++ b/src/node/test/relay-serving.test.ts
@@ -118,8 +118,8 @@
 	assert.equal(view.headers['retry-after'], undefined);
 };
 
-const badAnswers = ['reset', 'cut', 'wrong-id', 'encoded', 'unframed-reset', 'unframed-crash'] as const;
-for (const fault of badAnswers) {
+const invalidResponses = ['reset', 'cut', 'wrong-id', 'encoded', 'unframed-reset', 'unframed-crash'] as const;
+for (const fault of invalidResponses) {
 	test(`a request that may run only once is sent once, and gets 502 when its response is invalid: ${fault}`, async () => {
 		await assertOnceWith502(fault);
 	});
--- a/src/node/test/relay-store-outage.test.ts
+++ b/src/node/test/relay-store-outage.test.ts
@@ -27,14 +27,14 @@
 
 after(async () => installation.close());
 
-const silence = () => {
+const startOutage = () => {
 	installation.store.faults = {isSilent: true, isBusy: false, losesAnswers: false};
 	// Ends the watches in progress.
 	installation.store.forgetHistory();
 };
 
 test('no request is lost during a store outage, on new and on kept-alive connections, whether it may be retried or not', async () => {
-	silence();
+	startOutage();
 	staying.behave({delay: 300});
 	leaving.behave({delay: 300});
 	const agent = new Agent({keepAlive: true, maxSockets: 4});
@@ -53,7 +53,7 @@
 test('a known departure of a replica is respected during a store outage and after it', async () => {
 	installation.list('i-2', {state: 'draining', seq: 2});
 	await until(() => installation.relays.every(({log}) => log.lines.some(({eventName, replica}) => eventName === 'replicaLeaving' && replica === 'i-2')));
-	silence();
+	startOutage();
 	// The requests last longer than a list of replicas counts as complete without an update.
 	const {relays} = installation;
 	const views = await Promise.all(Array.from({length: 24}, async (_, index) => {
--- a/src/node/test/relay-streams.test.ts
+++ b/src/node/test/relay-streams.test.ts
@@ -17,11 +17,11 @@
 const events = 6;
 const brokenEvent = 3;
 const eventBytes = Buffer.byteLength(eventOf('i-1', brokenEvent));
-const everyCut = Array.from({length: eventBytes}, (_, bytes) => bytes);
+const everyOffset = Array.from({length: eventBytes}, (_, bytes) => bytes);
 /** High enough that no retry is denied: the retry budget is not tested here. */
 const bounds = {retrySlack: 100_000};
 /** Number of concurrent streams, within the slots of each replica. */
-const atOnce = 8;
+const concurrency = 8;
 
 let installation: RelayInstallation;
 let replicas: readonly ReplicaStandin[];
@@ -49,15 +49,15 @@
 
 /** @returns What is wrong with a received stream; `undefined` if it has each event once, whole and in order. */
 const faultOf = ({status, body, isWhole}: ClientView, first = 1): string | undefined => {
-	const got = eventsIn(body);
-	const isRight = isWhole && got.length === events - first + 1 && got.every((event, index) => isOneEvent(event, first + index));
+	const received = eventsIn(body);
+	const isRight = isWhole && received.length === events - first + 1 && received.every((event, index) => isOneEvent(event, first + index));
 	return isRight ? undefined : `${status} ${isWhole ? 'whole' : 'cut'} ${JSON.stringify(body)}`;
 };
 
 /** @returns Whether a client got any number of events from the first on, each whole and in order, or status 502 and no event. */
-const isBeginning = ({status, body}: ClientView): boolean => {
-	const got = eventsIn(body);
-	return status === 502 ? !body.includes('id:') : got.every((event, index) => isOneEvent(event, index + 1));
+const isIntactBeginning = ({status, body}: ClientView): boolean => {
+	const received = eventsIn(body);
+	return status === 502 ? !body.includes('id:') : received.every((event, index) => isOneEvent(event, index + 1));
 };
 
 const faultsOf = async (streams: ReadonlyArray<Partial<StreamConduct>>): Promise<readonly string[]> => {
@@ -72,7 +72,7 @@
 		return [...(fault === undefined ? [] : [`${JSON.stringify(stream)}: ${fault}`]), ...await worker()];
 	};
 
-	const found = await Promise.all(Array.from({length: atOnce}, worker));
+	const found = await Promise.all(Array.from({length: concurrency}, worker));
 	return found.flat();
 };
 
@@ -80,8 +80,8 @@
 const endings = ['reset', 'close'] as const;
 
 test('a stream whose replica crashes inside an event continues with whole events only, at whichever byte it crashes and however bytes are chunked', async () => {
-	const chunked = pieces.flatMap(piece => endings.flatMap(ending => everyCut.map(bytes => ({pieces: piece, ending, breaksAt: {event: brokenEvent, bytes}}))));
-	const unframed = pieces.flatMap(piece => everyCut.map(bytes => ({
+	const chunked = pieces.flatMap(piece => endings.flatMap(ending => everyOffset.map(bytes => ({pieces: piece, ending, breaksAt: {event: brokenEvent, bytes}}))));
+	const unframed = pieces.flatMap(piece => everyOffset.map(bytes => ({
 		pieces: piece, framing: 'none' as const, ending: 'reset' as const, breaksAt: {event: brokenEvent, bytes},
 	})));
 	assert.deepEqual(await faultsOf([...chunked, ...unframed]), []);
@@ -89,7 +89,7 @@
 
 test('a stream without a length whose connection ends inside an event counts as cut', async () => {
 	// Without any byte of the event the cut cannot be detected.
-	const streams = pieces.flatMap(piece => everyCut.slice(1).map(bytes => ({
+	const streams = pieces.flatMap(piece => everyOffset.slice(1).map(bytes => ({
 		pieces: piece, framing: 'none' as const, ending: 'close' as const, breaksAt: {event: brokenEvent, bytes},
 	})));
 	assert.deepEqual(await faultsOf(streams), []);
@@ -102,12 +102,12 @@
 	];
 	for (const misfit of misfits) {
 		const view = await streamOnce(misfit);
-		assert.ok(isBeginning(view), `${JSON.stringify(misfit)}: ${JSON.stringify(view.body)}`);
+		assert.ok(isIntactBeginning(view), `${JSON.stringify(misfit)}: ${JSON.stringify(view.body)}`);
 		assert.equal(view.status === 200 && view.isWhole, false, `${JSON.stringify(misfit)}: looks whole`);
 	}
 
-	const anew = await streamOnce({goesOn: 'anew'}, {'Last-Event-Id': '2'});
-	assert.deepEqual([anew.status, anew.body.includes('id:')], [502, false], 'a stream that the client resumes');
+	const resumed = await streamOnce({goesOn: 'anew'}, {'Last-Event-Id': '2'});
+	assert.deepEqual([resumed.status, resumed.body.includes('id:')], [502, false], 'a stream that the client resumes');
 });
 
 test('a stream that a client resumes continues after the event that the client names', async () => {
@@ -128,7 +128,7 @@
 	}
 
 	const views: ClientView[] = [];
-	for (let stream = 0; stream < atOnce; stream++) {
+	for (let stream = 0; stream < concurrency; stream++) {
 		views.push(await streamOnce({}));
 	}
 
@@ -138,12 +138,12 @@
 
 	assert.deepEqual(views.map(view => faultOf(view)).filter(fault => fault !== undefined), []);
 	const garbled = installation.relays[0]!.log.lines.filter(({failures, events: count}) => String(failures).includes('unnumbered') && count === events);
-	assert.equal(garbled.length, atOnce, 'each stream had a run with an event out of sequence');
+	assert.equal(garbled.length, concurrency, 'each stream had a run with an event out of sequence');
 });
 
 test('events that were passed on reach the client even if its stream is cut at the same moment', async () => {
 	// The second event arrives in one chunk with the first and is out of sequence; the route allows no second attempt.
-	const views = await Promise.all(everyCut.map(async () => installation.call({
+	const views = await Promise.all(everyOffset.map(async () => installation.call({
 		path: '/whole/x', method: 'POST', body: JSON.stringify({pieces: 'together', nameless: 2}),
 	})));
 	assert.deepEqual(views.filter(({status, body, isWhole}) => status !== 200 || isWhole || !isOneEvent(body, 1)), []);
--- a/src/node/test/replica-limit.test.ts
+++ b/src/node/test/replica-limit.test.ts
@@ -28,7 +28,7 @@
 /** Requests allowed in a span: one and a half times the limit, and five more. */
 const allowed = (1.5 * limit * span / 1000) + 5;
 /** Minimum part of its equal share that a replica must get once it announces no limit any more. */
-const leastShare = 0.5;
+const minShare = 0.5;
 
 let installation: RelayInstallation;
 let clients: SteadyClients;
@@ -52,25 +52,25 @@
 
 test('a replica that announces a limit gets no more requests than that from all boxes together, and the other replicas serve the rest', async () => {
 	await until(() => arrivalsSince(limited, 0).length > clientCount);
-	const namedAt = performance.now();
+	const announcedAt = performance.now();
 	const viewsBefore = clients.views.length;
 	replica(limited).limit = String(limit);
 	await pause(contactTime + (observedSpans * span));
-	const most = mostWithin(arrivalsSince(limited, namedAt + contactTime), span);
+	const maxArrivals = mostWithin(arrivalsSince(limited, announcedAt + contactTime), span);
 	const served = clients.views.slice(viewsBefore).filter(({status, isWhole}) => status === 200 && isWhole);
-	assert.ok(most <= allowed, `${most} requests in ${span} ms at a replica with a limit of ${limit} per second; ${allowed} allowed`);
+	assert.ok(maxArrivals <= allowed, `${maxArrivals} requests in ${span} ms at a replica with a limit of ${limit} per second; ${allowed} allowed`);
 	assert.equal(served.length, clients.views.length - viewsBefore, 'all requests are served');
 	const lines = installation.relays.flatMap(({log}) => log.lines.filter(({eventName}) => eventName === 'requestAnswered'));
 	assert.ok(lines.some(({keptFrom}) => keptFrom === 1), 'a log line says that a replica was excluded for its request');
-	const inVain = lines.filter(({failures}) => String(failures).includes('withheld'));
-	assert.ok(inVain.length <= clientCount, `${inVain.length} requests chose the replica and were withheld`);
+	const withheld = lines.filter(({failures}) => String(failures).includes('withheld'));
+	assert.ok(withheld.length <= clientCount, `${withheld.length} requests chose the replica and were withheld`);
 });
 
 test('a box that sends no requests to the replica learns the limit from the other boxes', () => {
 	const idle = installation.relays[relayCount]!;
-	const told = idle.log.lines.filter(({eventName, replica: id}) => eventName === 'replicaLimited' && id === limited);
+	const limitLines = idle.log.lines.filter(({eventName, replica: id}) => eventName === 'replicaLimited' && id === limited);
 	// In a gossip message of another box, or in the digest that it requested.
-	assert.ok(told.some(({source}) => source === 'box' || source === 'digest'), JSON.stringify(told));
+	assert.ok(limitLines.some(({source}) => source === 'box' || source === 'digest'), JSON.stringify(limitLines));
 	assert.ok(idle.log.lines.every(({eventName}) => eventName !== 'requestAnswered'), 'the box has received no response of a replica');
 });
 
@@ -80,6 +80,6 @@
 	const since = performance.now() - span;
 	const all = replicaIds.map(id => arrivalsSince(id, since).length);
 	const total = all.reduce((sum, count) => sum + count, 0);
-	const own = arrivalsSince(limited, since).length;
-	assert.ok(own >= total / replicaIds.length * leastShare, `${own} of ${total}`);
+	const limitedCount = arrivalsSince(limited, since).length;
+	assert.ok(limitedCount >= total / replicaIds.length * minShare, `${limitedCount} of ${total}`);
 });
--- a/src/node/test/replica-start-model.test.ts
+++ b/src/node/test/replica-start-model.test.ts
@@ -11,12 +11,12 @@
 import type {PlatformLink} from '../platform-link.js';
 import {ReplicaRole} from '../replica-role.js';
 
-const newsKinds = ['list', 'whole', 'late', 'departure', 'restore', 'write-again', 'away'] as const;
+const updateKinds = ['list', 'whole', 'late', 'departure', 'restore', 'write-again', 'away'] as const;
 
 /** What may happen to the entry of a replica in the store, or which update a box receives. */
 type Step =
 	| {readonly kind: 'start' | 'drain' | 'go' | 'spoil'; readonly id: string}
-	| {readonly kind: typeof newsKinds[number]; readonly id: string; readonly part: number};
+	| {readonly kind: typeof updateKinds[number]; readonly id: string; readonly part: number};
 
 /** Milliseconds after which an expired entry that was not written again counts as gone. */
 const lapseTime = 2500;
@@ -25,11 +25,11 @@
 const id = fc.constantFrom(...ids);
 const step: fc.Arbitrary<Step> = fc.oneof(
 	fc.record({kind: fc.constantFrom('start' as const, 'drain' as const, 'go' as const, 'spoil' as const), id}),
-	fc.record({kind: fc.constantFrom(...newsKinds), id, part: fc.double({min: 0, max: 1, noNaN: true})}),
+	fc.record({kind: fc.constantFrom(...updateKinds), id, part: fc.double({min: 0, max: 1, noNaN: true})}),
 );
 
 /** A backup of the store. */
-type Copy = {readonly objects: ReadonlyMap<string, StoredObject>; readonly revision: number; readonly history: ReadonlyArray<Change & {readonly at: number}>};
+type StoreBackup = {readonly objects: ReadonlyMap<string, StoredObject>; readonly revision: number; readonly history: ReadonlyArray<Change & {readonly at: number}>};
 
 /** A store with its history, which may be restored from a backup, and a box that receives updates in any order that the gossip protocol allows. */
 class Model {
@@ -46,11 +46,11 @@
 	private lostHistory: ReadonlyArray<Change & {readonly at: number}> = [];
 	/** The last entry that each replica wrote, even if the store has lost it. */
 	private readonly written = new Map<string, unknown>();
-	private copies: readonly Copy[] = [];
+	private backups: readonly StoreBackup[] = [];
 	private era = 0;
 	private history: ReadonlyArray<Change & {readonly at: number}> = [];
 	private revision = 1;
-	private toldTo = 1;
+	private sentUpTo = 1;
 	/** Whether the box has read a list since the store was last restored from a backup. */
 	private isListed = true;
 
@@ -58,7 +58,7 @@
 		this.role.takeListing({at: this.revision, objects: []}, this.clock.monotonic());
 	}
 
-	take(what: Step): void {
+	applyStep(what: Step): void {
 		this.clock.now += 50;
 		switch (what.kind) {
 			case 'start': {
@@ -82,12 +82,12 @@
 			}
 
 			case 'list': {
-				this.tell(positionOf(this.era, Math.floor(what.part * revisionOf(this.revision)))!);
+				this.sendChanges(positionOf(this.era, Math.floor(what.part * revisionOf(this.revision)))!);
 				break;
 			}
 
 			case 'whole': {
-				this.listAnew();
+				this.sendList();
 				break;
 			}
 
@@ -95,7 +95,7 @@
 				const known = this.history.filter(({object}) => object.name === what.id);
 				const old = known[Math.floor(what.part * known.length)];
 				// A peer that is behind sends one old change; the box already knows the changes before it.
-				if (old && old.at <= this.toldTo) {
+				if (old && old.at <= this.sentUpTo) {
 					this.role.take(sender, {at: old.at, age: 0}, {at: old.at, changes: [old]});
 				}
 
@@ -133,12 +133,12 @@
 
 	/** @returns Replicas that the box would use, and those that the store lists as ready, after all updates have arrived. */
 	settle(): readonly [used: readonly string[], named: readonly string[]] {
-		this.tell(this.revision);
+		this.sendChanges(this.revision);
 		for (const name of ids) {
 			this.writeAgain(name);
 		}
 
-		this.tell(this.revision);
+		this.sendChanges(this.revision);
 		this.clock.now += lapseTime;
 		this.role.dropLapsed();
 		const used = this.replicas.all.filter(({isLeaving}) => !isLeaving).map(({start}) => start).sort();
@@ -150,18 +150,18 @@
 	}
 
 	private restore(part: number): void {
-		const copy = this.copies[Math.floor(part * this.copies.length)];
-		if (!copy) {
+		const backup = this.backups[Math.floor(part * this.backups.length)];
+		if (!backup) {
 			return;
 		}
 
 		this.era++;
-		this.objects = new Map(copy.objects);
-		this.revision = positionOf(this.era, revisionOf(copy.revision))!;
+		this.objects = new Map(backup.objects);
+		this.revision = positionOf(this.era, revisionOf(backup.revision))!;
 		this.lostHistory = [...this.lostHistory, ...this.history];
 		// Without a history the box has to read the whole list.
 		this.history = [];
-		this.copies = [];
+		this.backups = [];
 		this.isListed = false;
 	}
 
@@ -189,7 +189,7 @@
 				service: 's', addr: '127.0.0.1:1', slots: 8, ...changes,
 			},
 		};
-		this.copies = [...this.copies, {objects: new Map(this.objects), revision: this.revision - 1, history: this.history}];
+		this.backups = [...this.backups, {objects: new Map(this.objects), revision: this.revision - 1, history: this.history}];
 		this.written.set(name, object.spec);
 		this.objects.set(name, object);
 		this.history = [...this.history, {object, isGone: false, at: this.revision}];
@@ -199,28 +199,28 @@
 		this.written.delete(name);
 		const known = this.objects.get(name);
 		if (known) {
-			this.copies = [...this.copies, {objects: new Map(this.objects), revision: this.revision, history: this.history}];
+			this.backups = [...this.backups, {objects: new Map(this.objects), revision: this.revision, history: this.history}];
 			this.revision++;
 			this.objects.delete(name);
 			this.history = [...this.history, {object: known, isGone: true, at: this.revision}];
 		}
 	}
 
-	private listAnew(): void {
+	private sendList(): void {
 		this.role.takeListing({at: this.revision, objects: [...this.objects.values()]}, this.clock.monotonic());
-		this.toldTo = this.revision;
+		this.sentUpTo = this.revision;
 		this.isListed = true;
 	}
 
 	/** Sends all changes up to a revision, including known ones: batches overlap. */
-	private tell(upTo: number): void {
+	private sendChanges(upTo: number): void {
 		if (!this.isListed) {
-			this.listAnew();
+			this.sendList();
 			return;
 		}
 
 		const changes = this.history.filter(({at}) => at <= upTo);
-		this.toldTo = Math.max(this.toldTo, upTo);
+		this.sentUpTo = Math.max(this.sentUpTo, upTo);
 		this.role.take(sender, {at: upTo, age: 0}, {at: upTo, changes});
 	}
 }
@@ -229,7 +229,7 @@
 	fc.assert(fc.property(fc.array(step, {maxLength: 40}), steps => {
 		const model = new Model();
 		for (const one of steps) {
-			model.take(one);
+			model.applyStep(one);
 		}
 
 		const [used, named] = model.settle();
--- a/src/node/test/replica-statements.test.ts
+++ b/src/node/test/replica-statements.test.ts
@@ -15,7 +15,7 @@
 /** Milliseconds between two requests of a client. */
 const clientPause = 60;
 /** Milliseconds for which requests are counted after a statement of a replica. */
-const observed = 6000;
+const observationTime = 6000;
 /** Milliseconds after a response that announces a departure from which on the box that received it must send no requests. */
 const drainTime = 2000;
 /** Seconds of the pause that a replica asks for. */
@@ -32,12 +32,12 @@
 let installation: RelayInstallation;
 let clients: SteadyClients;
 
-const told = (): ReplicaStandin => installation.replicas.get('i-1')!;
+const observedReplica = (): ReplicaStandin => installation.replicas.get('i-1')!;
 const relayOf = ({id}: SeenRequest): string => id.split(':')[0]!;
 const byRelay = (requests: readonly SeenRequest[]): ReadonlyMap<string, readonly SeenRequest[]> => groupBy(requests, request => relayOf(request));
 
 /** @returns For each pause that a replica asked a relay for, the number of requests that the relay sent during it. */
-function inPauses(requests: readonly SeenRequest[]): readonly number[] {
+function requestsInPauses(requests: readonly SeenRequest[]): readonly number[] {
 	return requests
 		.filter(({pauseAsked: asked}) => asked !== undefined)
 		.map(({at}) => requests.filter(other => other.at > at + pauseNotice && other.at < at + (pauseAsked * 1000)).length);
@@ -52,7 +52,7 @@
 	clients = SteadyClients.start(installation, {
 		clients: clientCount, pause: clientPause, relays: installation.relays.slice(0, relayCount), headers: ({name}, number) => ({'Attempt-Id': `${name}:${number}`}),
 	});
-	await until(() => [...byRelay(told().seen).values()].length === relayCount);
+	await until(() => [...byRelay(observedReplica().seen).values()].length === relayCount);
 	await pause(settleTime);
 });
 
@@ -63,10 +63,10 @@
 
 test('a box sends no requests to a replica whose responses announce that it leaves, whatever its entry in the store says', async () => {
 	const before = clients.views.length;
-	const saidAt = performance.now();
-	told().isLeaving = true;
-	await pause(observed);
-	const after = [...byRelay(told().seen.filter(({at}) => at >= saidAt)).values()];
+	const announcedAt = performance.now();
+	observedReplica().isLeaving = true;
+	await pause(observationTime);
+	const after = [...byRelay(observedReplica().seen.filter(({at}) => at >= announcedAt)).values()];
 	const late = after.flatMap(requests => requests.filter(({at}) => at > requests[0]!.at + drainTime));
 	assert.equal(late.length, 0, `${late.length} requests later than ${drainTime} ms after the first response that announced it`);
 	const served = clients.views.slice(before).filter(({status}) => status === 200);
@@ -74,7 +74,7 @@
 	const idle = installation.relays[relayCount]!;
 	assert.ok(idle.log.lines.some(({eventName, source}) => eventName === 'replicaAnnouncedLeaving' && source === 'box'), 'a box without requests learns of it');
 	await installation.end('i-1');
-	await until(() => told().isUp && told().runs.length > 0);
+	await until(() => observedReplica().isUp && observedReplica().runs.length > 0);
 });
 
 test('a request whose replicas are all leaving is refused at once with a retry time', async () => {
@@ -113,10 +113,10 @@
 
 test('a box sends no requests to a replica that has answered 503 and asked for a pause', async () => {
 	const before = clients.views.length;
-	told().shedding = {every: 2, retryAfter: String(pauseAsked)};
-	await pause(observed);
-	const most = Math.max(...[...byRelay(told().seen).values()].flatMap(requests => inPauses(requests)));
-	assert.ok(told().seen.some(({pauseAsked: asked}) => asked !== undefined), 'the replica has asked for a pause');
+	observedReplica().shedding = {every: 2, retryAfter: String(pauseAsked)};
+	await pause(observationTime);
+	const most = Math.max(...[...byRelay(observedReplica().seen).values()].flatMap(requests => requestsInPauses(requests)));
+	assert.ok(observedReplica().seen.some(({pauseAsked: asked}) => asked !== undefined), 'the replica has asked for a pause');
 	assert.ok(most <= pauseSlack, `${most} requests of one box in a pause of ${pauseAsked} s`);
 	const served = clients.views.slice(before).filter(({status}) => status === 200);
 	assert.equal(served.length, clients.views.length - before, 'all requests are served');
--- a/src/node/test/restored-store.test.ts
+++ b/src/node/test/restored-store.test.ts
@@ -15,28 +15,28 @@
 /** Milliseconds between two requests of a client. */
 const clientPause = 40;
 /** Milliseconds for which the store is unavailable. */
-const away = 500;
+const outageTime = 500;
 /** Number of writes that the store loses. */
 const writesLost = 40;
 /** Milliseconds after the store has accepted a departure from which on the replica must get no requests. */
 const drainTime = 2000;
 /** Milliseconds within which boxes prove that the store has the configuration that they know. */
-const provingTime = 2500;
+const proofTime = 2500;
 /** Milliseconds for which requests are counted. */
-const observed = 5000;
+const observationTime = 5000;
 
 let installation: RelayInstallation;
 let clients: SteadyClients;
-let copy: StoreCopy;
+let backup: StoreCopy;
 
 const arrivalsAt = (id: string): readonly number[] => installation.replicas.get(id)?.seen.map(({at}) => at) ?? [];
 
 /** Makes the store unavailable for a while and restores it from a backup that lacks the last writes. */
-async function loseWrites(): Promise<void> {
+async function restoreBackup(): Promise<void> {
 	const {store} = installation;
 	store.faults = {isSilent: false, isBusy: true, losesAnswers: false};
-	await pause(away);
-	store.restore(copy);
+	await pause(outageTime);
+	store.restore(backup);
 	store.heal();
 }
 
@@ -44,7 +44,7 @@
 	installation = await RelayInstallation.start({relays: relayCount, replicas: ['i-1', 'i-2', 'i-3'], withDuties: true});
 	clients = SteadyClients.start(installation, {clients: clientCount, pause: clientPause, relays: [...installation.relays]});
 	await until(() => arrivalsAt('i-1').length > clientCount);
-	copy = installation.store.copy();
+	backup = installation.store.copy();
 	for (let write = 0; write < writesLost; write++) {
 		installation.list('i-2', {cold_left_ms: writesLost - write});
 	}
@@ -58,15 +58,15 @@
 });
 
 test('boxes apply the list of a store that has lost its last writes, although its revisions are lower', async () => {
-	await loseWrites();
+	await restoreBackup();
 	await pause(200);
 	installation.list('i-1', {state: 'draining', seq: 2});
-	const takenAt = performance.now();
+	const acceptedAt = performance.now();
 	await installation.addReplica('i-4');
-	await pause(observed);
-	const late = arrivalsAt('i-1').filter(at => at > takenAt + drainTime);
-	assert.equal(late.length, 0, `${late.length} requests at a replica later than ${drainTime} ms after the store had accepted its departure`);
-	assert.ok(arrivalsAt('i-4').some(at => at < takenAt + drainTime), 'a new replica is used');
+	await pause(observationTime);
+	const lateArrivals = arrivalsAt('i-1').filter(at => at > acceptedAt + drainTime);
+	assert.equal(lateArrivals.length, 0, `${lateArrivals.length} requests at a replica later than ${drainTime} ms after the store had accepted its departure`);
+	assert.ok(arrivalsAt('i-4').some(at => at < acceptedAt + drainTime), 'a new replica is used');
 });
 
 test('boxes keep a configuration that the store has lost, a box that starts then receives it, and a revoked key stays revoked', async () => {
@@ -77,7 +77,7 @@
 	const version = installation.configure({tenants});
 	await until(() => relays.every(({log}) => log.lines.some(line => line.eventName === 'routesApplied' && line.version === version)));
 	const written = store.spec(configurationKind, configurationName);
-	await loseWrites();
+	await restoreBackup();
 	await until(() => relays.every(({log}) => log.lines.some(({eventName}) => eventName === 'storeRestored')));
 	const started = await installation.startRelay('relay-late');
 	relays.push(started);
@@ -89,7 +89,7 @@
 
 	assert.ok((await statuses()).every(status => status === 401 || status === 503), 'a box that cannot prove that its configuration is the newest refuses requests');
 	store.put(configurationKind, configurationName, written);
-	await pause(provingTime);
+	await pause(proofTime);
 	assert.deepEqual(await statuses(), relays.map(() => 401));
 });
 
@@ -97,10 +97,10 @@
 	const {store} = installation;
 	const usage = () => store.dutyCalls.filter(({path}) => path === '/usage');
 	await until(() => usage().length > 1);
-	copy = store.copy();
+	backup = store.copy();
 	const known = usage().length;
 	await until(() => usage().length > known + 1);
-	await loseWrites();
+	await restoreBackup();
 	const before = usage().length;
 	await until(() => usage().length > before + 2);
 	const counts = new Map<unknown, string>();
--- a/src/node/test/trial-turns.test.ts
+++ b/src/node/test/trial-turns.test.ts
@@ -22,7 +22,7 @@
 }
 
 /** Starts one box and one replica that has crashed twice, each time with both requests in progress. */
-async function startBesideTwoEnds(): Promise<RelayInstallation> {
+async function startWithTwoCrashes(): Promise<RelayInstallation> {
 	const installation = await RelayInstallation.start({relays: 1, replicas: ['i-1']});
 	for (const round of [1, 2]) {
 		await untilListed(installation, round);
@@ -39,7 +39,7 @@
 }
 
 test('requests that were in progress during the same two crashes take turns at the one replica, and all are served', async context => {
-	const installation = await startBesideTwoEnds();
+	const installation = await startWithTwoCrashes();
 	context.after(async () => installation.close());
 	installation.everyReplica.at(-1)!.behave({delay: runTime});
 	const views = await Promise.all([first, second, first].map(async request => installation.call(request!)));
@@ -47,14 +47,14 @@
 });
 
 test('a request on trial does not wait for a long run of another one, and its response says when to retry', async context => {
-	const installation = await startBesideTwoEnds();
+	const installation = await startWithTwoCrashes();
 	context.after(async () => installation.close());
 	const replica = installation.everyReplica.at(-1)!;
 	const long = installation.call(first!);
 	await until(() => replica.seen.length === 1);
-	const beside = await installation.call(second!);
-	assert.equal(beside.status, 503);
-	assert.ok(Number(beside.headers['retry-after']) > 0);
+	const concurrent = await installation.call(second!);
+	assert.equal(concurrent.status, 503);
+	assert.ok(Number(concurrent.headers['retry-after']) > 0);
 	assert.equal((await long).status, 200);
 	assert.equal(replica.seen.length, 1, 'the other request was not run at the same time');
 });
@@ -62,15 +62,15 @@
 test('a request on trial that arrives twice at once crashes one more replica, not two', async context => {
 	const installation = await RelayInstallation.start({relays: 1, replicas: ['i-1', 'i-2']});
 	context.after(async () => installation.close());
-	const ends: string[] = [];
+	const crashes: string[] = [];
 	installation.crashOn(mark, id => {
-		ends.push(id);
+		crashes.push(id);
 	});
 	await untilListed(installation, 2);
 	assert.equal((await installation.call(poison)).status, 502);
-	assert.equal(ends.length, 2, 'the request was sent to the other replica too');
+	assert.equal(crashes.length, 2, 'the request was sent to the other replica too');
 	await untilListed(installation, 4);
 	const views = await Promise.all([poison, poison].map(async request => installation.call(request)));
 	assert.deepEqual(statusesOf(views), [502, 503]);
-	assert.equal(ends.length, 3);
+	assert.equal(crashes.length, 3);
 });
