--- a/src/node/test/relay-stopping.test.ts
+++ b/src/node/test/relay-stopping.test.ts
@@ -23,7 +23,7 @@
 	}).on('error', reject);
 });
 
-test('a relay that is stopped becomes unready at once, goes on serving, closes kept-alive connections with its responses, and stops', async () => {
+test('a stopping relay becomes unready at once, goes on serving, closes kept-alive connections with its responses, and then stops', async () => {
 	const agent = new Agent({keepAlive: true, maxSockets: 1});
 	assert.equal(await readiness(), 200);
 	assert.equal((await installation.call({path: '/calls/x', agent})).headers.connection, 'keep-alive');
