--- a/src/node/test/exchange-load.test.ts
+++ b/src/node/test/exchange-load.test.ts
@@ -21,7 +21,7 @@
 		return fleet.round();
 	});
 	const perSecond = (bytes: number) => bytes * 1000 / (rounds * fleet.interval);
-	return {heard: perSecond(sumOf(traffic.map(({heard}) => heard))), sent: perSecond(sumOf(traffic.map(({sent}) => sent)))};
+	return {received: perSecond(sumOf(traffic.map(({heard}) => heard))), sent: perSecond(sumOf(traffic.map(({sent}) => sent)))};
 };
 
 for (const shape of [
@@ -33,28 +33,28 @@
 	},
 ]) {
 	test(`the gossip of an aggregator of ${shape.boxes} boxes leaves room for requests on a slow link`, () => {
-		const {heard, sent} = trafficOf(shape);
-		assert.ok(heard < slowestLink * maxLinkPart, `${heard} bytes a second heard`);
-		assert.ok(sent < slowestLink * maxLinkPart, `${sent} bytes a second sent`);
+		const {received, sent} = trafficOf(shape);
+		assert.ok(received < slowestLink * maxLinkPart, `${received} bytes per second received`);
+		assert.ok(sent < slowestLink * maxLinkPart, `${sent} bytes per second sent`);
 	});
 }
 
 test('gossip about crashed replicas leaves room on a slow link, even when each replica has crashed under requests of each box', () => {
-	const {heard, sent} = trafficOf({
+	const {received, sent} = trafficOf({
 		boxes: 86, replicas: 84, clientAccounts: 16, inProgress: 3,
 	}, fleet => {
 		fleet.endReplicas();
 	});
-	assert.ok(heard < slowestLink * maxLinkPart, `${heard} bytes a second heard`);
-	assert.ok(sent < slowestLink * maxLinkPart, `${sent} bytes a second sent`);
+	assert.ok(received < slowestLink * maxLinkPart, `${received} bytes per second received`);
+	assert.ok(sent < slowestLink * maxLinkPart, `${sent} bytes per second sent`);
 });
 
 test('gossip about request limits leaves room on a slow link, even when each replica has announced one to each box', () => {
-	const {heard, sent} = trafficOf({
+	const {received, sent} = trafficOf({
 		boxes: 86, replicas: 84, clientAccounts: 16, inProgress: 3,
 	}, fleet => {
 		fleet.limitReplicas();
 	});
-	assert.ok(heard < slowestLink * maxLinkPart, `${heard} bytes a second heard`);
-	assert.ok(sent < slowestLink * maxLinkPart, `${sent} bytes a second sent`);
+	assert.ok(received < slowestLink * maxLinkPart, `${received} bytes per second received`);
+	assert.ok(sent < slowestLink * maxLinkPart, `${sent} bytes per second sent`);
 });
--- a/src/node/test/trial-turns.test.ts
+++ b/src/node/test/trial-turns.test.ts
@@ -8,8 +8,8 @@
 import {test} from 'node:test';
 import {RelayInstallation, until, type ClientView} from '../../../development/relay/relay-installation.js';
 
-const mark = 'poison';
-const poison = {path: '/calls/x', method: 'POST', body: mark};
+const poisonMark = 'poison';
+const poison = {path: '/calls/x', method: 'POST', body: poisonMark};
 const [first, second] = ['first', 'second'].map(body => ({path: '/calls/innocent', method: 'POST', body}));
 /** Milliseconds of a short run, and of a run for which other requests on trial do not wait. */
 const runTime = 100;
@@ -63,7 +63,7 @@
 	const installation = await RelayInstallation.start({relays: 1, replicas: ['i-1', 'i-2']});
 	context.after(async () => installation.close());
 	const crashes: string[] = [];
-	installation.crashOn(mark, id => {
+	installation.crashOn(poisonMark, id => {
 		crashes.push(id);
 	});
 	await untilListed(installation, 2);
