--- a/src/node/limit-stretches.ts
+++ b/src/node/limit-stretches.ts
@@ -1,6 +1,6 @@
 /**
- * Divides the slots of replicas that have announced request limits among the boxes. The slots of a service lie on a line from 0 to 1, and each box owns a
- * stretch of it: in proportion to the demand at each box where that is known, otherwise an equal part.
+ * Divides the requests that limited replicas allow among the boxes. Each allowed request is a time slot with a place on a line from 0 to 1, and each box may
+ * use the slots on its stretch of the line. The lengths of the stretches are in proportion to the demand at each box where that is known, otherwise equal.
  */
 import type {Clock} from '../base/clock.js';
 import {shareOf} from '../base/rendezvous.js';
