--- a/src/node/exchange-state.ts
+++ b/src/node/exchange-state.ts
@@ -1,5 +1,5 @@
 /**
- * What this box tells others in the exchange, and what it makes of what they tell.
+ * Builds the gossip messages that this box sends, and applies the messages that it receives.
  */
 import {unknownAge, type Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
@@ -17,12 +17,12 @@
 import type {LimitStretches} from './limit-stretches.js';
 import type {ReplicaRole} from './replica-role.js';
 
-/** Milliseconds for which the work of all boxes is not added up anew. */
-const workMemory = 100;
-/** Milliseconds since its start in which an aggregator still takes buckets from others, which know more. */
-const learningTime = 4000;
+/** Milliseconds for which the sum of the work of all boxes is cached. */
+const workCacheTime = 100;
+/** Milliseconds since its start in which an aggregator still adopts quota levels from other aggregators, which know more. */
+const quotaAdoptionTime = 4000;
 
-/** What the state is made of. */
+/** Dependencies of the state. */
 export type ExchangeParts = {
 	readonly clock: Clock;
 	readonly log: EventLog;
@@ -36,27 +36,28 @@
 	readonly isStopping: () => boolean;
 };
 
-const startOf = ({sender, incarnation}: GossipMessage): string => `${sender.name}/${incarnation}`;
+/** @returns The name of the sending process: a box that restarts gets a new one. */
+const processNameOf = ({sender, incarnation}: GossipMessage): string => `${sender.name}/${incarnation}`;
 
-/** The state. */
+/** The state of a box that is exchanged by gossip. */
 export class ExchangeState {
 	/**
-	 * @param parts - What it is made of.
+	 * @param parts - Dependencies of the state.
 	 * @returns The state.
 	 */
 	static create(parts: ExchangeParts): ExchangeState {
 		return new ExchangeState(parts);
 	}
 
-	private work: {readonly loads: readonly ReplicaLoad[]; readonly at: number} = {loads: [], at: Number.NEGATIVE_INFINITY};
+	private workCache: {readonly loads: readonly ReplicaLoad[]; readonly at: number} = {loads: [], at: Number.NEGATIVE_INFINITY};
 	private wasAggregator: boolean | undefined;
 
 	private constructor(private readonly parts: ExchangeParts) {}
 
 	/**
-	 * @param isWhole - Whether all is told that others must know, not only what is new.
-	 * @param sources - How the statements of replicas that are told were learnt: in an answer also from other boxes.
-	 * @returns What this box tells in any message.
+	 * @param isWhole - Whether to include everything that other boxes must know, not only recent changes.
+	 * @param sources - Sources of the replica statements to include; a reply also passes on those received from other boxes.
+	 * @returns The fields that every message of this box has.
 	 */
 	news(isWhole: boolean, sources: readonly StatementSource[] = ['answer', 'box']): LocalNews {
 		const {
@@ -70,15 +71,15 @@
 			isStopping: isStopping(),
 			storeAge: Math.min(unknownAge, Math.round(availability.ownSilence)),
 			departed: replicas.departedWithin(topology.isLarge ? newsTime : undefined),
-			...(replicaRole.told ? {replicas: replicaRole.told} : {}),
+			...(replicaRole.listState ? {replicas: replicaRole.listState} : {}),
 			...(ends ? {ends} : {}),
 			...(statements ? {statements} : {}),
 		};
 	}
 
 	/**
-	 * @param isWhole - Whether all counters are told, not those alone that changed lately.
-	 * @returns What this box tells of itself.
+	 * @param isWhole - Whether to include all counters, not only those that changed recently.
+	 * @returns The state of this box itself.
 	 */
 	local(isWhole: boolean): LocalState {
 		const {
@@ -86,7 +87,7 @@
 		} = this.parts.services;
 		limits.lookForSlots();
 		const busy = replicas.all.filter(({ownWork}) => ownWork.requests > 0);
-		this.noteRole();
+		this.logRoleChange();
 		return {
 			...this.news(isWhole, ['answer']),
 			quota: isWhole ? quota.counts : quota.recentCounts,
@@ -98,52 +99,52 @@
 	}
 
 	/**
-	 * @param peer - A box that asked.
-	 * @param isWhole - Whether it asked for all that is known of the other boxes.
-	 * @returns What this one knows of all others.
+	 * @param peer - The box that requested the digest.
+	 * @param isWhole - Whether it requested the quota levels and the work of all boxes too.
+	 * @returns The state of the fleet as this box knows it, without the peer's own work.
 	 */
 	digestFor({last, address}: Peer, isWhole: boolean): FleetDigest {
 		const {services: {quota, limits}, peers, topology, replicaRole, stretches} = this.parts;
 		const changes = replicaRole.changesSince(last?.replicas?.at ?? Number.NEGATIVE_INFINITY);
 		const limited = topology.isLarge && topology.isAggregator ? limits.services : [];
-		const news = {
+		const update = {
 			...(limited.length > 0 ? {stretches: stretches.toldTo(address.name, limited)} : {}),
 			boxes: topology.isAggregator ? peers.knownBoxes : peers.boxes,
 			...(changes ? {changes} : {}),
 		};
 		if (!isWhole) {
-			return news;
+			return update;
 		}
 
 		const own = new Map((last?.work ?? []).map(entry => [entry.replica, entry]));
 		return {
-			...news,
-			quota: last ? quota.levelsFor(startOf(last)) : [],
-			work: this.allWork().map(load => without(load, own.get(load.replica))).filter(({requests}) => requests > 0),
+			...update,
+			quota: last ? quota.levelsFor(processNameOf(last)) : [],
+			work: this.totalWork().map(load => subtractWork(load, own.get(load.replica))).filter(({requests}) => requests > 0),
 		};
 	}
 
 	/**
-	 * Takes what a box tells of itself.
+	 * Applies a message that a box sent about itself.
 	 *
-	 * @param message - What it tells.
-	 * @param meeting - How it is met.
+	 * @param message - The message.
+	 * @param meeting - How the sender was known before; see `QuotaLedger.takeCounts`.
 	 */
 	take(message: GossipMessage, meeting: Meeting): void {
 		const {services: {replicas, quota, usage}, topology, peers} = this.parts;
 		const {sender, work} = message;
-		const start = startOf(message);
-		this.takeNews(message, 'box');
-		// Its digests may have come before: what it let pass until now is no news, though it is known.
+		const start = processNameOf(message);
+		this.applyCommonUpdate(message, 'box');
+		// A sender that is known from its digests alone counts as new to the quota, so that requests that it admitted earlier are not charged now.
 		quota.takeCounts(start, message.quota, quota.knows(start) ? meeting : peers.meetAnew(message), message.isWhole);
 		usage.take(start, message.usage);
 		if (!topology.isAggregator) {
 			return;
 		}
 
-		const worked = new Map(work.map(entry => [entry.replica, entry]));
+		const workByReplica = new Map(work.map(entry => [entry.replica, entry]));
 		for (const replica of replicas.all) {
-			const found = worked.get(replica.entry.id);
+			const found = workByReplica.get(replica.entry.id);
 			if (found) {
 				replica.notePeerWork(sender.name, found);
 			} else {
@@ -153,21 +154,21 @@
 	}
 
 	/**
-	 * Takes what an aggregator tells of all boxes.
+	 * Applies a message in which an aggregator reports about all boxes.
 	 *
-	 * @param message - What it tells.
-	 * @param digest - The part of it that is about all boxes.
+	 * @param message - The message.
+	 * @param digest - Its part about all boxes.
 	 */
 	takeDigest(message: GossipMessage, digest: FleetDigest): void {
 		const {services: {replicas, quota}, topology, peers} = this.parts;
-		this.takeNews(message, 'digest');
+		this.applyCommonUpdate(message, 'digest');
 		if (!topology.isLarge) {
 			return;
 		}
 
 		this.parts.stretches.take(digest.stretches ?? []);
 		const {isAggregator} = topology;
-		if (!isAggregator || peers.uptime < learningTime) {
+		if (!isAggregator || peers.uptime < quotaAdoptionTime) {
 			quota.adopt(digest.quota ?? []);
 		}
 
@@ -175,14 +176,14 @@
 			return;
 		}
 
-		const worked = new Map(digest.work.map(entry => [entry.replica, entry]));
+		const workByReplica = new Map(digest.work.map(entry => [entry.replica, entry]));
 		for (const replica of replicas.all) {
-			replica.noteOthersWork(worked.get(replica.entry.id) ?? {requests: 0, unreadTokens: 0});
+			replica.noteOthersWork(workByReplica.get(replica.entry.id) ?? {requests: 0, unreadTokens: 0});
 		}
 	}
 
-	/** What any message may bring: a newer configuration, a newer list, replicas that leave. */
-	private takeNews(message: GossipMessage, source: StatementSource): void {
+	/** Applies the fields that every message has, such as the version of the configuration, the state of the replica list and departures of replicas. */
+	private applyCommonUpdate(message: GossipMessage, source: StatementSource): void {
 		const {services: {table, replicas, quarantine, statements}, availability, configuration, replicaRole} = this.parts;
 		availability.notePeerAnswer(message.storeAge);
 		if (message.version > table.version) {
@@ -206,17 +207,17 @@
 		}
 	}
 
-	private allWork(): readonly ReplicaLoad[] {
+	private totalWork(): readonly ReplicaLoad[] {
 		const {clock, services: {replicas}} = this.parts;
 		const now = clock.monotonic();
-		if (now - this.work.at > workMemory) {
-			this.work = {loads: replicas.all.map(replica => ({replica: replica.entry.id, ...replica.work})), at: now};
+		if (now - this.workCache.at > workCacheTime) {
+			this.workCache = {loads: replicas.all.map(replica => ({replica: replica.entry.id, ...replica.work})), at: now};
 		}
 
-		return this.work.loads;
+		return this.workCache.loads;
 	}
 
-	private noteRole(): void {
+	private logRoleChange(): void {
 		const {topology, log, peers} = this.parts;
 		const isAggregator = topology.isLarge && topology.isAggregator;
 		if (isAggregator !== (this.wasAggregator ?? false)) {
@@ -227,7 +228,7 @@
 	}
 }
 
-function without(load: ReplicaLoad, part: ReplicaLoad | undefined): ReplicaLoad {
+function subtractWork(load: ReplicaLoad, part: ReplicaLoad | undefined): ReplicaLoad {
 	return part
 		? {
 			replica: load.replica, requests: Math.max(0, load.requests - part.requests), unreadTokens: Math.max(0, load.unreadTokens - part.unreadTokens),
--- a/src/node/test/replica-start-model.test.ts
+++ b/src/node/test/replica-start-model.test.ts
@@ -11,27 +11,27 @@
 import type {PlatformLink} from '../platform-link.js';
 import {ReplicaRole} from '../replica-role.js';
 
-const newsKinds = ['list', 'whole', 'late', 'departure', 'restore', 'write-again', 'away'] as const;
+const updateKinds = ['list', 'whole', 'late', 'departure', 'restore', 'write-again', 'away'] as const;
 
-/** What may happen to the entry of a replica in the store, or to what a box hears of it. */
+/** What may happen to the entry of a replica in the store, or which update a box receives. */
 type Step =
 	| {readonly kind: 'start' | 'drain' | 'go' | 'spoil'; readonly id: string}
-	| {readonly kind: typeof newsKinds[number]; readonly id: string; readonly part: number};
+	| {readonly kind: typeof updateKinds[number]; readonly id: string; readonly part: number};
 
-/** Milliseconds after which what may have lapsed counts as gone. */
+/** Milliseconds after which an expired entry that was not written again counts as gone. */
 const lapseTime = 2500;
 const ids = ['i-1', 'i-2', 'i-3'] as const;
 const sender = {name: 'peer', host: '127.0.0.1', port: 1};
 const id = fc.constantFrom(...ids);
 const step: fc.Arbitrary<Step> = fc.oneof(
 	fc.record({kind: fc.constantFrom('start' as const, 'drain' as const, 'go' as const, 'spoil' as const), id}),
-	fc.record({kind: fc.constantFrom(...newsKinds), id, part: fc.double({min: 0, max: 1, noNaN: true})}),
+	fc.record({kind: fc.constantFrom(...updateKinds), id, part: fc.double({min: 0, max: 1, noNaN: true})}),
 );
 
-/** What the store held at one moment. */
-type Copy = {readonly objects: ReadonlyMap<string, StoredObject>; readonly revision: number; readonly history: ReadonlyArray<Change & {readonly at: number}>};
+/** A backup of the store. */
+type StoreBackup = {readonly objects: ReadonlyMap<string, StoredObject>; readonly revision: number; readonly history: ReadonlyArray<Change & {readonly at: number}>};
 
-/** A store with its history, which may come back from a copy, and a box that hears of it in any order that the exchange allows. */
+/** A store with its history, which may be restored from a backup, and a box that receives updates in any order that the gossip protocol allows. */
 class Model {
 	private readonly clock = new MovedClock(100_000);
 	private readonly replicas = ReplicaDirectory.create(this.clock, SilentEventLog.create());
@@ -42,23 +42,23 @@
 	});
 
 	private objects = new Map<string, StoredObject>();
-	/** Changes of eras before. */
+	/** Changes of earlier eras of the store. */
 	private lostHistory: ReadonlyArray<Change & {readonly at: number}> = [];
-	/** What replicas wrote last, whatever the store has lost of it. */
+	/** The last entry that each replica wrote, even if the store has lost it. */
 	private readonly written = new Map<string, unknown>();
-	private copies: readonly Copy[] = [];
+	private backups: readonly StoreBackup[] = [];
 	private era = 0;
 	private history: ReadonlyArray<Change & {readonly at: number}> = [];
 	private revision = 1;
-	private toldTo = 1;
-	/** Whether the box has read a list since the store last came back from a copy. */
+	private sentUpTo = 1;
+	/** Whether the box has read a list since the store was last restored from a backup. */
 	private isListed = true;
 
 	constructor() {
 		this.role.takeListing({at: this.revision, objects: []}, this.clock.monotonic());
 	}
 
-	take(what: Step): void {
+	applyStep(what: Step): void {
 		this.clock.now += 50;
 		switch (what.kind) {
 			case 'start': {
@@ -82,20 +82,20 @@
 			}
 
 			case 'list': {
-				this.tell(positionOf(this.era, Math.floor(what.part * revisionOf(this.revision)))!);
+				this.sendChanges(positionOf(this.era, Math.floor(what.part * revisionOf(this.revision)))!);
 				break;
 			}
 
 			case 'whole': {
-				this.listAnew();
+				this.sendList();
 				break;
 			}
 
 			case 'late': {
 				const known = this.history.filter(({object}) => object.name === what.id);
 				const old = known[Math.floor(what.part * known.length)];
-				// A peer that is behind; what it does not tell lies before that.
-				if (old && old.at <= this.toldTo) {
+				// A peer that is behind sends one old change; the box already knows the changes before it.
+				if (old && old.at <= this.sentUpTo) {
 					this.role.take(sender, {at: old.at, age: 0}, {at: old.at, changes: [old]});
 				}
 
@@ -118,7 +118,7 @@
 			}
 
 			case 'departure': {
-				// Another box saw that an earlier state of the replica was leaving.
+				// Another box reports the departure of an earlier start of the replica.
 				const own = [...this.lostHistory, ...this.history].filter(({object}) => object.name === what.id);
 				const draining = own.filter(({object, isGone}) => isGone || (object.spec as {readonly state: string}).state === 'draining');
 				const one = draining[Math.floor(what.part * draining.length)];
@@ -131,14 +131,14 @@
 		}
 	}
 
-	/** @returns Replicas that the box would use, and those that the store names to use, once all news are in. */
+	/** @returns Replicas that the box would use, and those that the store lists as ready, after all updates have arrived. */
 	settle(): readonly [used: readonly string[], named: readonly string[]] {
-		this.tell(this.revision);
+		this.sendChanges(this.revision);
 		for (const name of ids) {
 			this.writeAgain(name);
 		}
 
-		this.tell(this.revision);
+		this.sendChanges(this.revision);
 		this.clock.now += lapseTime;
 		this.role.dropLapsed();
 		const used = this.replicas.all.filter(({isLeaving}) => !isLeaving).map(({start}) => start).sort();
@@ -150,22 +150,22 @@
 	}
 
 	private restore(part: number): void {
-		const copy = this.copies[Math.floor(part * this.copies.length)];
-		if (!copy) {
+		const backup = this.backups[Math.floor(part * this.backups.length)];
+		if (!backup) {
 			return;
 		}
 
 		this.era++;
-		this.objects = new Map(copy.objects);
-		this.revision = positionOf(this.era, revisionOf(copy.revision))!;
+		this.objects = new Map(backup.objects);
+		this.revision = positionOf(this.era, revisionOf(backup.revision))!;
 		this.lostHistory = [...this.lostHistory, ...this.history];
-		// The box has to list anew.
+		// Without a history the box has to read the whole list.
 		this.history = [];
-		this.copies = [];
+		this.backups = [];
 		this.isListed = false;
 	}
 
-	/** What a replica wrote and the store has lost is written again; the entry of one that has gone lapses. */
+	/** Writes again the entry of a running replica that the store has lost, and drops the entry of one that is gone. */
 	private writeAgain(name: string): void {
 		const spec = this.written.get(name);
 		if (spec === undefined) {
@@ -189,7 +189,7 @@
 				service: 's', addr: '127.0.0.1:1', slots: 8, ...changes,
 			},
 		};
-		this.copies = [...this.copies, {objects: new Map(this.objects), revision: this.revision - 1, history: this.history}];
+		this.backups = [...this.backups, {objects: new Map(this.objects), revision: this.revision - 1, history: this.history}];
 		this.written.set(name, object.spec);
 		this.objects.set(name, object);
 		this.history = [...this.history, {object, isGone: false, at: this.revision}];
@@ -199,37 +199,37 @@
 		this.written.delete(name);
 		const known = this.objects.get(name);
 		if (known) {
-			this.copies = [...this.copies, {objects: new Map(this.objects), revision: this.revision, history: this.history}];
+			this.backups = [...this.backups, {objects: new Map(this.objects), revision: this.revision, history: this.history}];
 			this.revision++;
 			this.objects.delete(name);
 			this.history = [...this.history, {object: known, isGone: true, at: this.revision}];
 		}
 	}
 
-	private listAnew(): void {
+	private sendList(): void {
 		this.role.takeListing({at: this.revision, objects: [...this.objects.values()]}, this.clock.monotonic());
-		this.toldTo = this.revision;
+		this.sentUpTo = this.revision;
 		this.isListed = true;
 	}
 
-	/** Changes up to a revision, from anywhere before: batches overlap. */
-	private tell(upTo: number): void {
+	/** Sends all changes up to a revision, including known ones: batches overlap. */
+	private sendChanges(upTo: number): void {
 		if (!this.isListed) {
-			this.listAnew();
+			this.sendList();
 			return;
 		}
 
 		const changes = this.history.filter(({at}) => at <= upTo);
-		this.toldTo = Math.max(this.toldTo, upTo);
+		this.sentUpTo = Math.max(this.sentUpTo, upTo);
 		this.role.take(sender, {at: upTo, age: 0}, {at: upTo, changes});
 	}
 }
 
-test('a replica is used if and only if the newest entry of its newest start is ready, whatever came late or twice', () => {
+test('a replica is used if and only if the newest entry of its newest start is ready, whichever updates arrive late or twice', () => {
 	fc.assert(fc.property(fc.array(step, {maxLength: 40}), steps => {
 		const model = new Model();
 		for (const one of steps) {
-			model.take(one);
+			model.applyStep(one);
 		}
 
 		const [used, named] = model.settle();
--- a/src/node/test/restored-store.test.ts
+++ b/src/node/test/restored-store.test.ts
@@ -1,6 +1,6 @@
 /*
- * After the store had come back from a copy, boxes ignored its list of replicas until its revision had passed the one that they knew: they went on sending to
- * a replica that left, and used no new one.
+ * Guards against boxes that ignore a store that was restored from a backup. They ignored its list of replicas until its revision had passed the one that
+ * they knew: they went on sending requests to a replica that was leaving, and used no new replica.
  */
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, test} from 'node:test';
@@ -14,29 +14,29 @@
 const clientCount = 16;
 /** Milliseconds between two requests of a client. */
 const clientPause = 40;
-/** Milliseconds for which the store is away. */
-const away = 500;
-/** Writes that the store loses. */
+/** Milliseconds for which the store is unavailable. */
+const outageTime = 500;
+/** Number of writes that the store loses. */
 const writesLost = 40;
-/** Milliseconds after the store has taken that a replica leaves, from which on it gets nothing. */
+/** Milliseconds after the store has accepted a departure from which on the replica must get no requests. */
 const drainTime = 2000;
-/** Milliseconds within which boxes find out that the store holds what they know. */
-const provingTime = 2500;
+/** Milliseconds within which boxes prove that the store has the configuration that they know. */
+const proofTime = 2500;
 /** Milliseconds for which requests are counted. */
-const observed = 5000;
+const observationTime = 5000;
 
 let installation: RelayInstallation;
 let clients: SteadyClients;
-let copy: StoreCopy;
+let backup: StoreCopy;
 
 const arrivalsAt = (id: string): readonly number[] => installation.replicas.get(id)?.seen.map(({at}) => at) ?? [];
 
-/** Comes back from a copy that lacks the last writes, having been away for a while. */
-async function loseWrites(): Promise<void> {
+/** Makes the store unavailable for a while and restores it from a backup that lacks the last writes. */
+async function restoreBackup(): Promise<void> {
 	const {store} = installation;
 	store.faults = {isSilent: false, isBusy: true, losesAnswers: false};
-	await pause(away);
-	store.restore(copy);
+	await pause(outageTime);
+	store.restore(backup);
 	store.heal();
 }
 
@@ -44,7 +44,7 @@
 	installation = await RelayInstallation.start({relays: relayCount, replicas: ['i-1', 'i-2', 'i-3'], withDuties: true});
 	clients = SteadyClients.start(installation, {clients: clientCount, pause: clientPause, relays: [...installation.relays]});
 	await until(() => arrivalsAt('i-1').length > clientCount);
-	copy = installation.store.copy();
+	backup = installation.store.copy();
 	for (let write = 0; write < writesLost; write++) {
 		installation.list('i-2', {cold_left_ms: writesLost - write});
 	}
@@ -57,19 +57,19 @@
 	await installation.close();
 });
 
-test('boxes take the list of a store that has lost its last writes, though its revisions are lower', async () => {
-	await loseWrites();
+test('boxes apply the list of a store that has lost its last writes, although its revisions are lower', async () => {
+	await restoreBackup();
 	await pause(200);
 	installation.list('i-1', {state: 'draining', seq: 2});
-	const takenAt = performance.now();
+	const acceptedAt = performance.now();
 	await installation.addReplica('i-4');
-	await pause(observed);
-	const late = arrivalsAt('i-1').filter(at => at > takenAt + drainTime);
-	assert.equal(late.length, 0, `${late.length} requests at a replica later than ${drainTime} ms after the store had taken that it leaves`);
-	assert.ok(arrivalsAt('i-4').some(at => at < takenAt + drainTime), 'a new replica is used');
+	await pause(observationTime);
+	const lateArrivals = arrivalsAt('i-1').filter(at => at > acceptedAt + drainTime);
+	assert.equal(lateArrivals.length, 0, `${lateArrivals.length} requests at a replica later than ${drainTime} ms after the store had accepted its departure`);
+	assert.ok(arrivalsAt('i-4').some(at => at < acceptedAt + drainTime), 'a new replica is used');
 });
 
-test('boxes keep the configuration that the store has lost, also one that starts then, and a key that was taken away stays so', async () => {
+test('boxes keep a configuration that the store has lost, a box that starts then receives it, and a revoked key stays revoked', async () => {
 	const {store, relays} = installation;
 	const tenants = [{
 		name: 'basin', api_keys: ['another'], unit: 'requests', plain_tokens: 1, rate_per_s: 0, burst: 0,
@@ -77,7 +77,7 @@
 	const version = installation.configure({tenants});
 	await until(() => relays.every(({log}) => log.lines.some(line => line.eventName === 'routesApplied' && line.version === version)));
 	const written = store.spec(configurationKind, configurationName);
-	await loseWrites();
+	await restoreBackup();
 	await until(() => relays.every(({log}) => log.lines.some(({eventName}) => eventName === 'storeRestored')));
 	const started = await installation.startRelay('relay-late');
 	relays.push(started);
@@ -87,20 +87,20 @@
 		return views.map(({status}) => status);
 	};
 
-	assert.ok((await statuses()).every(status => status === 401 || status === 503), 'a box that cannot tell whether it knows the newest one refuses');
+	assert.ok((await statuses()).every(status => status === 401 || status === 503), 'a box that cannot prove that its configuration is the newest refuses requests');
 	store.put(configurationKind, configurationName, written);
-	await pause(provingTime);
+	await pause(proofTime);
 	assert.deepEqual(await statuses(), relays.map(() => 401));
 });
 
-test('duties go on after the store has lost their record, with fences that only rise and no window reported twice', async () => {
+test('duties continue after the store has lost their record, with fence tokens that never decrease and no window reported with different counts', async () => {
 	const {store} = installation;
 	const usage = () => store.dutyCalls.filter(({path}) => path === '/usage');
 	await until(() => usage().length > 1);
-	copy = store.copy();
+	backup = store.copy();
 	const known = usage().length;
 	await until(() => usage().length > known + 1);
-	await loseWrites();
+	await restoreBackup();
 	const before = usage().length;
 	await until(() => usage().length > before + 2);
 	const counts = new Map<unknown, string>();
--- a/src/node/test/trial-turns.test.ts
+++ b/src/node/test/trial-turns.test.ts
@@ -1,17 +1,17 @@
 /*
- * Two ends in a row, with nobody served between them, put all that stood beside on trial. Where one sound replica was left, a box ran
- * one of them and refused the others at once, though the run was over some 100 ms later and cleared who ran: in 61 runs of the
- * test of ends of another cause, three at a time, 60 refusals of innocent requests in 13 runs, each after it had found the one
- * replica taken by another on trial ("standing trial, retryAfter 0.5").
+ * Guards against innocent requests that are refused while they are on trial. Two crashes in a row, with no request served in between, put all requests that
+ * were in progress on trial: each runs alone on a replica. With one healthy replica left, a box ran one of them and refused the others at once, although
+ * that run was over some 100 ms later and cleared its request. In 61 runs of the test of unrelated crashes, three at a time, 60 innocent requests were
+ * refused in 13 runs, each because the one replica was reserved for another request on trial ("standing trial, retryAfter 0.5").
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {RelayInstallation, until, type ClientView} from '../../../development/relay/relay-installation.js';
 
-const mark = 'poison';
-const poison = {path: '/calls/x', method: 'POST', body: mark};
+const poisonMark = 'poison';
+const poison = {path: '/calls/x', method: 'POST', body: poisonMark};
 const [first, second] = ['first', 'second'].map(body => ({path: '/calls/innocent', method: 'POST', body}));
-/** Milliseconds of a run; of one that lasts longer than others wait for it. */
+/** Milliseconds of a short run, and of a run for which other requests on trial do not wait. */
 const runTime = 100;
 const longRunTime = 1800;
 
@@ -21,8 +21,8 @@
 	await until(() => relays[0]!.log.lines.filter(({eventName}) => eventName === 'replicaListed').length === times);
 }
 
-/** Both requests stood beside the same two ends of the only replica, at the only box. */
-async function startBesideTwoEnds(): Promise<RelayInstallation> {
+/** Starts one box and one replica that has crashed twice, each time with both requests in progress. */
+async function startWithTwoCrashes(): Promise<RelayInstallation> {
 	const installation = await RelayInstallation.start({relays: 1, replicas: ['i-1']});
 	for (const round of [1, 2]) {
 		await untilListed(installation, round);
@@ -38,39 +38,39 @@
 	return installation;
 }
 
-test('requests that stood beside the same two ends take turns at the one replica, and all are served', async context => {
-	const installation = await startBesideTwoEnds();
+test('requests that were in progress during the same two crashes take turns at the one replica, and all are served', async context => {
+	const installation = await startWithTwoCrashes();
 	context.after(async () => installation.close());
 	installation.everyReplica.at(-1)!.behave({delay: runTime});
 	const views = await Promise.all([first, second, first].map(async request => installation.call(request!)));
 	assert.deepEqual(statusesOf(views), [200, 200, 200]);
 });
 
-test('who is on trial waits for no run that lasts, and is told when to come back', async context => {
-	const installation = await startBesideTwoEnds();
+test('a request on trial does not wait for a long run of another one, and its response says when to retry', async context => {
+	const installation = await startWithTwoCrashes();
 	context.after(async () => installation.close());
 	const replica = installation.everyReplica.at(-1)!;
 	const long = installation.call(first!);
 	await until(() => replica.seen.length === 1);
-	const beside = await installation.call(second!);
-	assert.equal(beside.status, 503);
-	assert.ok(Number(beside.headers['retry-after']) > 0);
+	const concurrent = await installation.call(second!);
+	assert.equal(concurrent.status, 503);
+	assert.ok(Number(concurrent.headers['retry-after']) > 0);
 	assert.equal((await long).status, 200);
-	assert.equal(replica.seen.length, 1, 'the other was not run beside it');
+	assert.equal(replica.seen.length, 1, 'the other request was not run at the same time');
 });
 
-test('a request on trial that comes twice at once ends one replica more, not two', async context => {
+test('a request on trial that arrives twice at once crashes one more replica, not two', async context => {
 	const installation = await RelayInstallation.start({relays: 1, replicas: ['i-1', 'i-2']});
 	context.after(async () => installation.close());
-	const ends: string[] = [];
-	installation.crashOn(mark, id => {
-		ends.push(id);
+	const crashes: string[] = [];
+	installation.crashOn(poisonMark, id => {
+		crashes.push(id);
 	});
 	await untilListed(installation, 2);
 	assert.equal((await installation.call(poison)).status, 502);
-	assert.equal(ends.length, 2, 'it was sent to the other replica too');
+	assert.equal(crashes.length, 2, 'the request was sent to the other replica too');
 	await untilListed(installation, 4);
 	const views = await Promise.all([poison, poison].map(async request => installation.call(request)));
 	assert.deepEqual(statusesOf(views), [502, 503]);
-	assert.equal(ends.length, 3);
+	assert.equal(crashes.length, 3);
 });
