--- a/src/duties/duty-calls.ts
+++ b/src/duties/duty-calls.ts
@@ -1,18 +1,18 @@
 /**
- * Calls to the platform that one box at a time makes.
+ * Calls to the platform that only the box holding the duties makes.
  */
 import * as Data from 'effect/Data';
 import type * as Effect from 'effect/Effect';
 
-/** Who calls. */
+/** Identifies the calling box. */
 export type DutySigner = {
 	/** Name of the box. */
 	readonly holder: string;
-	/** Rises with each holder. */
+	/** Fencing token; increases with each holder. */
 	readonly fence: number;
 };
 
-/** What client accounts used in one window. */
+/** Requests of all client accounts in one time window. */
 export type UsageReport = {
 	/** Number of the window. */
 	readonly window: number;
@@ -20,35 +20,38 @@
 	readonly counts: ReadonlyArray<readonly [clientAccount: string, requests: number]>;
 };
 
-/** How many replicas of one sort a data centre is to have. */
+/** Desired number of replicas of one kind in a data centre. */
 export type ReplicaOrder = {
 	readonly service: string;
 	readonly dataCentre: string;
 	readonly count: number;
-	/** Whether these are ones that may be withdrawn. */
+	/** Whether the platform may reclaim these replicas. */
 	readonly isReclaimable: boolean;
 };
 
-/** A call that was not done, or of which nobody knows. */
+/** A call that failed or whose result is unknown. */
 export class DutyRefusal extends Data.TaggedError('DutyRefusal')<{
-	/** `conflict`: a higher fence was seen, or there are no such replicas now; `unanswered`: it may be done later. */
+	/**
+	 * `conflict`: the platform has seen a higher fence, or has no such replicas available; `unanswered`: the platform
+	 * may still execute the call.
+	 */
 	readonly reason: 'conflict' | 'not-done' | 'refused' | 'unanswered';
 	readonly detail: string;
 }> {}
 
-/** The calls. */
+/** Calls to the platform, signed by the holder of the duties. */
 export abstract class DutyCalls {
 	/**
-	 * @param signer - Who calls.
-	 * @param report - One window.
-	 * @returns Ends when the platform has taken it.
+	 * @param signer - The calling box.
+	 * @param report - Usage of one window.
+	 * @returns Completes when the platform has accepted the report.
 	 */
 	abstract reportUsage(signer: DutySigner, report: UsageReport): Effect.Effect<void, DutyRefusal>;
 
 	/**
-	 * @param signer - Who calls.
-	 * @param order - One data centre.
-	 * @returns Ends when the platform has taken it.
+	 * @param signer - The calling box.
+	 * @param order - Desired replicas of one data centre.
+	 * @returns Completes when the platform has accepted the order.
 	 */
 	abstract orderReplicas(signer: DutySigner, order: ReplicaOrder): Effect.Effect<void, DutyRefusal>;
 }
--- a/src/duties/duty-campaign.ts
+++ b/src/duties/duty-campaign.ts
@@ -1,41 +1,41 @@
 /**
- * Decides whether this box is to take the duties over.
+ * Decides whether this box should acquire the duties.
  */
 import type {Peer} from '../gossip/peer-table.js';
 import type {DutyRecord} from './duty-record.js';
 
-/** What the decision rests on. */
+/** Input of the decision. */
 export type CampaignFacts = {
 	readonly self: string;
 	readonly incarnation: string;
 	readonly record: DutyRecord | undefined;
-	/** Milliseconds since the store came back from a copy and nobody has taken the duties anew; zero where the record counts. */
+	/** Milliseconds since the store was restored from a backup without a new holder since; zero while the record is valid. */
 	readonly outdatedFor: number;
-	/** Boxes that were heard lately. */
+	/** Boxes from which this box recently received gossip. */
 	readonly heard: readonly Peer[];
-	/** Those of them that may take the duties over too. */
+	/** Those of `heard` that may also acquire the duties. */
 	readonly rivals: readonly Peer[];
-	/** Part of all boxes that are heard, this one too. */
+	/** Fraction of all boxes from which gossip arrives, including this box. */
 	readonly heardPart: number;
-	/** Milliseconds since the store last answered this box. */
+	/** Milliseconds since the store's last answer to this box. */
 	readonly storeSilence: number;
 	readonly isStopping: boolean;
-	/** Whether all other boxes tell this one. */
+	/** Whether all other boxes send their gossip to this box. */
 	readonly isAggregator: boolean;
 };
 
-/** Milliseconds of silence after which the store counts as out of a candidate's reach. */
+/** Milliseconds without an answer after which a candidate counts as cut off from the store. */
 const candidateSilence = 2500;
-/** Milliseconds of silence after which a holder, which writes each second, is taken to be out of the store's reach. */
+/** Milliseconds without an answer after which a holder, which writes every second, counts as cut off from the store. */
 const holderSilence = 3000;
-/** Milliseconds for which the box that a restored record names is left to take the duties anew. */
+/** Milliseconds that the holder named by a restored record has to acquire the duties again before other boxes may. */
 const renewalTime = 2000;
-/** Part of the boxes that must be heard to take the duties over from a box that may only be out of hearing. */
+/** Fraction of the boxes that must be reachable to acquire the duties without checking whether the holder still writes to the store. */
 const majorityPart = 0.5;
 
 /**
- * @param facts - What the decision rests on.
- * @returns Whether the box that holds the duties is at work, as far as this one can tell.
+ * @param facts - Input of the decision.
+ * @returns Whether the holder of the duties appears to be working, as seen from this box.
  */
 export function isHolderAtWork({self, incarnation, record, outdatedFor, heard}: CampaignFacts): boolean {
 	if (!record || record.holder === '' || outdatedFor > renewalTime) {
@@ -51,9 +51,9 @@
 }
 
 /**
- * @param facts - What the decision rests on.
- * @returns Whether this box is the one to take the duties over: the box that held them last, where it is
- * there again, since its own acts need not be waited out; else the first by name.
+ * @param facts - Input of the decision.
+ * @returns Whether this box should acquire the duties. The previous holder has precedence if it is back, since it need
+ * not wait for its own calls to complete. Otherwise the candidate with the lowest name acquires them.
  */
 export function isCandidate({self, record, outdatedFor, rivals, storeSilence, isStopping, isAggregator}: CampaignFacts): boolean {
 	if (isStopping || !isAggregator || storeSilence > candidateSilence) {
@@ -69,11 +69,11 @@
 }
 
 /**
- * Two parts of a fleet may both reach the store and not each other. The greater one goes ahead; the lesser one takes the
- * duties over only where nobody shows life in the store.
+ * In a network partition, both sides may still reach the store. The majority side acquires the duties directly. The
+ * minority side acquires them only if the holder no longer writes to the store.
  *
- * @param facts - What the decision rests on.
- * @returns Whether this box is to look for signs of life first.
+ * @param facts - Input of the decision.
+ * @returns Whether this box must first check that the holder no longer writes to the store.
  */
 export function mustLookForLife({heardPart, record, self}: CampaignFacts): boolean {
 	return heardPart < majorityPart && record !== undefined && record.holder !== '' && record.holder !== self;
--- a/src/duties/duty-lease.ts
+++ b/src/duties/duty-lease.ts
@@ -1,9 +1,11 @@
 /**
- * Holds the duties by one object in the store, written under the condition that nobody else has written it.
+ * Mutual exclusion for the duties, the cluster-wide tasks that one box at a time performs. It rests on a conditional
+ * write (compare-and-set) of one object in the store.
  *
  * @remarks
- * There is no term to renew: each act is written before it is done, and a write that succeeds proves that nobody
- * took over before. A new holder waits before its first act until the acts of the one before have been done.
+ * The lease has no term to renew. Each call is recorded in the store before it is made, and a successful write proves
+ * that no other box has acquired the duties. A new holder waits before its first call until the calls of the previous
+ * holder have completed or expired.
  * Source: docs/PLATFORM.md, "ONE".
  */
 import * as Data from 'effect/Data';
@@ -20,40 +22,40 @@
 /** Kind and name of the object. */
 const dutyKind = 'waydrift-duties';
 const dutyName = 'record';
-/** Milliseconds after a write was sent in which the act it stands for may be done. */
+/** Milliseconds after sending a write during which the recorded call may be made. */
 const actWithin = 1200;
 
-/** Somebody else holds the duties. */
+/** Another box holds the duties. */
 export class DutyTaken extends Data.TaggedError('DutyTaken')<{readonly holder: string}> {}
 
-/** Proves that this box held the duties a moment ago. */
+/** Proves that this box held the duties when its decision was written. */
 export type ActPermit = {
 	readonly signer: DutySigner;
 	readonly record: DutyRecord;
-	/** @returns Whether the act may still be done. */
+	/** @returns Whether the call may still be made. */
 	readonly isValid: () => boolean;
 };
 
-/** What the lease needs. */
+/** Dependencies of the lease. */
 export type DutyLeaseServices = {
 	readonly self: string;
 	readonly incarnation: string;
 	readonly store: MetadataStore;
 	readonly clock: Clock;
 	readonly log: EventLog;
-	/** @returns Milliseconds in which the acts of a holder before may still be done. */
+	/** @returns Milliseconds during which calls of a previous holder may still take effect. */
 	readonly wait: () => number;
-	/** @returns Whether the platform itself refuses acts of a holder that somebody has followed. */
+	/** @returns Whether the platform itself rejects calls with the fence of a previous holder. */
 	readonly isFenced: () => boolean;
-	/** @returns The record to go on from where the store may have lost what holders decided; the one that is known by default. */
+	/** @returns The record to continue from after a restore, when the store may have lost decisions; by default the known record. */
 	readonly amendRestored?: (record: DutyRecord) => DutyRecord;
 };
 
-/** The duties, as this box sees them. */
+/** Ownership of the duties as this box knows it. */
 export class DutyLease {
 	/**
-	 * @param services - What it needs.
-	 * @returns The lease, not held.
+	 * @param services - Dependencies.
+	 * @returns A lease that this box does not hold.
 	 */
 	static create(services: DutyLeaseServices): DutyLease {
 		return new DutyLease(services);
@@ -61,13 +63,15 @@
 
 	private record: DutyRecord | undefined;
 	private revision: number | undefined;
+	/** Monotonic milliseconds from which this box may make calls. */
 	private actsFrom = Number.POSITIVE_INFINITY;
-	/** Monotonic milliseconds up to which this box may have acted: another start of it until this one began. */
+	/** Monotonic milliseconds until which this box may have made calls; an earlier process of it may have until this one started. */
 	private actedUntil: number;
+	/** Whether a write failed or a call was fenced off, so that the record must be read again. */
 	private isUnsure = false;
-	/** What this start last decided or took as a holder. */
+	/** The record that this process last wrote as a holder. */
 	private ownRecord: DutyRecord | undefined;
-	/** Monotonic milliseconds since which the record that is known is of an era before. */
+	/** Monotonic milliseconds since which the known record belongs to an earlier era of the store. */
 	private outdatedSince: number | undefined;
 	/** Monotonic milliseconds at which the record was last read or written. */
 	private knownAt = Number.NEGATIVE_INFINITY;
@@ -76,36 +80,36 @@
 		this.actedUntil = services.clock.monotonic();
 	}
 
-	/** What was last read or written; `undefined` before the first. */
+	/** The record that was last read or written; `undefined` before the first. */
 	get known(): DutyRecord | undefined {
 		return this.record;
 	}
 
-	/** Whether this start of this box holds the duties, as far as it knows. */
+	/** Whether this process holds the duties, according to the known record. */
 	get isHeld(): boolean {
 		const {self, incarnation} = this.services;
 		return this.record?.holder === self && this.record.incarnation === incarnation && !this.isOutdated;
 	}
 
-	/** Milliseconds since the store has come back from a copy without a holder taking the duties in its new era, as far as is known; zero before. */
+	/** Milliseconds since the store was restored from a backup without a known holder in its new era; zero otherwise. */
 	get outdatedFor(): number {
 		const now = this.services.clock.monotonic();
 		this.outdatedSince = this.isOutdated ? this.outdatedSince ?? now : undefined;
 		return this.outdatedSince === undefined ? 0 : now - this.outdatedSince;
 	}
 
-	/** Whether a holder of an era before wrote the record that is known: the store may have lost the ones that followed. */
+	/** Whether the known record was written in an earlier era of the store, which may have lost later holders. */
 	private get isOutdated(): boolean {
 		const fence = this.record?.fence ?? 0;
 		return fence > 0 && fence < firstFenceOf(this.services.store.era);
 	}
 
-	/** Whether it may act: it holds the duties and has waited. */
+	/** Whether this box may make calls: it holds the duties and its waiting time has passed. */
 	get mayAct(): boolean {
 		return this.isHeld && this.services.clock.monotonic() >= this.actsFrom;
 	}
 
-	/** @returns Ends when the object has been read. */
+	/** @returns Completes when the record has been read from the store. */
 	look(): Effect.Effect<void, StoreUnavailable> {
 		return this.services.store.read(dutyKind, dutyName).pipe(Effect.map(object => {
 			const wasHeld = this.isHeld;
@@ -120,7 +124,7 @@
 		}));
 	}
 
-	/** @returns Takes the duties over if nobody else does so first. */
+	/** @returns Acquires the duties unless another box does so first. */
 	acquire(): Effect.Effect<void, StoreUnavailable | RevisionConflict> {
 		return Effect.gen({self: this}, function * () {
 			const {self, incarnation, log, store, amendRestored = asItIs} = this.services;
@@ -143,10 +147,10 @@
 	}
 
 	/**
-	 * Writes a decision; it may be acted on for a moment after.
+	 * Writes a decision to the store before it is carried out.
 	 *
-	 * @param decide - Makes the record out of the one that stands.
-	 * @returns The permit.
+	 * @param decide - Computes the new record from the known one.
+	 * @returns A permit to carry the decision out, valid for 1.2 s after the write was sent.
 	 */
 	decide(decide: (record: DutyRecord) => DutyRecord): Effect.Effect<ActPermit, StoreUnavailable | DutyTaken> {
 		return Effect.gen({self: this}, function * () {
@@ -171,7 +175,7 @@
 		});
 	}
 
-	/** @returns Gives the duties up, so that another box need not find out. */
+	/** @returns Releases the duties, so that another box need not detect that this one has stopped. */
 	release(): Effect.Effect<void> {
 		return Effect.suspend(() => this.isHeld
 			? Effect.ignore(this.decide(record => ({
@@ -182,7 +186,7 @@
 			: Effect.void);
 	}
 
-	/** @param detail - Why this box no longer holds the duties: a call showed a higher fence. */
+	/** @param detail - Why this box no longer holds the duties: the platform has seen a higher fence. */
 	giveUp(detail: string): void {
 		this.services.log.write('dutyLost', {detail});
 		this.actsFrom = Number.POSITIVE_INFINITY;
@@ -190,8 +194,10 @@
 	}
 
 	/**
-	 * What this box itself did before needs no waiting out, and neither does what the platform refuses by its fence. But
-	 * where boxes take turns, the one that comes back acts only when its own last act is long ago.
+	 * This box need not wait for its own earlier calls, nor for calls that the platform rejects by their fence. If another
+	 * box has held the duties in between, this box still waits until its own last call can no longer take effect.
+	 *
+	 * @returns Monotonic milliseconds of the first permitted call.
 	 */
 	private firstActAfter({fence, holder, formerHolder: former}: DutyRecord): number {
 		const {self, isFenced, clock, wait} = this.services;
@@ -207,7 +213,7 @@
 		return former === self ? Math.max(now, this.actedUntil + wait()) : now;
 	}
 
-	/** Holders that the store has lost may have acted until a moment ago, whoever the record names. */
+	/** Holders that the store has lost may have made calls until now, whichever holder the record names. */
 	private firstActAfterRestore(): number {
 		const {isFenced, clock, wait} = this.services;
 		const now = clock.monotonic();
@@ -244,12 +250,12 @@
 
 const asItIs = (record: DutyRecord): DutyRecord => record;
 
-/** Decisions are counted, so that the record with more of them holds what the other one does. */
+/** The record with the higher decision counter includes the decisions of the other one. */
 function laterOf(stored: DutyRecord, own: DutyRecord | undefined): DutyRecord {
 	return own && own.decision > stored.decision ? own : stored;
 }
 
-/** Nobody holds the duties between a release and the next holder: then the one that released them is the former. */
+/** After a release there is no holder, and the box that released the duties remains the former holder. */
 function formerHolder({holder}: DutyRecord): Pick<DutyRecord, 'formerHolder'> {
 	return holder === '' ? {} : {formerHolder: holder};
 }
--- a/src/duties/duty-record.ts
+++ b/src/duties/duty-record.ts
@@ -1,48 +1,49 @@
 /**
- * What stands in the store about the duties: who holds them, and what was last decided. The next holder goes on
- * from it at any step.
+ * The record of the duties in the store: their holder and its last decisions. A new holder can continue from it after
+ * any write.
  */
 import * as Schema from 'effect/Schema';
 import {createDecoder} from '../base/faults.js';
 
-/** An order that stands: how many replicas of each sort a data centre is to have. */
+/** A standing order: the desired number of replicas of each kind in a data centre. */
 const StandingOrder = Schema.Struct({
 	service: Schema.String,
 	dataCentre: Schema.String,
-	/** Replicas that may be withdrawn. */
+	/** Replicas that the platform may reclaim. */
 	reclaimable: Schema.Number,
+	/** Replicas that the platform does not reclaim. */
 	kept: Schema.Number,
 });
 export type StandingOrder = typeof StandingOrder.Type;
 
-/** A report that was decided on; it is never sent with other counts. */
+/** A decided usage report; a retry sends the same counts. */
 const DecidedReport = Schema.Struct({
 	window: Schema.Number,
 	counts: Schema.Array(Schema.Tuple([Schema.String, Schema.Number])),
 });
 
-/** The record. */
+/** The record of the duties. */
 export const DutyRecord = Schema.Struct({
-	/** Name of the box; empty where nobody holds the duties. */
+	/** Name of the box; empty if no box holds the duties. */
 	holder: Schema.String,
 	incarnation: Schema.String,
-	/** Name of the box that held them before; absent where nobody did. */
+	/** Name of the box that held the duties before; absent if there was none. */
 	formerHolder: Schema.optionalKey(Schema.String),
-	/** Rises with each holder, also where the store has lost holders: see `firstFenceOf`. */
+	/** Fencing token; increases with each holder, even if the store has lost holders: see `firstFenceOf`. */
 	fence: Schema.Number,
-	/** Rises with each decision, so that each write changes something. */
+	/** Increases with each decision, so that each write changes the object. */
 	decision: Schema.Number,
 	report: Schema.optionalKey(DecidedReport),
-	/** Windows before this one may have been reported by a holder that the store has lost; absent where it has lost none. */
+	/** Windows before this one may have been reported by a holder that the store has lost; absent if it has lost none. */
 	reportsFrom: Schema.optionalKey(Schema.Number),
 	orders: Schema.Array(StandingOrder),
-	/** Replicas that each service had when the system first started. */
+	/** The first fleet of each service: its replicas when the system first started. */
 	baseline: Schema.Array(Schema.Struct({
 		service: Schema.String,
 		replicas: Schema.Number,
-		/** Whether that first fleet has been given up. */
+		/** Whether the first fleet is no longer ordered. */
 		isSettled: Schema.optionalKey(Schema.Boolean),
-		/** Replicas that carry the load, as last measured; absent before any load. */
+		/** Replicas needed for the load, as last measured; absent before any load. */
 		needed: Schema.optionalKey(Schema.Number),
 	})),
 });
@@ -50,15 +51,16 @@
 /** The first fleet of one service. */
 export type FirstFleet = DutyRecord['baseline'][number];
 
+/** Fences reserved for each era of the store. */
 const fencesPerEra = 1_000_000;
 
 /**
  * @param era - Era of the store.
- * @returns The least fence of a holder in that era. The store may lose holders when a new era begins: their fences must not be given out again.
+ * @returns The lowest fence of a holder in that era. A restore begins a new era and may lose holders, whose fences must not be reused.
  */
 export const firstFenceOf = (era: number): number => (era * fencesPerEra) + 1;
 
-/** The record before anybody held the duties. */
+/** The record before any box has held the duties. */
 export const firstRecord: DutyRecord = {
 	holder: '', incarnation: '', fence: 0, decision: 0, orders: [], baseline: [],
 };
--- a/src/duties/first-fleet-count.ts
+++ b/src/duties/first-fleet-count.ts
@@ -1,48 +1,48 @@
 /**
- * Counts the replicas that a service had when the system first started.
+ * Counts the replicas that a service had when the system first started (its first fleet).
  */
 import type {Clock} from '../base/clock.js';
 import type {ReplicaDirectory} from '../replicas/replica-directory.js';
 import type {DutyRecord, FirstFleet} from './duty-record.js';
 
 /**
- * Milliseconds without a new replica after which the first fleet is counted: replicas list themselves in turn, and those
- * that are given up before never do.
+ * Milliseconds without a new replica after which the first fleet is counted. Replicas register one after another, and
+ * replicas that are removed earlier never register.
  */
 const settleTime = 2500;
-/** Milliseconds after it was counted in which replicas of the first fleet may still list themselves. */
+/** Milliseconds after the first count during which replicas of the first fleet may still register. */
 const lateListing = 10_000;
 
-/** The count. */
+/** Counts the first fleet of each service. */
 export class FirstFleetCount {
 	/**
-	 * @param replicas - Those that are listed.
-	 * @param clock - For the time in which they may list themselves.
-	 * @returns A count that has not begun.
+	 * @param replicas - The registered replicas.
+	 * @param clock - Measures the time in which they may register.
+	 * @returns A counter that has not started.
 	 */
 	static create(replicas: ReplicaDirectory, clock: Clock): FirstFleetCount {
 		return new FirstFleetCount(replicas, clock);
 	}
 
-	/** Kept replicas of the first fleet that were listed, by service. */
+	/** Ids of the non-reclaimable replicas that have registered, by service. */
 	private readonly seen = new Map<string, ReadonlySet<string>>();
-	/** Monotonic milliseconds until which it is counted; only who finds none counted counts it. */
+	/** Monotonic milliseconds until which this box counts; it does not count if the record already has a count. */
 	private countingUntil: number | undefined;
 
 	private constructor(private readonly replicas: ReplicaDirectory, private readonly clock: Clock) {}
 
 	/**
-	 * @param record - What stands in the store.
-	 * @returns Whether it may be counted: somebody has before, or no new replica lists itself any more.
+	 * @param record - The record in the store.
+	 * @returns Whether the count may be used: an earlier holder has counted, or no new replica has registered recently.
 	 */
 	isDue(record: DutyRecord): boolean {
 		return record.baseline.length > 0 || this.replicas.settledFor > settleTime;
 	}
 
 	/**
-	 * Replicas of the first fleet may list themselves late; those that come later were ordered by somebody.
+	 * Replicas of the first fleet may register late. Replicas that register after that were ordered.
 	 *
-	 * @param record - What stands in the store.
+	 * @param record - The record in the store.
 	 * @param service - Name of a service.
 	 * @returns Its first fleet.
 	 */
--- a/src/duties/fleet-duty.ts
+++ b/src/duties/fleet-duty.ts
@@ -1,5 +1,6 @@
 /**
- * Orders replicas as the plan says; the orders stand in the store, so that the next holder goes on from them.
+ * Orders replicas according to the fleet policy. The orders are recorded in the store, so that the next holder continues
+ * from them.
  */
 import * as Effect from 'effect/Effect';
 import type {Clock} from '../base/clock.js';
@@ -20,21 +21,21 @@
 import {LostCapacity} from './lost-capacity.js';
 import {OrderBook} from './order-book.js';
 
-/** Part of the replicas ordered in a data centre that must serve there: single ones crash and come back. */
+/** Fraction of the replicas ordered in a data centre that must be ready; below 1, since single replicas crash and restart. */
 const wholePart = 0.75;
 
-/** What the duty needs. */
+/** Dependencies of the duty. */
 export type FleetDutyServices = {
 	readonly lease: DutyLease;
 	readonly calls: DutyCalls;
 	readonly table: RouteTableView;
 	readonly replicas: ReplicaDirectory;
-	/** @returns What is asked of a service at all boxes together. */
+	/** @returns Demand for a service, summed over all boxes. */
 	readonly demand: (service: string) => FleetDemand;
 	readonly policy: FleetPolicy;
-	/** @returns Requests a second that a replica takes of all boxes; `undefined` where it has named no limit. */
+	/** @returns Requests per second that a replica accepts from all boxes together; `undefined` if it has announced no limit. */
 	readonly limitOf: (replica: Replica) => number | undefined;
-	/** @returns Part of all boxes from which a replica wants no requests for a time; 0 to 1. */
+	/** @returns Fraction of the boxes that a replica has asked to send it no requests for a while, 0 to 1. */
 	readonly pausedPart: (replica: Replica) => number;
 	readonly clock: Clock;
 	readonly log: EventLog;
@@ -46,14 +47,14 @@
 	readonly scaling: Scaling;
 	readonly first: FirstFleet;
 	readonly size: FleetSize;
-	/** Replicas that are missing since others have named limits. */
+	/** Capacity lost to limits and pauses of replicas, as a number of replicas. */
 	readonly lost: number;
 };
 
-/** The duty. */
+/** Orders the replicas of all services that have scaling settings. */
 export class FleetDuty {
 	/**
-	 * @param services - What it needs.
+	 * @param services - Dependencies.
 	 * @returns The duty.
 	 */
 	static create(services: FleetDutyServices): FleetDuty {
@@ -72,14 +73,14 @@
 		this.lost = LostCapacity.create(services.clock);
 	}
 
-	/** Notes the load as it is now; a box that takes the duties over knows of it then. */
+	/** Samples the current load. Boxes without the duties sample it too, so that a new holder knows the recent load. */
 	observe(): void {
 		for (const {name} of this.scaled) {
 			this.measure(name);
 		}
 	}
 
-	/** @returns Does what is due; ends soon. */
+	/** @returns Sends the orders that are due. */
 	step(): Effect.Effect<void, StoreUnavailable | DutyTaken> {
 		return Effect.suspend(() => {
 			const {lease} = this.services;
@@ -135,8 +136,8 @@
 	}
 
 	/**
-	 * Whether what was ordered serves. A holder that has only begun knows of no order that was refused, but it sees what is
-	 * missing.
+	 * Whether most of the ordered replicas are ready in each data centre. A new holder knows of no refused order, but it
+	 * sees which replicas are missing.
 	 */
 	private isWhole(name: string, orders: readonly StandingOrder[]): boolean {
 		const ready = this.services.replicas.ready(name);
@@ -154,13 +155,13 @@
 		});
 	}
 
-	/** Notes the load of a service as it is now. */
+	/** Samples the current load of a service. */
 	private measure(service: string): void {
 		const {demand, replicas} = this.services;
 		const {
 			requests, reading, readRate, goal, residualReading, missedPart,
 		} = demand(service);
-		// Prompts that are read at a rate nobody knows yet would count as no work at all.
+		// While the read rate is unknown, prompts that are being read would count as no work.
 		if (reading > 0 && readRate === 0) {
 			return;
 		}
@@ -183,7 +184,7 @@
 			service: name,
 			scaling,
 			dataCentres,
-			// What was needed stands in the record; what is missing goes with the limits.
+			// The record stores `needed` without the lost capacity, which changes with the limits.
 			needed: needed + lost,
 			leastNow: leastNow + lost,
 			baseline: first.replicas,
@@ -204,11 +205,11 @@
 		});
 	}
 
-	/** What is added goes first: what is given up is given up when the orders before it were taken. */
+	/** Sends orders that add replicas first, and orders that remove replicas only after those have completed. */
 	private orderAll(permit: ActPermit, orders: readonly ReplicaOrder[]): Effect.Effect<void> {
 		const more = orders.filter(order => order.count > this.presentOf(order));
 		const others = orders.filter(order => !more.includes(order));
-		// The process may have stood still since the decision was written, or while others were ordered.
+		// The process may have been suspended since the decision was written or while earlier orders were sent.
 		const send = (order: ReplicaOrder) => Effect.suspend(() => permit.isValid() && !this.isPremature(order) ? this.order(permit, order) : Effect.void);
 		const sendAll = (some: readonly ReplicaOrder[]) => Effect.all(some.map(order => send(order)), {discard: true, concurrency: 'unbounded'});
 		return sendAll(more).pipe(Effect.andThen(sendAll(others)));
@@ -218,7 +219,7 @@
 		return countOf(this.services.replicas.ready(service), dataCentre, isReclaimable);
 	}
 
-	/** Kept replicas are not given up in the step in which the others turn out not to be had. */
+	/** Non-reclaimable replicas are not removed in the step in which reclaimable replicas turn out to be unavailable. */
 	private isPremature(order: ReplicaOrder): boolean {
 		return !order.isReclaimable && order.count <= this.presentOf(order) && this.orders.isScarce(order.service);
 	}
@@ -257,7 +258,7 @@
 	];
 }
 
-/** The first fleet is given up by the plan that orders none of it. */
+/** The first fleet is settled once a plan orders none of its replicas. */
 function settledBy(plans: readonly StandingOrder[], first: FirstFleet): FirstFleet {
 	return {...first, isSettled: first.isSettled === true || plans.every(({service, kept}) => service !== first.service || kept === 0)};
 }
--- a/src/duties/fleet-load.ts
+++ b/src/duties/fleet-load.ts
@@ -1,52 +1,52 @@
 /**
- * How many replicas the load of a service needs, measured while it runs.
+ * Estimates the number of replicas that a service needs from its measured load.
  *
  * @remarks Source: docs/DECISIONS.md, "The fleet by measured load".
  */
 import type {Clock} from '../base/clock.js';
 
-/** How much is left to spare. */
+/** Spare capacity to plan for. */
 type Comfort = {
-	/** Part of the goal that requests wait for the reading of others, on average: its inverse. */
+	/** Ratio of the latency goal to the mean time a request waits while its replica reads other prompts. */
 	readonly waitPart: number;
-	/** Standard deviations of the number of requests at a replica that its places have room for. */
+	/** Standard deviations of a replica's request count that its slots hold above the mean. */
 	readonly deviations: number;
 };
 
-/** Where replicas are cheap: requests hardly wait. */
+/** For inexpensive replicas: requests hardly wait. */
 const ample: Comfort = {waitPart: 3, deviations: 4};
-/** Where they are dear. */
+/** For expensive replicas. */
 const sparse: Comfort = {waitPart: 2, deviations: 2};
-/** Milliseconds for which a peak counts, so that less is ordered only after the trough of a wave. */
+/** Milliseconds for which a peak counts, long enough to span the trough of a load wave. */
 const peakLifetime = 25_000;
-/** Milliseconds for which a peak counts where replicas are dear. */
+/** Milliseconds for which a peak counts for expensive replicas. */
 const recentPeakLifetime = 8000;
-/** Milliseconds with load that must have been seen before less is ordered than stands. */
+/** Milliseconds of load that must be observed before an order is decreased. */
 const leastObservation = 20_000;
-/** Milliseconds between two samples beyond which nothing is known of the time between them. */
+/** Milliseconds between two samples above which the time between them counts as unobserved. */
 const longestGap = 2000;
-/** Part of the requests that may miss their goal where replicas are enough: the longest prompts do so by themselves. */
+/** Fraction of the requests that may miss their latency goal with enough replicas: the longest prompts always miss it. */
 const mostMissed = 0.2;
 
-/** The load of one service at one moment, all boxes together. */
+/** The load of one service at one moment, summed over all boxes. */
 export type LoadSample = {
 	/** Requests in progress. */
 	readonly requests: number;
-	/** Places of one replica. */
+	/** Mean number of slots (concurrent requests) of a replica. */
 	readonly slots: number;
-	/** Replicas that would do nothing but read prompts. */
+	/** Prompt reading, expressed as the number of fully occupied replicas. */
 	readonly reading: number;
-	/** Milliseconds within which answers are to begin, as a multiple of what a replica still reads that is found reading. */
+	/** Latency goal for the first token, as a multiple of the mean residual reading time of a replica that is reading. */
 	readonly waits: number;
-	/** Part of the requests whose answers begin late, or that replicas are too short to serve. */
+	/** Fraction of the requests whose answers begin late or that are refused for lack of capacity. */
 	readonly missedPart: number;
 };
 
 type Peak = {readonly value: number; readonly at: number};
 
-/** The greatest value of the last while. */
+/** Maximum over a sliding time window. */
 class PeakHold {
-	/** Falling from the first to the last: what is followed by something greater no longer counts. */
+	/** In decreasing order of value: a greater later value removes the smaller ones before it. */
 	private peaks: readonly Peak[] = [];
 
 	constructor(private readonly lifetime: number) {}
@@ -61,11 +61,11 @@
 	}
 }
 
-/** The load of one service. */
+/** The measured load of one service. */
 export class FleetLoad {
 	/**
-	 * @param clock - For ages.
-	 * @returns A load of which nothing was seen.
+	 * @param clock - Measures the age of samples.
+	 * @returns A load without samples.
 	 */
 	static create(clock: Clock): FleetLoad {
 		return new FleetLoad(clock);
@@ -78,7 +78,7 @@
 
 	private sampledAt = Number.NEGATIVE_INFINITY;
 	private observedFor = 0;
-	/** Monotonic milliseconds at which goals were last missed, and last kept; both begin anew where nothing was seen for a while. */
+	/** Monotonic milliseconds at which goals were last missed and last met; both are reset after a gap in the samples. */
 	private missedAt: number;
 	private keptAt: number;
 	private readonly ample = new PeakHold(peakLifetime);
@@ -89,37 +89,37 @@
 		this.keptAt = clock.monotonic();
 	}
 
-	/** Milliseconds for which goals have been kept. */
+	/** Milliseconds for which goals have been met. */
 	get keptFor(): number {
 		return this.clock.monotonic() - this.missedAt;
 	}
 
-	/** Milliseconds for which goals have been missed; zero where they are kept. */
+	/** Milliseconds for which goals have been missed; zero while they are met. */
 	get missedFor(): number {
 		return Math.max(0, this.sampledAt - this.keptAt);
 	}
 
-	/** Replicas that carry the load of the last while with headroom; zero before any. */
+	/** Replicas for the peak load of the last 25 s with ample headroom; zero before any load. */
 	get needed(): number {
 		return this.ample.value;
 	}
 
-	/** Replicas that carry the load of the last seconds with little to spare. */
+	/** Replicas for the peak load of the last 8 s with little headroom. */
 	get leastNow(): number {
 		return this.sparse.value;
 	}
 
-	/** Whether enough was seen to order less than stands. */
+	/** Whether the load was observed for long enough to decrease an order. */
 	get isObserved(): boolean {
 		return this.observedFor >= leastObservation;
 	}
 
-	/** Whether enough was seen to tell what is needed now. */
+	/** Whether the load was observed for long enough to rely on `leastNow`. */
 	get isObservedBriefly(): boolean {
 		return this.observedFor >= recentPeakLifetime;
 	}
 
-	/** @param sample - The load now. */
+	/** @param sample - The current load. */
 	note(sample: LoadSample): void {
 		const now = this.clock.monotonic();
 		const elapsed = now - this.sampledAt;
@@ -142,22 +142,23 @@
 	}
 }
 
-/** Whichever asks for more: places for requests in progress, or time to read prompts. */
+/** The larger of the replicas needed for slots and the replicas needed for reading prompts. */
 function replicasFor({requests, slots, reading, waits}: LoadSample, {waitPart, deviations}: Comfort): number {
 	return Math.max(requests / meanTaken(slots, deviations), reading === 0 ? 0 : reading / busyPart(waits / waitPart));
 }
 
 /**
- * The number of requests at a replica varies as its square root: the mean, and some of that, fill its places.
+ * The standard deviation of a replica's request count is the square root of its mean m. Solves m + deviations * sqrt(m) =
+ * slots for m.
  *
- * @remarks Square-root staffing, as for servers of a queue.
+ * @remarks Square-root staffing of queueing theory.
  */
 function meanTaken(slots: number, deviations: number): number {
 	const root = (Math.sqrt((deviations ** 2) + (4 * Math.max(1, slots))) - deviations) / 2;
 	return root ** 2;
 }
 
-/** A replica that reads for a part b of its time lets requests wait b / (1 - b) times what it still reads, on average. */
+/** At utilisation b, requests wait on average b / (1 - b) times the residual reading time. Solves this for b. */
 function busyPart(waits: number): number {
 	return waits / (1 + waits);
 }
--- a/src/duties/fleet-plan.ts
+++ b/src/duties/fleet-plan.ts
@@ -1,5 +1,6 @@
 /**
- * Decides how many replicas a service is to have, of which sort, in which data centre.
+ * Decides how many replicas of each kind a service should have in each data centre. Reclaimable replicas are cheaper, and
+ * the platform may take them back at any time; kept replicas are not reclaimed.
  *
  * @remarks Source: docs/DECISIONS.md, "The fleet by measured load".
  */
@@ -8,56 +9,60 @@
 import type {StandingOrder} from './duty-record.js';
 import {sparsePart} from './fleet-size.js';
 
-/** What a plan rests on. */
+/** Input of a plan. */
 export type FleetFacts = {
 	readonly service: string;
 	readonly scaling: Scaling;
-	/** Data centres in which it runs. */
+	/** Data centres in which the service runs. */
 	readonly dataCentres: readonly string[];
-	/** Replicas that carry the load of the last while with headroom. */
+	/** Replicas for the recent peak load with ample headroom. */
 	readonly needed: number;
-	/** Replicas that carry the load of the last seconds with little to spare: kept ones cost too much for more. */
+	/** Replicas for the peak load of the last seconds with little headroom; used for kept replicas, which are expensive. */
 	readonly leastNow: number;
 	/** Replicas the service had when the system first started. */
 	readonly baseline: number;
-	/** Whether the first fleet has been given up for reclaimable replicas. */
+	/** Whether the first fleet has been replaced by reclaimable replicas. */
 	readonly isSettled: boolean;
-	/** Whether nothing runs at its replicas, so that none would be missed. */
+	/** Whether its replicas run no requests, so that they can be removed safely. */
 	readonly isIdle: boolean;
-	/** Whether reclaimable replicas were ordered that are not to be had. */
+	/** Whether an order of reclaimable replicas failed because none are available. */
 	readonly isScarce: boolean;
-	/** Reclaimable replicas by data centre that serve, without those that are leaving. */
+	/** Ready reclaimable replicas by data centre, without those that are leaving. */
 	readonly reclaimableReady: ReadonlyMap<string, number>;
-	/** Kept replicas that are ordered now, by data centre. */
+	/** Currently ordered kept replicas by data centre. */
 	readonly keptOrdered: ReadonlyMap<string, number>;
-	/** Data centres in which kept replicas were not to be had lately. */
+	/** Data centres that had no kept replicas available in the last 3 s. */
 	readonly closedToKept: ReadonlySet<string>;
 };
 
-/** Decides. */
+/** Decides the number of replicas of a service. */
 export abstract class FleetPolicy {
 	/**
-	 * @param facts - What the plan rests on.
+	 * @param facts - Input of the plan.
 	 * @returns An order for each data centre.
 	 */
 	abstract plan(facts: FleetFacts): readonly StandingOrder[];
 }
 
-/** Data centres that may be reclaimed one upon the other before kept replicas are ordered: others are cheap meanwhile. */
+/** Data centres whose loss the reclaimable replicas must survive without kept replicas; spare reclaimable ones are cheaper. */
 const dataCentresLost = 2;
-/** Part of the data centres left that may be reclaimed while kept replicas boot; where as many are gone already, all may. */
+/**
+ * Fraction of the remaining data centres that may be reclaimed while kept replicas boot. If at least this fraction is
+ * gone already, all of the remaining ones may be reclaimed.
+ */
 const partLostInBoot = 0.5;
-/** Part of the needed replicas that must serve before the kept ones are given up. */
+/** Fraction of the needed replicas that must be ready before kept replicas are removed. */
 const servingPart = 0.9;
-/** Part of the kept replicas that is still needed above which all of them stay. */
+/** If more than this fraction of the kept replicas is still needed, all of them stay. */
 const leastKeptPart = 0.75;
-/** Part of the first fleet that must serve before it is given up. */
+/** Ready reclaimable replicas, as a fraction of the first fleet, required before it is removed. */
 const firstPart = 0.6;
 
 /**
- * Reclaimable replicas for the measured load, spread over the data centres so that the loss of two is borne. Where they are
- * reclaimed and no others are to be had, half of the rest or all may go sooner than a replica boots: then kept ones are
- * ordered that carry the load with those that would be left, and they stay until enough reclaimable ones serve again.
+ * Orders reclaimable replicas for the measured load, spread over the data centres so that the service survives the loss
+ * of two. If replicas are reclaimed and no reclaimable ones are available, half or all of the rest may be reclaimed before
+ * a new replica has booted. The policy then orders enough kept replicas to carry the load together with the replicas that
+ * would remain. They stay until enough reclaimable replicas are ready again.
  */
 export class MeasuredLoadPolicy extends FleetPolicy {
 	/** @returns The policy. */
@@ -71,14 +76,14 @@
 		const kept = isSettled ? keptPlaces(facts, reclaimable, this.keptTotal(facts)) : this.firstFleet(facts);
 		return dataCentres.map(dataCentre => {
 			const keptHere = kept.get(dataCentre) ?? 0;
-			// The maximum holds for both sorts together.
+			// The maximum applies to the sum of both kinds.
 			return {
 				service, dataCentre, reclaimable: Math.min(reclaimable.get(dataCentre) ?? 0, scaling.maximum - keptHere), kept: keptHere,
 			};
 		});
 	}
 
-	/** The first fleet stays until enough of the others serve, unless nothing runs yet. */
+	/** The first fleet stays until enough reclaimable replicas are ready, unless no requests run yet. */
 	private firstFleet({scaling, baseline, dataCentres, reclaimableReady, isIdle, isScarce}: FleetFacts): ReadonlyMap<string, number> {
 		const isKept = isScarce || (!isIdle && sumOf([...reclaimableReady.values()]) < baseline * firstPart);
 		const each = Math.min(scaling.maximum, Math.ceil(baseline / Math.max(1, dataCentres.length)));
@@ -94,7 +99,7 @@
 		return Math.ceil(Math.max(needed, needed * sparsePart * dataCentres.length / remaining));
 	}
 
-	/** Enough for the load without those that may go next; given up in larger steps, since each order costs a call. */
+	/** Enough for the load without the replicas that may be reclaimed next; decreased in larger steps, since each order costs a call. */
 	private keptTotal({needed, leastNow, scaling, dataCentres, isScarce, reclaimableReady, keptOrdered}: FleetFacts): number {
 		if (scaling.reclaimablePrice >= 1) {
 			return Math.ceil(needed);
@@ -119,7 +124,7 @@
 	return [...dataCentres].sort((left, right) => priceOf(left) - priceOf(right));
 };
 
-/** Alike over all data centres; what is left over goes where it costs least. */
+/** Distributes replicas evenly over the data centres; the remainder goes to the cheapest ones. */
 function spread(facts: FleetFacts, total: number): ReadonlyMap<string, number> {
 	const {scaling, dataCentres} = facts;
 	const each = Math.floor(total / Math.max(1, dataCentres.length));
@@ -130,8 +135,8 @@
 }
 
 /**
- * Those that stand stay where they are; others go where they cost least: they are not reclaimed, so they need no spreading.
- * The places of reclaimable ones are left to them as far as there are others.
+ * Places kept replicas. Existing ones stay where they are; new ones go to the cheapest data centres, since they are not
+ * reclaimed and need no spreading. They use capacity planned for reclaimable replicas only when no other capacity is left.
  */
 function keptPlaces(facts: FleetFacts, reclaimable: ReadonlyMap<string, number>, total: number): ReadonlyMap<string, number> {
 	const {scaling, reclaimableReady, keptOrdered, closedToKept} = facts;
--- a/src/duties/fleet-size.ts
+++ b/src/duties/fleet-size.ts
@@ -1,5 +1,5 @@
 /**
- * How many replicas each service is to have: what was ordered before, and the load as it is measured.
+ * Decides how many replicas each service should have, from the previous order and the measured load.
  *
  * @remarks Source: docs/DECISIONS.md, "The fleet by measured load".
  */
@@ -8,79 +8,81 @@
 import type {FirstFleet} from './duty-record.js';
 import {FleetLoad, type LoadSample} from './fleet-load.js';
 
-/** Part of the first fleet that is taken to carry the load before any load was seen. */
+/** Fraction of the first fleet assumed to be needed before any load was measured. */
 const assumedPart = 1;
-/** Part of the needed replicas that carries the load with little to spare, where that was not measured. */
+/** Fraction of the needed replicas assumed to carry the load with little headroom, if that was not measured. */
 export const sparsePart = 0.65;
-/** Less is ordered only where that is at least this part less: each change costs what replicas keep of prompts. */
+/** Smallest fraction by which an order is decreased: each change loses the prompt caches of the removed replicas. */
 const leastDecrease = 0.15;
-/** More is ordered by at most this part at a time: caches that are still empty and clumps of requests look like load. */
+/** Largest fraction by which an order is increased at a time: empty caches and bursts of requests look like load. */
 const mostIncrease = 0.25;
-/** Less is ordered by at most this part at a time: what is left shows whether it is enough. */
+/** Largest fraction by which an order is decreased at a time, to observe whether the remaining replicas suffice. */
 const mostDecrease = 0.4;
-/** Milliseconds beyond the boot time until a change shows whether it was enough. */
+/** Milliseconds after the boot time until the effect of a change can be measured. */
 const changePause = 2000;
-/** How many times what the load is taken to need is needed at most, where goals are missed with all of that serving. */
+/** Upper limit of the correction factor that is applied if goals are missed although the estimated replicas are ready. */
 const largestCorrection = 2.5;
-/** Milliseconds for which goals must have been kept before a correction is taken back by a step, and that step. */
+/** Milliseconds for which goals must have been met before a correction is reduced by one step. */
 const correctionLifetime = 25_000;
+/** Factor by which a correction is reduced. */
 const correctionStep = 1.25;
-/** Part of what is taken to be needed that must serve for missed goals to speak against the measure. */
+/** Fraction of the estimated replicas that must be ready for missed goals to count as evidence against the estimate. */
 const servingPart = 0.9;
 
-/** What the size of a service's fleet rests on besides the load. */
+/** Input of the size of a service's fleet besides the load. */
 export type SizeFacts = {
 	readonly fleet: FirstFleet;
-	/** Whether reclaimable replicas were ordered that are not to be had. */
+	/** Whether an order of reclaimable replicas failed because none are available. */
 	readonly isScarce: boolean;
-	/** Whether what was ordered serves. */
+	/** Whether most of the ordered replicas are ready in each data centre. */
 	readonly isWhole: boolean;
-	/** Replicas that serve. */
+	/** Ready replicas, less lost capacity. */
 	readonly serving: number;
-	/** Milliseconds until a new replica serves. */
+	/** Milliseconds until a new replica is ready. */
 	readonly bootTime: number;
 };
 
 /** The size of a service's fleet. */
 export type FleetSize = {
-	/** Replicas that carry the load of the last while with headroom. */
+	/** Replicas for the recent peak load with ample headroom. */
 	readonly needed: number;
-	/** Replicas that carry the load of the last seconds with little to spare. */
+	/** Replicas for the peak load of the last seconds with little headroom. */
 	readonly leastNow: number;
 };
 
-/** A change of a fleet's size that is still to show whether it was enough. */
+/** A change of a fleet's size whose effect cannot be measured yet. */
 type SizeChange = {
-	/** What was needed before. */
+	/** Number of replicas before the change. */
 	readonly from: number;
-	/** Monotonic milliseconds. */
+	/** Time of the change, monotonic milliseconds. */
 	readonly at: number;
 };
 
 /** The sizes of all services' fleets. */
 export class FleetSizes {
 	/**
-	 * @param clock - For ages.
-	 * @returns Sizes of which nothing was measured.
+	 * @param clock - Measures the age of samples and changes.
+	 * @returns Sizes without measurements.
 	 */
 	static create(clock: Clock): FleetSizes {
 		return new FleetSizes(clock);
 	}
 
 	private readonly loads = new Map<string, FleetLoad>();
-	/** What each service's fleet was last made greater or smaller from, and when. */
+	/** Last increase of each service's fleet. */
 	private readonly increases = new Map<string, SizeChange>();
+	/** Last decrease of each service's fleet. */
 	private readonly decreases = new Map<string, SizeChange>();
-	/** How far the measure of each service's load is off, as missed goals show, and when that was last weighed. */
+	/** Factor by which missed goals correct each service's estimate, and the time of its last change in monotonic milliseconds. */
 	private readonly corrections = new Map<string, {readonly factor: number; readonly at: number}>();
-	/** Since when as many replicas of each service serve as its load is taken to need. */
+	/** Monotonic milliseconds since which each service has as many ready replicas as its estimate. */
 	private readonly enoughSince = new Map<string, number>();
 
 	private constructor(private readonly clock: Clock) {}
 
 	/**
 	 * @param service - Name of a service.
-	 * @param sample - Its load now.
+	 * @param sample - Its current load.
 	 */
 	note(service: string, sample: LoadSample): void {
 		this.loadOf(service).note(sample);
@@ -88,17 +90,17 @@
 
 	/**
 	 * @param service - Name of a service.
-	 * @returns Its load when it was last noted.
+	 * @returns Its last sample.
 	 */
 	lastLoad(service: string): LoadSample {
 		return this.loadOf(service).last;
 	}
 
 	/**
-	 * What was ordered by load stands until as much was seen as allows less: the load for a while, goals kept, and all that
-	 * was ordered serving. While some are missing none are given up: others may go next.
+	 * The size is decreased only after the load was observed for long enough, goals were met and the ordered replicas are
+	 * ready. No replica is removed while others are missing, since more may be reclaimed next.
 	 *
-	 * @param facts - What it rests on besides the load.
+	 * @param facts - Input besides the load.
 	 * @returns The size of the service's fleet.
 	 */
 	of(facts: SizeFacts): FleetSize {
@@ -114,7 +116,7 @@
 		return {needed, leastNow: load.isObservedBriefly ? Math.min(load.leastNow * factor, needed) : needed * sparsePart};
 	}
 
-	/** Where most requests miss their goals, the fleet would stay too small for as long as small steps take. */
+	/** If many requests miss their goals, the step is larger, since small steps would leave the fleet too small for long. */
 	private increased(service: string, standing: number, wanted: number, bootTime: number): number {
 		const {from} = this.changeSince(this.increases, service, {standing, bootTime});
 		const load = this.loadOf(service);
@@ -127,7 +129,7 @@
 		return Math.min(standing, Math.max(wanted, from * (1 - mostDecrease)));
 	}
 
-	/** The change that is still to show whether it was enough, or one that begins now. */
+	/** The last change if its effect cannot be measured yet, otherwise a change that starts now. */
 	private changeSince(changes: Map<string, SizeChange>, service: string, {standing, bootTime}: {readonly standing: number; readonly bootTime: number}): SizeChange {
 		const now = this.clock.monotonic();
 		const known = changes.get(service);
@@ -137,8 +139,8 @@
 	}
 
 	/**
-	 * Where goals are missed for a while in which as many replicas serve as the load is taken to need, it needs more than that.
-	 * Those that have just come find the requests that waited for them.
+	 * If goals are missed although the estimated number of replicas has been ready for a while, the estimate is too low. New
+	 * replicas do not count at once: they first work off the requests that waited for them.
 	 */
 	private correctionFor({fleet: {service}, serving, bootTime}: SizeFacts, load: FleetLoad): number {
 		const now = this.clock.monotonic();
@@ -173,7 +175,7 @@
 	}
 }
 
-/** Goals that are missed for a moment say nothing: a clump of requests, or replicas that have just gone. */
+/** Goals that are missed briefly are ignored: the cause may be a burst of requests or replicas that have just left. */
 function isShort({missedFor}: FleetLoad, bootTime: number): boolean {
 	return missedFor > (bootTime + changePause) / 2;
 }
--- a/src/duties/holder-life.ts
+++ b/src/duties/holder-life.ts
@@ -1,22 +1,23 @@
 /**
- * Signs of life of the box that holds the duties, for those that cannot hear it: it writes the usage draft every second.
+ * Detects through the store whether the holder of the duties is alive, for boxes that receive no gossip from it. A holder
+ * writes the usage draft every second.
  */
 import * as Effect from 'effect/Effect';
 import type {Clock} from '../base/clock.js';
 import type {MetadataStore, StoreUnavailable} from '../follow/metadata-store.js';
 import {draftKind, draftName} from './usage-draft.js';
 
-/** Milliseconds without a change of the draft after which its writer counts as gone. */
+/** Milliseconds without a change of the draft after which its writer counts as stopped. */
 const silenceOfDead = 4000;
-/** Milliseconds between two looks. */
+/** Milliseconds between two reads of the draft. */
 const lookInterval = 1000;
 
-/** Watches for signs of life. */
+/** Watches the usage draft for changes. */
 export class HolderLife {
 	/**
-	 * @param store - Where the draft stands.
-	 * @param clock - For ages.
-	 * @returns A watch that has seen nothing.
+	 * @param store - The store that holds the draft.
+	 * @param clock - Measures the time without a change.
+	 * @returns A watch that has not read the draft yet.
 	 */
 	static create(store: MetadataStore, clock: Clock): HolderLife {
 		return new HolderLife(store, clock);
@@ -27,11 +28,11 @@
 
 	private constructor(private readonly store: MetadataStore, private readonly clock: Clock) {}
 
-	/** @returns Whether the holder may be at work; it may, until it has been watched for long enough. */
+	/** @returns Whether the holder may be alive; `true` until the draft was watched for 4 s without a change. */
 	mayLive(): Effect.Effect<boolean, StoreUnavailable> {
 		return Effect.suspend(() => {
 			const now = this.clock.monotonic();
-			// What was seen long ago says nothing of now.
+			// An observation that was interrupted has to start again.
 			this.seen = now - this.lookedAt > silenceOfDead ? undefined : this.seen;
 			if (now - this.lookedAt < lookInterval) {
 				return Effect.succeed(this.isYoung(now));
--- a/src/duties/lost-capacity.ts
+++ b/src/duties/lost-capacity.ts
@@ -1,20 +1,21 @@
 /**
- * How much of a service's fleet is missing since replicas have named limits: one that takes one request a second is no whole replica.
+ * Computes how much capacity of a service's fleet is lost to limits that replicas have announced. For example, a replica
+ * that accepts one request per second does not count as a full replica.
  */
 import type {Clock} from '../base/clock.js';
 import {sumOf} from '../base/sum.js';
 
 /**
- * Milliseconds for which what was missing counts on: limits come and go, and a replica that was ordered for one is hardly there when it ends. What it
- * would have read of prompts is lost with it.
+ * Milliseconds for which lost capacity still counts. Limits come and go: a replacement would otherwise be removed soon
+ * after it has booted, and its prompt cache would be lost.
  */
 const memory = 10_000;
 
-/** What is missing in the fleets of all services. */
+/** The lost capacity of all services. */
 export class LostCapacity {
 	/**
-	 * @param clock - For ages.
-	 * @returns Fleets in which nothing is missing.
+	 * @param clock - Measures the age of the peaks.
+	 * @returns An instance without lost capacity.
 	 */
 	static create(clock: Clock): LostCapacity {
 		return new LostCapacity(clock);
@@ -26,9 +27,9 @@
 
 	/**
 	 * @param service - Name of a service.
-	 * @param limits - Requests a second that each of its replicas takes; without end where it has named no limit.
-	 * @param rate - Requests a second for it at all boxes.
-	 * @returns Replicas that have to come to those that it has, for these to be worth as many as they are; a part of one counts.
+	 * @param limits - Requests per second that each of its replicas accepts; infinite without a limit.
+	 * @param rate - Requests per second for the service at all boxes.
+	 * @returns Additional replicas that make up for the lost capacity; may be fractional.
 	 */
 	of(service: string, limits: readonly number[], rate: number): number {
 		const now = this.clock.monotonic();
@@ -43,7 +44,7 @@
 	}
 }
 
-/** Measured by the part of all requests that each would get: who takes that much is whole, whatever it names. */
+/** Compares each limit with an equal share of all requests: a replica that accepts its share loses no capacity. */
 function lostReplicas(limits: readonly number[], rate: number): number {
 	const part = rate / Math.max(1, limits.length);
 	return part === 0 ? 0 : sumOf(limits.map(limit => 1 - Math.min(1, limit / part)));
--- a/src/duties/order-book.ts
+++ b/src/duties/order-book.ts
@@ -1,64 +1,66 @@
 /**
- * What became of each order of replicas, and which orders are due: new ones, those that were not taken, and those whose
- * replicas are missing.
+ * Tracks the outcome of each replica order and decides which orders are due: new ones, those that were not accepted, and
+ * those whose replicas are missing.
  */
 import type {Clock} from '../base/clock.js';
 import type {DutyRefusal, ReplicaOrder} from './duty-calls.js';
 
-/** Milliseconds before an order of which nothing is known is sent again. */
+/** Milliseconds before an order with an unknown outcome is sent again. */
 const unansweredPause = 300;
-/** Milliseconds between two tries for replicas that are not to be had, one data centre at a time. */
+/** Milliseconds between two attempts to order unavailable replicas, one data centre at a time. */
 const probePause = 1500;
-/** Milliseconds after which a replica that was there and is gone is ordered again. */
+/** Milliseconds after an order before a replica that was present and has gone is ordered again. */
 const lossPause = 1500;
-/** Milliseconds for which those that are given up may still be listed. */
+/** Milliseconds for which removed replicas may still be listed. */
 const givingUpTime = 4000;
-/** Milliseconds beyond the boot time after which replicas that are still missing are ordered again. */
+/** Milliseconds after the boot time before replicas that are still missing are ordered again. */
 const missingPause = 3000;
 
 type Outcome = 'taken' | 'unavailable' | 'unknown';
 type OrderState = {
 	readonly order: ReplicaOrder;
 	readonly outcome: Outcome;
-	/** Replicas that were there at most since it was taken. */
+	/** Largest number of replicas present since the order was accepted. */
 	readonly seen: number;
-	/** Monotonic milliseconds. */
+	/** Time of the outcome, monotonic milliseconds. */
 	readonly at: number;
 };
 
-/** What is known of the replicas that an order is about. */
+/** Current state of the replicas of an order. */
 export type OrderFacts = {
+	/** Ready replicas. */
 	readonly present: number;
-	/** Milliseconds. */
+	/** Milliseconds until a new replica is ready. */
 	readonly bootTime: number;
 };
 
 const keyOf = ({service, dataCentre, isReclaimable}: ReplicaOrder): string => `${service}\n${dataCentre}\n${isReclaimable}`;
 
-/** The orders that this box has sent. */
+/** The orders that this box has sent, with their outcomes. */
 export class OrderBook {
 	/**
-	 * @param clock - For pauses.
-	 * @returns A book without orders.
+	 * @param clock - Measures the delays.
+	 * @returns An instance without orders.
 	 */
 	static create(clock: Clock): OrderBook {
 		return new OrderBook(clock);
 	}
 
 	private readonly states = new Map<string, OrderState>();
+	/** Monotonic milliseconds at which an order was last refused for lack of replicas, by service. */
 	private readonly probedAt = new Map<string, number>();
-	/** Replicas beyond an order when it was last sent for their sake. */
+	/** Surplus replicas of an order when it was last sent to remove them. */
 	private readonly surpluses = new Map<string, number>();
 
 	private constructor(private readonly clock: Clock) {}
 
-	/** @param order - An order that was taken. */
+	/** @param order - An order that the platform accepted. */
 	noteTaken(order: ReplicaOrder): void {
 		this.states.set(keyOf(order), {
 			order, outcome: 'taken', seen: 0, at: this.clock.monotonic(),
 		});
 		if (order.isReclaimable) {
-			// Where some are to be had again, others may be.
+			// Other data centres may have replicas available again too.
 			this.probedAt.delete(order.service);
 			for (const state of this.unavailable(order.service)) {
 				this.states.set(keyOf(state.order), {...state, outcome: 'unknown', at: Number.NEGATIVE_INFINITY});
@@ -67,8 +69,8 @@
 	}
 
 	/**
-	 * @param order - An order that was not taken, as far as is known.
-	 * @param reason - Why.
+	 * @param order - An order that was refused or whose outcome is unknown.
+	 * @param reason - Why the call failed.
 	 */
 	noteRefused(order: ReplicaOrder, reason: DutyRefusal['reason']): void {
 		const now = this.clock.monotonic();
@@ -83,7 +85,7 @@
 
 	/**
 	 * @param service - Name of a service.
-	 * @returns Whether reclaimable replicas were ordered for it that are not to be had.
+	 * @returns Whether an order of reclaimable replicas for it failed because none are available.
 	 */
 	isScarce(service: string): boolean {
 		return this.unavailable(service).some(({order}) => order.isReclaimable);
@@ -91,7 +93,7 @@
 
 	/**
 	 * @param service - Name of a service.
-	 * @returns Data centres in which kept replicas were not to be had lately.
+	 * @returns Data centres that had no kept replicas available in the last 3 s.
 	 */
 	closedToKept(service: string): ReadonlySet<string> {
 		const since = this.clock.monotonic() - missingPause;
@@ -99,14 +101,14 @@
 	}
 
 	/**
-	 * @param order - What is to be ordered.
-	 * @param facts - What is known of its replicas.
-	 * @returns Whether it is to be sent now.
+	 * @param order - The planned order.
+	 * @param facts - Current state of its replicas.
+	 * @returns Whether the order should be sent now.
 	 */
 	isDue(order: ReplicaOrder, {present, bootTime}: OrderFacts): boolean {
 		const state = this.states.get(keyOf(order));
 		if (!state) {
-			// Another holder may have ordered it before.
+			// A previous holder may have sent this order.
 			return present !== order.count;
 		}
 
@@ -131,7 +133,7 @@
 		}
 	}
 
-	/** Replicas that were there and are gone are ordered anew at once, those that have not come when they should have. */
+	/** Replicas that were present and have gone are ordered again soon; those that never arrived, only after the boot time. */
 	private isMissing(state: OrderState, present: number, bootTime: number): boolean {
 		const {order, seen, at} = state;
 		if (present > seen) {
@@ -142,7 +144,7 @@
 		return present < order.count && age > (present < seen ? lossPause : bootTime + missingPause);
 	}
 
-	/** Somebody else may add replicas; those that do not go when they are ordered away are let be. */
+	/** Replicas may be added without an order of this box. Their removal is ordered once; surplus replicas that stay are then ignored. */
 	private isSurplus({order, at}: OrderState, present: number): boolean {
 		const key = keyOf(order);
 		const surplus = present - order.count;
@@ -159,7 +161,7 @@
 		return true;
 	}
 
-	/** One data centre at a time is tried, the one that was tried longest ago: where none is to be had every try costs a call. */
+	/** Tries one data centre at a time, the least recently tried first, since each failed attempt costs a call. */
 	private isNextProbe({order, at}: OrderState): boolean {
 		const {service} = order;
 		const isPaused = this.clock.monotonic() - (this.probedAt.get(service) ?? Number.NEGATIVE_INFINITY) < probePause;
--- a/src/duties/test/duty-campaign.test.ts
+++ b/src/duties/test/duty-campaign.test.ts
@@ -17,19 +17,19 @@
 	isStopping: false, isAggregator: true, ...changes,
 });
 
-test('the lesser part of a fleet that is cut in two looks for signs of life before it takes the duties over, the greater one does not', () => {
+test('in a network partition the minority checks whether the holder is alive before it acquires the duties, the majority does not', () => {
 	assert.equal(mustLookForLife(facts({heardPart: 0.35})), true);
 	assert.equal(mustLookForLife(facts({heardPart: 0.65})), false);
-	assert.equal(mustLookForLife(facts({heardPart: 0.35, record: firstRecord})), false, 'nobody holds them');
-	assert.equal(mustLookForLife(facts({heardPart: 0.35, self: 'box-1'})), false, 'this box held them last');
+	assert.equal(mustLookForLife(facts({heardPart: 0.35, record: firstRecord})), false, 'no box holds the duties');
+	assert.equal(mustLookForLife(facts({heardPart: 0.35, self: 'box-1'})), false, 'this box held the duties last');
 });
 
-test('a box that few others tell is no candidate', () => {
+test('a box that does not receive the gossip of all other boxes is not a candidate', () => {
 	assert.equal(isCandidate(facts({})), true);
 	assert.equal(isCandidate(facts({isAggregator: false})), false);
 });
 
-test('a holder that writes its draft lives, and one that writes nothing for long does not', async () => {
+test('a holder counts as alive while it writes its draft, and as stopped after 4 s without a write', async () => {
 	const standin = await StoreStandin.start();
 	const clock = new MovedClock(10_000);
 	const life = HolderLife.create(HttpMetadataStore.create('127.0.0.1', standin.port), clock);
@@ -49,11 +49,11 @@
 	const silent = [await look(false), await look(false), await look(false), await look(false)];
 	assert.deepEqual(silent, [true, true, true, false]);
 	clock.now += 60_000;
-	assert.equal(await look(false), true, 'what was seen long ago says nothing');
+	assert.equal(await look(false), true, 'an interrupted observation starts again');
 	await standin.close();
 });
 
-test('after the store came back from a copy the box that it names takes the duties anew, and the first of the others where it does not', () => {
+test('after a restore of the store the recorded holder acquires the duties again, or the first candidate by name if it does not', () => {
 	const named = {name: 'box-1', host: '10.0.0.1', port: 1};
 	const last = {incarnation: 'x', isStopping: false, storeAge: 100};
 	const peer = {address: named, last} as unknown as CampaignFacts['heard'][number];
--- a/src/duties/test/duty-lease.test.ts
+++ b/src/duties/test/duty-lease.test.ts
@@ -10,6 +10,7 @@
 import {SilentEventLog} from '../../base/event-log.js';
 import {DutyLease} from '../duty-lease.js';
 
+/** Milliseconds during which calls of a previous holder may still take effect. */
 const wait = 3000;
 let standin: StoreStandin;
 let clock: MovedClock;
@@ -30,7 +31,7 @@
 });
 const acquire = async (lease: DutyLease) => Effect.runPromise(lease.acquire());
 
-test('a new holder waits until the acts of the one before are over where the platform does not look at fences', async () => {
+test('a new holder waits until the calls of the previous one have expired if the platform does not check fences', async () => {
 	await acquire(leaseOf('a', false));
 	const next = leaseOf('b', false);
 	await acquire(next);
@@ -39,34 +40,34 @@
 	assert.ok(next.mayAct);
 });
 
-test('where the platform refuses what was fenced off a new holder acts at once', async () => {
+test('a new holder acts at once if the platform rejects calls with an old fence', async () => {
 	await acquire(leaseOf('a', true));
 	const next = leaseOf('b', true);
 	await acquire(next);
 	assert.ok(next.mayAct);
 });
 
-test('a box that comes back to the duties waits until the acts of the other are over, also after a restart or a release', async () => {
+test('a box that acquires the duties again after another holder waits until its own earlier calls have expired, also after a restart or a release', async () => {
 	await acquire(leaseOf('a', true));
 	const second = leaseOf('b', true);
 	await acquire(second);
 	const third = leaseOf('a', true, 'two');
 	await acquire(third);
-	assert.ok(!third.mayAct, 'a, b, a');
+	assert.ok(!third.mayAct, 'the holders were a, b, a');
 	clock.now += wait;
 	assert.ok(third.mayAct);
 	await Effect.runPromise(third.decide(record => record));
 	await Effect.runPromise(third.release());
 	const fourth = leaseOf('b', true, 'two');
 	await acquire(fourth);
-	assert.ok(fourth.mayAct, 'the last to act was a');
+	assert.ok(fourth.mayAct, 'a was the last holder that made calls');
 	await Effect.runPromise(fourth.release());
 	const fifth = leaseOf('b', true, 'three');
 	await acquire(fifth);
-	assert.ok(!fifth.mayAct, 'b may have acted until this start of it began');
+	assert.ok(!fifth.mayAct, 'an earlier process of b may have made calls until this one started');
 });
 
-test('a box whose own last act is long ago acts at once when it holds the duties again', async () => {
+test('a box whose own last call has expired acts at once when it holds the duties again', async () => {
 	const first = leaseOf('a', true);
 	await acquire(first);
 	await Effect.runPromise(first.decide(record => record));
@@ -80,10 +81,10 @@
 	service: 's', dataCentre: 'x', reclaimable: 3, kept: 1,
 };
 
-/** @returns What a box before the restore decided. */
+/** @returns A report decided before the restore. */
 const reportOf = (window: number) => ({window, counts: [['basin', window]] as ReadonlyArray<readonly [string, number]>});
 
-test('a fence is not given out twice where the store has lost the holder that had it', async () => {
+test('a fence is not reused after the store has lost its holder', async () => {
 	const first = leaseOf('a', true);
 	await acquire(first);
 	const copy = standin.copy();
@@ -97,10 +98,10 @@
 	const permit = await Effect.runPromise(third.decide(record => record));
 	assert.ok(permit.signer.fence > signer.fence, `${permit.signer.fence} after ${signer.fence}`);
 	const late = await Effect.runPromiseExit(first.decide(record => record));
-	assert.equal(Exit.isFailure(late), true, 'the holder that the copy names does not know of it yet, and gets no permit');
+	assert.equal(Exit.isFailure(late), true, 'the holder named in the backup has not read the new record and gets no permit');
 });
 
-test('a holder does not act on what the store has lost until it has taken the duties again, and goes on from what it decided', async () => {
+test('after a restore a holder does not act until it has acquired the duties again, and continues from its own last decision', async () => {
 	const lease = leaseOf('a', false);
 	await acquire(lease);
 	const copy = standin.copy();
@@ -109,14 +110,14 @@
 	await Effect.runPromise(lease.look());
 	assert.deepEqual([lease.isHeld, lease.mayAct, before.isValid()], [false, false, false]);
 	await acquire(lease);
-	assert.deepEqual([lease.isHeld, lease.mayAct], [true, false], 'another box may have held them, and acted');
+	assert.deepEqual([lease.isHeld, lease.mayAct], [true, false], 'another box may have held the duties and made calls');
 	clock.now += wait;
 	const after = await Effect.runPromise(lease.decide(record => record));
 	assert.deepEqual([after.record.report, after.record.orders], [before.record.report, before.record.orders]);
 	assert.ok(after.signer.fence > before.signer.fence);
 });
 
-test('a box that did not hold the duties goes on from the copy', async () => {
+test('a box that did not hold the duties continues from the restored record', async () => {
 	const first = leaseOf('a', false);
 	await acquire(first);
 	await Effect.runPromise(first.decide(record => ({...record, report: reportOf(6)})));
--- a/src/duties/test/fleet-duty.test.ts
+++ b/src/duties/test/fleet-duty.test.ts
@@ -11,7 +11,7 @@
 import {FleetDuty} from '../fleet-duty.js';
 import {MeasuredLoadPolicy} from '../fleet-plan.js';
 
-test('a holder that stood still after its decision was written gives no orders for it', async () => {
+test('a holder that was suspended after its decision was written sends no orders for it', async () => {
 	const clock = new MovedClock(1000);
 	const log = SilentEventLog.create();
 	let pause = 0;
@@ -46,7 +46,7 @@
 	});
 	await Effect.runPromise(lease.acquire());
 	clock.now += 5000;
-	// The process stands still while its write is answered.
+	// The process is suspended while it waits for the answer to its write.
 	pause = 30_000;
 	await Effect.runPromise(duty.step());
 	assert.deepEqual(calls.orders, []);
--- a/src/duties/test/fleet-load.test.ts
+++ b/src/duties/test/fleet-load.test.ts
@@ -20,19 +20,19 @@
 	return load.needed;
 };
 
-test('the mean of the requests at a replica leaves room for four deviations of it', () => {
-	assert.equal(neededFor(calm), 10, 'nine in progress and four times three are 21 places');
+test('the slots of a replica hold the mean number of requests plus four standard deviations', () => {
+	assert.equal(neededFor(calm), 10, 'nine in progress plus four times three are 21 slots');
 	const largePlaces = neededFor({...calm, requests: 900, slots: 210});
-	assert.ok(largePlaces < 10, 'large replicas may be taken further');
+	assert.ok(largePlaces < 10, 'larger replicas may be used to a higher share');
 });
 
-test('reading may take half of the time where a wait as long as what is still read is a third of the goal', () => {
+test('replicas may read for half of the time if the residual reading time is a third of the goal', () => {
 	assert.equal(neededFor({...calm, reading: 10}), 20);
-	assert.equal(neededFor({...calm, reading: 10, waits: 1}), 40, 'a goal that leaves little time asks for more');
+	assert.equal(neededFor({...calm, reading: 10, waits: 1}), 40, 'a tighter goal needs more replicas');
 	assert.ok(neededFor({...calm, reading: 10, waits: 20}) < 13);
 });
 
-test('a peak counts until the trough of its wave is over, and for seconds only where replicas are dear', () => {
+test('a peak counts until the trough of its wave is over, and for a shorter time for expensive replicas', () => {
 	const load = FleetLoad.create(clock);
 	play(load, 1, {...calm, requests: 180});
 	const peak = load.leastNow;
@@ -44,7 +44,7 @@
 	assert.ok(load.leastNow < load.needed);
 });
 
-test('nothing was observed while nothing came, nor over a gap in the samples', () => {
+test('time without requests and gaps between samples do not count as observed', () => {
 	const load = FleetLoad.create(clock);
 	play(load, 60, {...calm, requests: 0});
 	assert.ok(!load.isObserved);
@@ -56,7 +56,7 @@
 	assert.ok(load.isObserved);
 });
 
-test('goals count as kept or missed only for as long as that was seen', () => {
+test('goals count as met or missed only for the observed time', () => {
 	const load = FleetLoad.create(clock);
 	assert.equal(load.missedFor, 0);
 	play(load, 10, calm);
@@ -66,7 +66,7 @@
 	assert.equal(load.keptFor, 0);
 	clock.now += 60_000;
 	play(load, 1, {...calm, missedPart: 0.5});
-	assert.ok(load.missedFor <= 1000, 'nothing was seen in between');
+	assert.ok(load.missedFor <= 1000, 'the gap was not observed');
 	clock.now += 60_000;
 	play(load, 1, calm);
 	assert.ok(load.keptFor <= 1000);
--- a/src/duties/test/fleet-take-over.test.ts
+++ b/src/duties/test/fleet-take-over.test.ts
@@ -1,6 +1,6 @@
 /**
- * Reproduces the incident SHORT (docs/incidents): a box that takes the duties over while a data centre is withdrawn, and
- * whose own few samples say that a sixth of the fleet would do.
+ * Reproduces the incident SHORT (docs/incidents): a box acquires the duties while a data centre is being reclaimed. Its own
+ * few samples suggest that a sixth of the fleet would be enough.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -25,7 +25,7 @@
 }));
 const bootTime = 4000;
 
-/** Keeps the orders that were taken; in one data centre no reclaimable replicas are to be had. */
+/** Records accepted orders; one data centre has no reclaimable replicas available. */
 class ScarceCalls extends DutyCalls {
 	readonly taken: ReplicaOrder[] = [];
 
@@ -40,7 +40,7 @@
 	override orderReplicas(_signer: unknown, order: ReplicaOrder): Effect.Effect<void, DutyRefusal> {
 		return Effect.suspend(() => {
 			if (order.isReclaimable && order.dataCentre === this.dryDataCentre) {
-				return Effect.fail(new DutyRefusal({reason: 'conflict', detail: 'none to be had'}));
+				return Effect.fail(new DutyRefusal({reason: 'conflict', detail: 'none available'}));
 			}
 
 			this.taken.push(order);
@@ -92,7 +92,7 @@
 	};
 };
 
-/** What one box of eighty made of the load, second 23 of the day on which it was seen. */
+/** The load as one of eighty boxes estimated it in second 23 of the recorded run. */
 const demandSeen: FleetDemand = {
 	requests: 37, reading: 300_000, readRate: 30_000, goal: 1000, residualReading: 140, rate: 20, missedPart: 0, boxes: 80,
 };
@@ -113,14 +113,14 @@
 	await Effect.runPromise(duty.step());
 };
 
-test('who takes the duties over while a data centre is withdrawn orders no fewer replicas, whatever its own samples say', async () => {
+test('a box that acquires the duties while a data centre is being reclaimed does not order fewer replicas, whatever its own samples suggest', async () => {
 	const fleet = openFleet('a', () => demandSeen);
 	await takeOver(fleet);
 	const fewer = fleet.calls.taken.filter(({count, isReclaimable}) => isReclaimable && count < orderedEach);
 	assert.deepEqual(fewer, []);
 });
 
-test('a fleet is made smaller by a part in a boot time, so that what is left shows whether it is enough', async () => {
+test('a fleet shrinks by a limited fraction per boot time, so that the effect on the remaining replicas can be measured', async () => {
 	const fleet = openFleet(undefined, () => demandSeen);
 	await takeOver(fleet);
 	const {clock, calls, duty} = fleet;
@@ -135,13 +135,13 @@
 	assert.ok(smallest() >= orderedEach / 2, `${smallest()} of ${orderedEach} within a boot time`);
 });
 
-test('prompts that are read at a rate nobody knows yet are no reason for fewer replicas', async () => {
+test('prompts with an unknown read rate do not reduce the number of replicas', async () => {
 	const fleet = openFleet(undefined, () => ({...demandSeen, readRate: 0, residualReading: 0}));
 	await takeOver(fleet);
 	assert.deepEqual(fleet.calls.taken.filter(({count, isReclaimable}) => isReclaimable && count < orderedEach), []);
 });
 
-test('replicas that want no requests from some boxes count as what the other boxes get of them', async () => {
+test('replicas that paused requests of some boxes count with the capacity they offer to the other boxes', async () => {
 	const demand: FleetDemand = {...demandSeen, requests: 1500, rate: 400};
 	const totalWith = async (paused: number): Promise<number> => {
 		const fleet = openFleet(undefined, () => demand, undefined, ({entry}) => entry.dataCentre === 'a' ? paused : 0);
@@ -152,12 +152,12 @@
 	};
 
 	const [none, half, all] = [await totalWith(0), await totalWith(0.5), await totalWith(1)];
-	assert.ok(half - none >= 8 && half - none <= 20, `${half - none} more for 20 replicas that want none from half of the boxes`);
-	assert.ok(all - none >= 16 && all - none <= 36, `${all - none} more for 20 replicas that want none from any box`);
+	assert.ok(half - none >= 8 && half - none <= 20, `${half - none} more for 20 replicas that paused half of the boxes`);
+	assert.ok(all - none >= 16 && all - none <= 36, `${all - none} more for 20 replicas that paused all boxes`);
 });
 
-test('replicas that have named limits count as what they give, and as whole again soon after', async () => {
-	// Each of 80 replicas would get five requests a second.
+test('replicas with a limit count with the capacity they offer, and fully again soon after the limit ends', async () => {
+	// Each of 80 replicas would get five requests per second.
 	const demand: FleetDemand = {...demandSeen, requests: 1500, rate: 400};
 	let limit: number | undefined = 1;
 	const isLimited = ({entry}: Replica): boolean => entry.dataCentre === 'a';
@@ -169,7 +169,7 @@
 	await takeOver(fleet);
 	await takeOver(plain);
 	const more = totalOf(fleet) - totalOf(plain);
-	assert.ok(more >= 16 && more <= 36, `${more} more for 20 replicas that give a fifth`);
+	assert.ok(more >= 16 && more <= 36, `${more} more for 20 replicas that offer a fifth of their capacity`);
 	limit = undefined;
 	for (const {clock, duty} of [fleet, plain]) {
 		for (let step = 0; step < 60; step++) {
--- a/src/duties/test/fleet-unknown.test.ts
+++ b/src/duties/test/fleet-unknown.test.ts
@@ -1,6 +1,6 @@
 /*
- * A holder that has not read the list of replicas took it for one without any: the first fleet was counted as none, and replicas that
- * stood were ordered again.
+ * Guards against a holder that has not read the list of replicas yet and treats it as empty: it would count a first fleet of
+ * zero and order existing replicas again.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -16,7 +16,7 @@
 import {FleetDuty} from '../fleet-duty.js';
 import {MeasuredLoadPolicy} from '../fleet-plan.js';
 
-/** Milliseconds after which the first fleet has settled. */
+/** Milliseconds after which no more replicas of the first fleet register. */
 const settled = 5000;
 
 const entry = (id: string): ReplicaEntry => ({
@@ -54,7 +54,7 @@
 	};
 };
 
-test('nothing is ordered, and no first fleet counted, before a list of replicas was read', async () => {
+test('no replicas are ordered and no first fleet is counted before the list of replicas was read', async () => {
 	const {clock, calls, replicas, lease, duty} = await startHolder();
 	clock.now += settled;
 	await Effect.runPromise(duty.step());
@@ -62,14 +62,14 @@
 	assert.deepEqual(lease.known?.baseline, []);
 	replicas.replaceAll([entry('i-1'), entry('i-2'), entry('i-3')], 5);
 	await Effect.runPromise(duty.step());
-	assert.deepEqual(calls.orders, [], 'replicas may still list themselves');
+	assert.deepEqual(calls.orders, [], 'replicas may still register');
 	clock.now += settled;
 	await Effect.runPromise(duty.step());
 	assert.deepEqual(lease.known?.baseline.map(({replicas: count}) => count), [3]);
 	assert.ok(calls.orders.length > 0);
 });
 
-test('a list without a replica is a list: the first ones are ordered', async () => {
+test('replicas are ordered if the list was read and is empty', async () => {
 	const {clock, calls, replicas, duty} = await startHolder();
 	replicas.replaceAll([], 5);
 	clock.now += settled;
--- a/src/duties/test/order-book.test.ts
+++ b/src/duties/test/order-book.test.ts
@@ -10,26 +10,26 @@
 });
 const due = (book: OrderBook, asked: ReplicaOrder, present: number) => book.isDue(asked, {present, bootTime: 4000});
 
-test('an order is sent once, again when replicas that were there are gone, and when they have not come in time', () => {
+test('an order is sent once, and again if replicas have gone or have not arrived in time', () => {
 	const book = OrderBook.create(clock);
 	assert.ok(due(book, order('a', 3), 0));
 	book.noteTaken(order('a', 3));
 	assert.ok(!due(book, order('a', 3), 0));
 	clock.now += 4000;
 	assert.ok(!due(book, order('a', 3), 3));
-	assert.ok(due(book, order('a', 3), 2), 'one of three is gone');
-	assert.ok(due(book, order('a', 4), 3), 'more are wanted');
+	assert.ok(due(book, order('a', 3), 2), 'one of three has gone');
+	assert.ok(due(book, order('a', 4), 3), 'more replicas are planned');
 	book.noteTaken(order('b', 2));
 	clock.now += 8000;
-	assert.ok(due(book, order('b', 2), 1), 'one of two has not come');
+	assert.ok(due(book, order('b', 2), 1), 'one of two has not arrived');
 });
 
-test('a holder that finds what another ordered sends nothing anew', () => {
+test('a holder does not repeat an order of another holder whose replicas are present', () => {
 	assert.ok(!due(OrderBook.create(clock), order('a', 3), 3));
 	assert.ok(due(OrderBook.create(clock), order('a', 3), 5));
 });
 
-test('where none are to be had one data centre is tried at a time, the one tried longest ago, and all as soon as one is taken', () => {
+test('unavailable replicas are retried in one data centre at a time, the least recently tried, and in all once an order is accepted', () => {
 	const book = OrderBook.create(clock);
 	const asked = ['a', 'b', 'c', 'd'].map(dataCentre => order(dataCentre, 2));
 	for (const each of asked) {
@@ -53,14 +53,14 @@
 	assert.ok(!book.isScarce('s'));
 });
 
-test('a refusal of what is there all the same is forgotten', () => {
+test('a refusal is forgotten if the replicas are present nevertheless', () => {
 	const book = OrderBook.create(clock);
 	book.noteRefused(order('a', 1), 'conflict');
 	assert.ok(!due(book, order('a', 1), 1));
 	assert.ok(!book.isScarce('s'));
 });
 
-test('a call without an answer is made again soon, and a data centre that has no kept replicas is told', () => {
+test('an unanswered call is repeated soon, and data centres without available kept replicas are returned', () => {
 	const book = OrderBook.create(clock);
 	book.noteRefused(order('a', 1, false), 'unanswered');
 	assert.deepEqual([...book.closedToKept('s')], []);
@@ -68,10 +68,10 @@
 	assert.ok(due(book, order('a', 1, false), 0));
 	book.noteRefused(order('b', 1, false), 'conflict');
 	assert.deepEqual([...book.closedToKept('s')], ['b']);
-	assert.ok(!book.isScarce('s'), 'only reclaimable ones make it so');
+	assert.ok(!book.isScarce('s'), 'only unavailable reclaimable replicas count');
 });
 
-test('replicas that somebody else added are ordered away once, and let be where they stay', () => {
+test('the removal of replicas added without an order is ordered once, and those that stay are ignored', () => {
 	const book = OrderBook.create(clock);
 	book.noteTaken(order('a', 0, false));
 	clock.now += 5000;
@@ -79,5 +79,5 @@
 	book.noteTaken(order('a', 0, false));
 	clock.now += 20_000;
 	assert.ok(!due(book, order('a', 0, false), 2));
-	assert.ok(due(book, order('a', 0, false), 3), 'one more was added');
+	assert.ok(due(book, order('a', 0, false), 3), 'another replica was added');
 });
--- a/src/duties/test/usage-draft.test.ts
+++ b/src/duties/test/usage-draft.test.ts
@@ -7,7 +7,7 @@
 import {UsageCounts} from '../usage-counts.js';
 import {UsageDraft} from '../usage-draft.js';
 
-test('counts of boxes that are all lost at once are found again by the next holder, none twice', async () => {
+test('after the loss of all boxes the next holder restores their counts and counts none twice', async () => {
 	const standin = await StoreStandin.start();
 	const store = HttpMetadataStore.create('127.0.0.1', standin.port);
 	const clock = new MovedClock(10_000);
@@ -19,7 +19,7 @@
 	const draft = UsageDraft.create({
 		start: 'self/one', store, counts: first, clock,
 	});
-	// One step is enough: the next one may never come.
+	// A single step must be enough, since the box may be lost before the next one.
 	await Effect.runPromise(draft.step());
 	const second = countsOf();
 	second.note('basin');
--- a/src/duties/test/usage-restored.test.ts
+++ b/src/duties/test/usage-restored.test.ts
@@ -10,8 +10,11 @@
 import {UsageCounts} from '../usage-counts.js';
 import {UsageDuty} from '../usage-duty.js';
 
+/** Length of a window in milliseconds. */
 const windowLength = 5000;
+/** Milliseconds between two steps of a duty. */
 const step = 300;
+/** Milliseconds during which calls of a previous holder may still take effect. */
 const wait = 3000;
 
 let standin: StoreStandin;
@@ -36,7 +39,7 @@
 	}
 }
 
-test('no window is reported with two counts where the store has lost its report, and reports go on', async () => {
+test('a window whose report the store has lost is not reported with different counts, and later windows are reported', async () => {
 	const clock = new MovedClock(windowLength * 20);
 	const calls = new KeptCalls();
 	const boxOf = (self: string) => {
--- a/src/duties/usage-counts.ts
+++ b/src/duties/usage-counts.ts
@@ -1,28 +1,30 @@
 /**
- * Requests that began, by client account and window of true time; every box keeps what the others counted too, so that
- * the counts of one that is lost survive.
+ * Counts started requests by client account and time window. Every box also stores the counts of the other boxes, so that
+ * the counts of a lost box survive.
  */
 import type {WindowUsage} from '../gossip/gossip-message.js';
 
-/** What one start of one box counted. */
+/** Counts of one process of a box. */
 export type StartUsage = {
+	/** Identifies the process: name of the box and incarnation. */
 	readonly start: string;
 	readonly usage: readonly WindowUsage[];
 };
 
-/** Windows kept. */
+/** Number of past windows that are retained. */
 const windowsKept = 8;
-/** Windows told to the others. */
+/** Number of windows sent to the other boxes. */
 const windowsTold = 3;
 
+/** Requests by client account, by number of the window. */
 type Windows = Map<number, Map<string, number>>;
 
-/** The counts. */
+/** Counts of this box and of the other boxes. */
 export class UsageCounts {
 	/**
-	 * @param trueTime - Milliseconds since 1970.
-	 * @param windowLength - Milliseconds of a window.
-	 * @returns Counts of nothing.
+	 * @param trueTime - Milliseconds since 1970, on the clock that the boxes share.
+	 * @param windowLength - Length of a window in milliseconds.
+	 * @returns Empty counts.
 	 */
 	static create(trueTime: () => number, windowLength: () => number): UsageCounts {
 		return new UsageCounts(trueTime, windowLength);
@@ -33,30 +35,30 @@
 
 	private constructor(private readonly trueTime: () => number, private readonly windowLength: () => number) {}
 
-	/** Number of the window that is running. */
+	/** Number of the current window. */
 	get currentWindow(): number {
 		return Math.floor(this.trueTime() / this.windowLength());
 	}
 
-	/** What this box tells the others. */
+	/** The counts that this box sends to the other boxes. */
 	get told(): readonly WindowUsage[] {
 		return usageOf(this.own).slice(-windowsTold);
 	}
 
-	/** The same of the window that runs and the one before alone, whose counts still change. */
+	/** The subset of the current and the previous window, whose counts may still change. */
 	get recent(): readonly WindowUsage[] {
 		return this.told.filter(({window}) => window >= this.currentWindow - 1);
 	}
 
-	/** What every start of every box counted, but for this one's own counts. */
+	/** Counts received from the other boxes and from earlier processes, by process. */
 	get heard(): readonly StartUsage[] {
 		return [...this.others].map(([start, windows]) => ({start, usage: usageOf(windows)}));
 	}
 
 	/**
-	 * Counts a request that begins now.
+	 * Counts a request that starts now.
 	 *
-	 * @param clientAccount - Whose it is.
+	 * @param clientAccount - Client account that sent the request.
 	 */
 	note(clientAccount: string): void {
 		const window = this.currentWindow;
@@ -67,10 +69,10 @@
 	}
 
 	/**
-	 * Takes what another box counted; its counts only grow.
+	 * Merges the counts of another process by their maximum, since counts only grow.
 	 *
-	 * @param start - One start of one box.
-	 * @param usage - What it counted.
+	 * @param start - The process: name of the box and incarnation.
+	 * @param usage - Its counts.
 	 */
 	take(start: string, usage: readonly WindowUsage[]): void {
 		const windows = this.others.get(start) ?? new Map<number, Map<string, number>>();
@@ -91,7 +93,7 @@
 
 	/**
 	 * @param window - Number of a window.
-	 * @returns Requests of each client account, over all boxes that were ever heard.
+	 * @returns Requests of each client account, summed over all known processes.
 	 */
 	total(window: number): WindowUsage {
 		const total = new Map<string, number>();
--- a/src/duties/usage-draft.ts
+++ b/src/duties/usage-draft.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the counts of windows that are not reported yet in the store, so that they outlast the loss of all boxes
- * at once.
+ * Saves the counts of unreported windows in the store (the draft), so that they survive the simultaneous loss of all
+ * boxes.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -13,9 +13,9 @@
 /** Kind and name of the object. */
 export const draftKind = 'waydrift-duties';
 export const draftName = 'usage';
-/** Milliseconds between two writes. */
+/** Milliseconds between two writes of the draft. */
 const writeInterval = 1000;
-/** Windows that a draft holds; older ones have been reported. */
+/** Number of past windows in a draft; older ones have been reported. */
 const windowsDrafted = 3;
 
 const Draft = Schema.Struct({
@@ -29,22 +29,22 @@
 });
 const decodeDraft = createDecoder(Draft, 'ignore');
 
-/** What the draft needs. */
+/** Dependencies of the draft. */
 export type UsageDraftServices = {
-	/** This start of this box. */
+	/** Identifies this process: name of the box and incarnation. */
 	readonly start: string;
 	readonly store: MetadataStore;
 	readonly counts: UsageCounts;
 	readonly clock: Clock;
-	/** Called when the store has taken a draft. */
+	/** Called after a draft was written to the store. */
 	readonly onAnswer?: () => void;
 };
 
 /** The draft, written by the box that holds the duties. */
 export class UsageDraft {
 	/**
-	 * @param services - What it needs.
-	 * @returns The draft, not read.
+	 * @param services - Dependencies.
+	 * @returns A draft that has not been read.
 	 */
 	static create(services: UsageDraftServices): UsageDraft {
 		return new UsageDraft(services);
@@ -56,7 +56,7 @@
 
 	private constructor(private readonly services: UsageDraftServices) {}
 
-	/** @returns Takes over what stands in the store, once, and writes now and then. */
+	/** @returns Merges the stored draft on the first call, then writes the draft at most once per second. */
 	step(): Effect.Effect<void, StoreUnavailable> {
 		const reading = Effect.suspend(() => this.isRead ? Effect.void : this.read());
 		const writing = Effect.suspend(() => this.services.clock.monotonic() - this.writtenAt < writeInterval
--- a/src/duties/usage-duty.ts
+++ b/src/duties/usage-duty.ts
@@ -1,5 +1,5 @@
 /**
- * Reports the usage of each window once, with counts that stand in the store before they are sent.
+ * Reports the usage of each window once. The counts of a report are written to the store before it is sent.
  */
 import * as Effect from 'effect/Effect';
 import type {Clock} from '../base/clock.js';
@@ -11,51 +11,51 @@
 import type {DutyRecord} from './duty-record.js';
 import type {UsageCounts} from './usage-counts.js';
 
-/** Milliseconds after a window's end at which it is reported where every box has been heard. */
+/** Milliseconds after the end of a window before it is reported, if gossip from every box has arrived. */
 const earliest = 1500;
-/** Milliseconds after a window's end at which it is reported whatever has been heard. */
+/** Milliseconds after the end of a window at which it is reported even if gossip from some boxes is missing. */
 const latest = 4500;
 
-/** Milliseconds by which boxes may differ in what they take for true time. */
+/** Largest difference between the clocks of two boxes, in milliseconds. */
 const timeSpread = 500;
 
-/** What the duty needs. */
+/** Dependencies of the duty. */
 export type UsageDutyServices = {
 	readonly lease: DutyLease;
 	readonly calls: DutyCalls;
 	readonly counts: UsageCounts;
 	readonly clock: Clock;
 	readonly log: EventLog;
-	/** @returns Milliseconds since 1970. */
+	/** @returns Milliseconds since 1970, on the clock that the boxes share. */
 	readonly trueTime: () => number;
-	/** @returns Milliseconds. */
+	/** @returns Length of a window in milliseconds. */
 	readonly windowLength: () => number;
-	/** @returns Milliseconds after a window's end at which a report is too late. */
+	/** @returns Milliseconds after the end of a window at which a report is too late. */
 	readonly delay: () => number;
-	/** @returns Whether every box that is there was heard so many milliseconds ago or less. */
+	/** @returns Whether gossip arrived from every known box within the given milliseconds. */
 	readonly hasHeardAll: (within: number) => boolean;
 };
 
-/** The duty. */
+/** Reports usage to the platform. */
 export class UsageDuty {
 	/**
-	 * @param services - What it needs.
+	 * @param services - Dependencies.
 	 * @returns The duty.
 	 */
 	static create(services: UsageDutyServices): UsageDuty {
 		return new UsageDuty(services);
 	}
 
-	/** The window that was last taken by the platform. */
+	/** The last window whose report the platform has accepted. */
 	private taken: number | undefined;
-	/** Windows from this one on were counted from their start by this box or told by others. */
+	/** The window in which this process started; without a previous report, the counts of earlier windows may be incomplete. */
 	private readonly firstWindow: number;
 
 	private constructor(private readonly services: UsageDutyServices) {
 		this.firstWindow = Math.floor(services.trueTime() / services.windowLength());
 	}
 
-	/** @returns Does what is due; ends soon. */
+	/** @returns Sends the report that is due, if any. */
 	step(): Effect.Effect<void, StoreUnavailable | DutyTaken> {
 		return Effect.suspend(() => {
 			const standing = this.services.lease.known?.report;
@@ -69,8 +69,9 @@
 	}
 
 	/**
-	 * @param record - A record that the store, which came back from a copy, holds of the duties.
-	 * @returns The same without the windows whose reports it may have lost: counted anew they could differ.
+	 * @param record - The record of the duties after the store was restored from a backup.
+	 * @returns The record with `reportsFrom` after the windows whose reports the store may have lost. These are not
+	 * reported again, since their counts could differ.
 	 */
 	afterRestore(record: DutyRecord): DutyRecord {
 		const {trueTime, windowLength} = this.services;
