--- a/src/duties/duty-campaign.ts
+++ b/src/duties/duty-campaign.ts
@@ -25,11 +25,11 @@
 };
 
 /** Milliseconds without an answer after which a candidate counts as cut off from the store. */
-const candidateSilence = 2500;
+const candidateStoreTimeout = 2500;
 /** Milliseconds without an answer after which a holder, which writes every second, counts as cut off from the store. */
-const holderSilence = 3000;
+const holderStoreTimeout = 3000;
 /** Milliseconds that the holder named by a restored record has to acquire the duties again before other boxes may. */
-const renewalTime = 2000;
+const renewalGrace = 2000;
 /** Fraction of the boxes that must be reachable to acquire the duties without checking whether the holder still writes to the store. */
 const majorityPart = 0.5;
 
@@ -38,7 +38,7 @@
  * @returns Whether the holder of the duties appears to be working, as seen from this box.
  */
 export function isHolderAtWork({self, incarnation, record, outdatedFor, heard}: CampaignFacts): boolean {
-	if (!record || record.holder === '' || outdatedFor > renewalTime) {
+	if (!record || record.holder === '' || outdatedFor > renewalGrace) {
 		return false;
 	}
 
@@ -47,7 +47,7 @@
 	}
 
 	const last = heard.find(({address}) => address.name === record.holder)?.last;
-	return last?.incarnation === record.incarnation && !last.isStopping && last.storeAge < holderSilence;
+	return last?.incarnation === record.incarnation && !last.isStopping && last.storeAge < holderStoreTimeout;
 }
 
 /**
@@ -56,16 +56,16 @@
  * not wait for its own calls to complete. Otherwise the candidate with the lowest name acquires them.
  */
 export function isCandidate({self, record, outdatedFor, rivals, storeSilence, isStopping, isAggregator}: CampaignFacts): boolean {
-	if (isStopping || !isAggregator || storeSilence > candidateSilence) {
+	if (isStopping || !isAggregator || storeSilence > candidateStoreTimeout) {
 		return false;
 	}
 
-	const others = rivals.filter(({last}) => last && !last.isStopping && last.storeAge < candidateSilence).map(({address}) => address.name);
+	const others = rivals.filter(({last}) => last && !last.isStopping && last.storeAge < candidateStoreTimeout).map(({address}) => address.name);
 	if (record?.holder === self) {
 		return true;
 	}
 
-	return (outdatedFor > renewalTime || !others.includes(record?.holder ?? '')) && others.every(name => self < name);
+	return (outdatedFor > renewalGrace || !others.includes(record?.holder ?? '')) && others.every(name => self < name);
 }
 
 /**
--- a/src/duties/duty-lease.ts
+++ b/src/duties/duty-lease.ts
@@ -23,7 +23,7 @@
 const dutyKind = 'waydrift-duties';
 const dutyName = 'record';
 /** Milliseconds after sending a write during which the recorded call may be made. */
-const actWithin = 1200;
+const permitLifetime = 1200;
 
 /** Another box holds the duties. */
 export class DutyTaken extends Data.TaggedError('DutyTaken')<{readonly holder: string}> {}
@@ -68,13 +68,13 @@
 	/** Monotonic milliseconds until which this box may have made calls; an earlier process of it may have until this one started. */
 	private actedUntil: number;
 	/** Whether a write failed or a call was fenced off, so that the record must be read again. */
-	private isUnsure = false;
+	private isRecordStale = false;
 	/** The record that this process last wrote as a holder. */
 	private ownRecord: DutyRecord | undefined;
 	/** Monotonic milliseconds since which the known record belongs to an earlier era of the store. */
 	private outdatedSince: number | undefined;
 	/** Monotonic milliseconds at which the record was last read or written. */
-	private knownAt = Number.NEGATIVE_INFINITY;
+	private syncedAt = Number.NEGATIVE_INFINITY;
 
 	private constructor(private readonly services: DutyLeaseServices) {
 		this.actedUntil = services.clock.monotonic();
@@ -116,10 +116,10 @@
 			const decoded = object && decodeDutyRecord(object.spec);
 			this.revision = object?.revision;
 			this.record = decoded && Result.isSuccess(decoded) ? decoded.success : firstRecord;
-			this.isUnsure = false;
-			this.knownAt = this.services.clock.monotonic();
+			this.isRecordStale = false;
+			this.syncedAt = this.services.clock.monotonic();
 			if (wasHeld && !this.isHeld) {
-				this.noteLoss();
+				this.recordLoss();
 			}
 		}));
 	}
@@ -127,7 +127,7 @@
 	/** @returns Acquires the duties unless another box does so first. */
 	acquire(): Effect.Effect<void, StoreUnavailable | RevisionConflict> {
 		return Effect.gen({self: this}, function * () {
-			const {self, incarnation, log, store, amendRestored = asItIs} = this.services;
+			const {self, incarnation, log, store, amendRestored = unchanged} = this.services;
 			yield * this.look();
 			if (this.isHeld) {
 				return;
@@ -155,7 +155,7 @@
 	decide(decide: (record: DutyRecord) => DutyRecord): Effect.Effect<ActPermit, StoreUnavailable | DutyTaken> {
 		return Effect.gen({self: this}, function * () {
 			const {self, clock, store} = this.services;
-			if (this.isUnsure || this.knownAt <= clock.lastWake()) {
+			if (this.isRecordStale || this.syncedAt <= clock.lastWake()) {
 				yield * this.look();
 			}
 
@@ -164,13 +164,13 @@
 			}
 
 			const sentAt = clock.monotonic();
-			this.actedUntil = sentAt + actWithin;
+			this.actedUntil = sentAt + permitLifetime;
 			const record = {...decide(this.record!), decision: this.record!.decision + 1};
-			yield * this.write(record).pipe(Effect.catchTag('RevisionConflict', () => this.lookAfterConflict()));
+			yield * this.write(record).pipe(Effect.catchTag('RevisionConflict', () => this.readAfterConflict()));
 			return {
 				record,
 				signer: {holder: self, fence: record.fence},
-				isValid: () => clock.ageOf(sentAt) < actWithin && record.fence >= firstFenceOf(store.era),
+				isValid: () => clock.ageOf(sentAt) < permitLifetime && record.fence >= firstFenceOf(store.era),
 			};
 		});
 	}
@@ -181,7 +181,7 @@
 			? Effect.ignore(this.decide(record => ({
 				...record, holder: '', incarnation: '', ...formerHolder(record),
 			})).pipe(Effect.map(() => {
-				this.noteLoss();
+				this.recordLoss();
 			})))
 			: Effect.void);
 	}
@@ -190,7 +190,7 @@
 	giveUp(detail: string): void {
 		this.services.log.write('dutyLost', {detail});
 		this.actsFrom = Number.POSITIVE_INFINITY;
-		this.isUnsure = true;
+		this.isRecordStale = true;
 	}
 
 	/**
@@ -220,7 +220,7 @@
 		return isFenced() ? Math.max(now, this.actedUntil + wait()) : now + wait();
 	}
 
-	private lookAfterConflict(): Effect.Effect<never, StoreUnavailable | DutyTaken> {
+	private readAfterConflict(): Effect.Effect<never, StoreUnavailable | DutyTaken> {
 		return this.look().pipe(Effect.andThen(Effect.suspend(() => Effect.fail(new DutyTaken({holder: this.record?.holder ?? ''})))));
 	}
 
@@ -234,21 +234,21 @@
 				this.revision = revision;
 				this.record = record;
 				this.ownRecord = record;
-				this.knownAt = this.services.clock.monotonic();
+				this.syncedAt = this.services.clock.monotonic();
 			}),
 			Effect.tapError(() => Effect.sync(() => {
-				this.isUnsure = true;
+				this.isRecordStale = true;
 			})),
 		);
 	}
 
-	private noteLoss(): void {
+	private recordLoss(): void {
 		this.actsFrom = Number.POSITIVE_INFINITY;
 		this.services.log.write('dutyLost', {holder: this.record?.holder});
 	}
 }
 
-const asItIs = (record: DutyRecord): DutyRecord => record;
+const unchanged = (record: DutyRecord): DutyRecord => record;
 
 /** The record with the higher decision counter includes the decisions of the other one. */
 function laterOf(stored: DutyRecord, own: DutyRecord | undefined): DutyRecord {
--- a/src/duties/first-fleet-count.ts
+++ b/src/duties/first-fleet-count.ts
@@ -11,7 +11,7 @@
  */
 const settleTime = 2500;
 /** Milliseconds after the first count during which replicas of the first fleet may still register. */
-const lateListing = 10_000;
+const lateRegistrationTime = 10_000;
 
 /** Counts the first fleet of each service. */
 export class FirstFleetCount {
@@ -49,7 +49,7 @@
 	of({baseline}: DutyRecord, service: string): FirstFleet {
 		const known = baseline.find(entry => entry.service === service);
 		const now = this.clock.monotonic();
-		this.countingUntil ??= known ? now : now + lateListing;
+		this.countingUntil ??= known ? now : now + lateRegistrationTime;
 		if (now > this.countingUntil) {
 			return known ?? {service, replicas: 0};
 		}
--- a/src/duties/fleet-duty.ts
+++ b/src/duties/fleet-duty.ts
@@ -19,10 +19,10 @@
 import type {FleetPolicy} from './fleet-plan.js';
 import {FleetSizes, type FleetSize} from './fleet-size.js';
 import {LostCapacity} from './lost-capacity.js';
-import {OrderBook} from './order-book.js';
+import {OrderRegistry} from './order-registry.js';
 
 /** Fraction of the replicas ordered in a data centre that must be ready; below 1, since single replicas crash and restart. */
-const wholePart = 0.75;
+const minReadyPart = 0.75;
 
 /** Dependencies of the duty. */
 export type FleetDutyServices = {
@@ -61,13 +61,13 @@
 		return new FleetDuty(services);
 	}
 
-	private readonly orders: OrderBook;
+	private readonly orders: OrderRegistry;
 	private readonly firstFleet: FirstFleetCount;
 	private readonly sizes: FleetSizes;
 	private readonly lost: LostCapacity;
 
 	private constructor(private readonly services: FleetDutyServices) {
-		this.orders = OrderBook.create(services.clock);
+		this.orders = OrderRegistry.create(services.clock);
 		this.firstFleet = FirstFleetCount.create(services.replicas, services.clock);
 		this.sizes = FleetSizes.create(services.clock);
 		this.lost = LostCapacity.create(services.clock);
@@ -76,7 +76,7 @@
 	/** Samples the current load. Boxes without the duties sample it too, so that a new holder knows the recent load. */
 	observe(): void {
 		for (const {name} of this.scaled) {
-			this.measure(name);
+			this.sampleLoad(name);
 		}
 	}
 
@@ -99,7 +99,7 @@
 
 			const baseline = fleets.map(({first, size: {needed}}) => settledBy(plans, {...first, needed}));
 			for (const fleet of fleets) {
-				this.tellSize(fleet);
+				this.logSize(fleet);
 			}
 
 			return lease.decide(before => ({...before, baseline, orders: plans})).pipe(Effect.flatMap(permit => this.orderAll(permit, due)));
@@ -114,7 +114,11 @@
 		const first = this.firstFleet.of(record, name);
 		const lost = this.lostOf(name);
 		const size = this.sizes.of({
-			fleet: first, isScarce: this.orders.isScarce(name), isWhole: this.isWhole(name, record.orders), serving: this.services.replicas.ready(name).length - lost, bootTime: scaling!.bootTime,
+			fleet: first,
+			isScarce: this.orders.isScarce(name),
+			isMostlyReady: this.isMostlyReady(name, record.orders),
+			serving: this.services.replicas.ready(name).length - lost,
+			bootTime: scaling!.bootTime,
 		});
 		return {
 			service: name, scaling: scaling!, first, size, lost,
@@ -125,11 +129,11 @@
 		const {replicas, limitOf, pausedPart, demand} = this.services;
 		const {rate} = demand(name);
 		const ready = replicas.ready(name);
-		const whole = rate / Math.max(1, ready.length);
+		const fullRate = rate / Math.max(1, ready.length);
 		const rateOf = (replica: Replica): number => {
 			const paused = pausedPart(replica);
 			const limit = limitOf(replica) ?? Number.POSITIVE_INFINITY;
-			return paused === 0 ? limit : Math.min(limit, whole * (1 - paused));
+			return paused === 0 ? limit : Math.min(limit, fullRate * (1 - paused));
 		};
 
 		return this.lost.of(name, ready.map(replica => rateOf(replica)), rate);
@@ -139,14 +143,14 @@
 	 * Whether most of the ordered replicas are ready in each data centre. A new holder knows of no refused order, but it
 	 * sees which replicas are missing.
 	 */
-	private isWhole(name: string, orders: readonly StandingOrder[]): boolean {
+	private isMostlyReady(name: string, orders: readonly StandingOrder[]): boolean {
 		const ready = this.services.replicas.ready(name);
 		return orders
 			.filter(({service}) => service === name)
-			.every(({dataCentre, reclaimable, kept}) => countOf(ready, dataCentre, true) + countOf(ready, dataCentre, false) >= (reclaimable + kept) * wholePart);
+			.every(({dataCentre, reclaimable, kept}) => countOf(ready, dataCentre, true) + countOf(ready, dataCentre, false) >= (reclaimable + kept) * minReadyPart);
 	}
 
-	private tellSize({service, first, size: {needed, leastNow}, lost}: Fleet): void {
+	private logSize({service, first, size: {needed, leastNow}, lost}: Fleet): void {
 		const {log, replicas, demand} = this.services;
 		const {reading, readRate, goal, boxes} = demand(service);
 		log.write('fleetSized', {
@@ -156,7 +160,7 @@
 	}
 
 	/** Samples the current load of a service. */
-	private measure(service: string): void {
+	private sampleLoad(service: string): void {
 		const {demand, replicas} = this.services;
 		const {
 			requests, reading, readRate, goal, residualReading, missedPart,
@@ -167,7 +171,7 @@
 		}
 
 		const slots = replicas.all.filter(({entry}) => entry.service === service).map(replica => replica.entry.slots);
-		this.sizes.note(service, {
+		this.sizes.addSample(service, {
 			requests,
 			slots: slots.length === 0 ? this.sizes.lastLoad(service).slots : sumOf(slots) / slots.length,
 			reading: readRate === 0 ? 0 : reading / readRate,
@@ -193,7 +197,7 @@
 			isScarce: this.orders.isScarce(name),
 			reclaimableReady: new Map(dataCentres.map(dataCentre => [dataCentre, countOf(ready, dataCentre, true)])),
 			keptOrdered: new Map(standing.filter(({service}) => service === name).map(({dataCentre, kept}) => [dataCentre, kept])),
-			closedToKept: this.orders.closedToKept(name),
+			withoutKeptCapacity: this.orders.withoutKeptCapacity(name),
 		});
 	}
 
@@ -231,11 +235,11 @@
 		};
 		return calls.orderReplicas(signer, order).pipe(
 			Effect.map(() => {
-				this.orders.noteTaken(order);
+				this.orders.recordAccepted(order);
 				log.write('replicasOrdered', fields);
 			}),
 			Effect.catchTag('DutyRefusal', ({reason, detail}: DutyRefusal) => Effect.sync(() => {
-				this.orders.noteRefused(order, reason);
+				this.orders.recordRefused(order, reason);
 				log.write('dutyCallFailed', {
 					duty: 'fleet', reason, detail, ...fields,
 				});
--- a/src/duties/fleet-load.ts
+++ b/src/duties/fleet-load.ts
@@ -6,7 +6,7 @@
 import type {Clock} from '../base/clock.js';
 
 /** Spare capacity to plan for. */
-type Comfort = {
+type Headroom = {
 	/** Ratio of the latency goal to the mean time a request waits while its replica reads other prompts. */
 	readonly waitPart: number;
 	/** Standard deviations of a replica's request count that its slots hold above the mean. */
@@ -14,19 +14,19 @@
 };
 
 /** For inexpensive replicas: requests hardly wait. */
-const ample: Comfort = {waitPart: 3, deviations: 4};
+const ample: Headroom = {waitPart: 3, deviations: 4};
 /** For expensive replicas. */
-const sparse: Comfort = {waitPart: 2, deviations: 2};
+const tight: Headroom = {waitPart: 2, deviations: 2};
 /** Milliseconds for which a peak counts, long enough to span the trough of a load wave. */
 const peakLifetime = 25_000;
 /** Milliseconds for which a peak counts for expensive replicas. */
 const recentPeakLifetime = 8000;
 /** Milliseconds of load that must be observed before an order is decreased. */
-const leastObservation = 20_000;
+const minObservation = 20_000;
 /** Milliseconds between two samples above which the time between them counts as unobserved. */
-const longestGap = 2000;
+const maxSampleGap = 2000;
 /** Fraction of the requests that may miss their latency goal with enough replicas: the longest prompts always miss it. */
-const mostMissed = 0.2;
+const maxMissedPart = 0.2;
 
 /** The load of one service at one moment, summed over all boxes. */
 export type LoadSample = {
@@ -55,7 +55,7 @@
 		return this.peaks[0]?.value ?? 0;
 	}
 
-	note(value: number, now: number): void {
+	add(value: number, now: number): void {
 		const lasting = this.peaks.filter(peak => peak.value > value && now - peak.at < this.lifetime);
 		this.peaks = [...lasting, {value, at: now}];
 	}
@@ -79,24 +79,24 @@
 	private sampledAt = Number.NEGATIVE_INFINITY;
 	private observedFor = 0;
 	/** Monotonic milliseconds at which goals were last missed and last met; both are reset after a gap in the samples. */
-	private missedAt: number;
-	private keptAt: number;
+	private goalsMissedAt: number;
+	private goalsMetAt: number;
 	private readonly ample = new PeakHold(peakLifetime);
-	private readonly sparse = new PeakHold(recentPeakLifetime);
+	private readonly tight = new PeakHold(recentPeakLifetime);
 
 	private constructor(private readonly clock: Clock) {
-		this.missedAt = clock.monotonic();
-		this.keptAt = clock.monotonic();
+		this.goalsMissedAt = clock.monotonic();
+		this.goalsMetAt = clock.monotonic();
 	}
 
 	/** Milliseconds for which goals have been met. */
-	get keptFor(): number {
-		return this.clock.monotonic() - this.missedAt;
+	get goalsMetFor(): number {
+		return this.clock.monotonic() - this.goalsMissedAt;
 	}
 
 	/** Milliseconds for which goals have been missed; zero while they are met. */
-	get missedFor(): number {
-		return Math.max(0, this.sampledAt - this.keptAt);
+	get goalsMissedFor(): number {
+		return Math.max(0, this.sampledAt - this.goalsMetAt);
 	}
 
 	/** Replicas for the peak load of the last 25 s with ample headroom; zero before any load. */
@@ -106,45 +106,45 @@
 
 	/** Replicas for the peak load of the last 8 s with little headroom. */
 	get leastNow(): number {
-		return this.sparse.value;
+		return this.tight.value;
 	}
 
 	/** Whether the load was observed for long enough to decrease an order. */
 	get isObserved(): boolean {
-		return this.observedFor >= leastObservation;
+		return this.observedFor >= minObservation;
 	}
 
 	/** Whether the load was observed for long enough to rely on `leastNow`. */
-	get isObservedBriefly(): boolean {
+	get isRecentPeakObserved(): boolean {
 		return this.observedFor >= recentPeakLifetime;
 	}
 
 	/** @param sample - The current load. */
-	note(sample: LoadSample): void {
+	addSample(sample: LoadSample): void {
 		const now = this.clock.monotonic();
 		const elapsed = now - this.sampledAt;
 		this.last = sample;
 		this.sampledAt = now;
-		if (elapsed > longestGap) {
-			this.missedAt = now;
-			this.keptAt = now;
+		if (elapsed > maxSampleGap) {
+			this.goalsMissedAt = now;
+			this.goalsMetAt = now;
 		}
 
-		this.observedFor += sample.requests > 0 && elapsed <= longestGap ? elapsed : 0;
-		if (sample.missedPart > mostMissed) {
-			this.missedAt = now;
+		this.observedFor += sample.requests > 0 && elapsed <= maxSampleGap ? elapsed : 0;
+		if (sample.missedPart > maxMissedPart) {
+			this.goalsMissedAt = now;
 		} else {
-			this.keptAt = now;
+			this.goalsMetAt = now;
 		}
 
-		this.ample.note(replicasFor(sample, ample), now);
-		this.sparse.note(replicasFor(sample, sparse), now);
+		this.ample.add(replicasFor(sample, ample), now);
+		this.tight.add(replicasFor(sample, tight), now);
 	}
 }
 
 /** The larger of the replicas needed for slots and the replicas needed for reading prompts. */
-function replicasFor({requests, slots, reading, waits}: LoadSample, {waitPart, deviations}: Comfort): number {
-	return Math.max(requests / meanTaken(slots, deviations), reading === 0 ? 0 : reading / busyPart(waits / waitPart));
+function replicasFor({requests, slots, reading, waits}: LoadSample, {waitPart, deviations}: Headroom): number {
+	return Math.max(requests / meanRequests(slots, deviations), reading === 0 ? 0 : reading / maxUtilisation(waits / waitPart));
 }
 
 /**
@@ -153,12 +153,12 @@
  *
  * @remarks Square-root staffing of queueing theory.
  */
-function meanTaken(slots: number, deviations: number): number {
+function meanRequests(slots: number, deviations: number): number {
 	const root = (Math.sqrt((deviations ** 2) + (4 * Math.max(1, slots))) - deviations) / 2;
 	return root ** 2;
 }
 
 /** At utilisation b, requests wait on average b / (1 - b) times the residual reading time. Solves this for b. */
-function busyPart(waits: number): number {
+function maxUtilisation(waits: number): number {
 	return waits / (1 + waits);
 }
--- a/src/duties/fleet-plan.ts
+++ b/src/duties/fleet-plan.ts
@@ -7,7 +7,7 @@
 import {sumOf} from '../base/sum.js';
 import type {Scaling} from '../routes/route-table.js';
 import type {StandingOrder} from './duty-record.js';
-import {sparsePart} from './fleet-size.js';
+import {tightPart} from './fleet-size.js';
 
 /** Input of a plan. */
 export type FleetFacts = {
@@ -32,7 +32,7 @@
 	/** Currently ordered kept replicas by data centre. */
 	readonly keptOrdered: ReadonlyMap<string, number>;
 	/** Data centres that had no kept replicas available in the last 3 s. */
-	readonly closedToKept: ReadonlySet<string>;
+	readonly withoutKeptCapacity: ReadonlySet<string>;
 };
 
 /** Decides the number of replicas of a service. */
@@ -45,7 +45,7 @@
 }
 
 /** Data centres whose loss the reclaimable replicas must survive without kept replicas; spare reclaimable ones are cheaper. */
-const dataCentresLost = 2;
+const toleratedLosses = 2;
 /**
  * Fraction of the remaining data centres that may be reclaimed while kept replicas boot. If at least this fraction is
  * gone already, all of the remaining ones may be reclaimed.
@@ -54,9 +54,9 @@
 /** Fraction of the needed replicas that must be ready before kept replicas are removed. */
 const servingPart = 0.9;
 /** If more than this fraction of the kept replicas is still needed, all of them stay. */
-const leastKeptPart = 0.75;
+const minKeptPart = 0.75;
 /** Ready reclaimable replicas, as a fraction of the first fleet, required before it is removed. */
-const firstPart = 0.6;
+const firstFleetReadyPart = 0.6;
 
 /**
  * Orders reclaimable replicas for the measured load, spread over the data centres so that the service survives the loss
@@ -85,7 +85,7 @@
 
 	/** The first fleet stays until enough reclaimable replicas are ready, unless no requests run yet. */
 	private firstFleet({scaling, baseline, dataCentres, reclaimableReady, isIdle, isScarce}: FleetFacts): ReadonlyMap<string, number> {
-		const isKept = isScarce || (!isIdle && sumOf([...reclaimableReady.values()]) < baseline * firstPart);
+		const isKept = isScarce || (!isIdle && sumOf([...reclaimableReady.values()]) < baseline * firstFleetReadyPart);
 		const each = Math.min(scaling.maximum, Math.ceil(baseline / Math.max(1, dataCentres.length)));
 		return new Map(isKept ? dataCentres.map(dataCentre => [dataCentre, each]) : []);
 	}
@@ -95,8 +95,8 @@
 			return 0;
 		}
 
-		const remaining = Math.max(1, dataCentres.length - dataCentresLost);
-		return Math.ceil(Math.max(needed, needed * sparsePart * dataCentres.length / remaining));
+		const remaining = Math.max(1, dataCentres.length - toleratedLosses);
+		return Math.ceil(Math.max(needed, needed * tightPart * dataCentres.length / remaining));
 	}
 
 	/** Enough for the load without the replicas that may be reclaimed next; decreased in larger steps, since each order costs a call. */
@@ -109,13 +109,13 @@
 		const standing = sumOf([...keptOrdered.values()]);
 		if (isScarce) {
 			const areMostGone = byDataCentre.length <= dataCentres.length * partLostInBoot;
-			const lasting = areMostGone ? 0 : sumOf(byDataCentre.slice(Math.ceil(byDataCentre.length * partLostInBoot)));
-			const missing = Math.max(0, Math.ceil(leastNow - lasting));
-			return missing < standing && missing > standing * leastKeptPart ? standing : missing;
+			const remaining = areMostGone ? 0 : sumOf(byDataCentre.slice(Math.ceil(byDataCentre.length * partLostInBoot)));
+			const missing = Math.max(0, Math.ceil(leastNow - remaining));
+			return missing < standing && missing > standing * minKeptPart ? standing : missing;
 		}
 
 		const missing = Math.max(0, Math.ceil((needed * servingPart) - sumOf(byDataCentre)));
-		return missing > standing * leastKeptPart ? standing : missing;
+		return missing > standing * minKeptPart ? standing : missing;
 	}
 }
 
@@ -128,9 +128,9 @@
 function spread(facts: FleetFacts, total: number): ReadonlyMap<string, number> {
 	const {scaling, dataCentres} = facts;
 	const each = Math.floor(total / Math.max(1, dataCentres.length));
-	const over = total - (each * dataCentres.length);
+	const remainder = total - (each * dataCentres.length);
 	return new Map(byPrice(facts).map((dataCentre, index) => [
-		dataCentre, Math.min(scaling.maximum, Math.max(scaling.minimum, each + (index < over ? 1 : 0))),
+		dataCentre, Math.min(scaling.maximum, Math.max(scaling.minimum, each + (index < remainder ? 1 : 0))),
 	]));
 }
 
@@ -139,7 +139,7 @@
  * reclaimed and need no spreading. They use capacity planned for reclaimable replicas only when no other capacity is left.
  */
 function keptPlaces(facts: FleetFacts, reclaimable: ReadonlyMap<string, number>, total: number): ReadonlyMap<string, number> {
-	const {scaling, reclaimableReady, keptOrdered, closedToKept} = facts;
+	const {scaling, reclaimableReady, keptOrdered, withoutKeptCapacity} = facts;
 	const order = byPrice(facts);
 	const places = new Map(order.map(dataCentre => [dataCentre, 0]));
 	let left = total;
@@ -152,7 +152,7 @@
 		}
 	};
 
-	const isOpen = (dataCentre: string) => !closedToKept.has(dataCentre);
+	const isOpen = (dataCentre: string) => !withoutKeptCapacity.has(dataCentre);
 	fill(dataCentre => keptOrdered.get(dataCentre) ?? 0);
 	fill(dataCentre => isOpen(dataCentre) ? scaling.maximum - (reclaimable.get(dataCentre) ?? 0) : 0);
 	fill(dataCentre => isOpen(dataCentre) ? scaling.maximum - (reclaimableReady.get(dataCentre) ?? 0) : 0);
--- a/src/duties/fleet-size.ts
+++ b/src/duties/fleet-size.ts
@@ -11,17 +11,17 @@
 /** Fraction of the first fleet assumed to be needed before any load was measured. */
 const assumedPart = 1;
 /** Fraction of the needed replicas assumed to carry the load with little headroom, if that was not measured. */
-export const sparsePart = 0.65;
+export const tightPart = 0.65;
 /** Smallest fraction by which an order is decreased: each change loses the prompt caches of the removed replicas. */
-const leastDecrease = 0.15;
+const minDecrease = 0.15;
 /** Largest fraction by which an order is increased at a time: empty caches and bursts of requests look like load. */
-const mostIncrease = 0.25;
+const maxIncrease = 0.25;
 /** Largest fraction by which an order is decreased at a time, to observe whether the remaining replicas suffice. */
-const mostDecrease = 0.4;
+const maxDecrease = 0.4;
 /** Milliseconds after the boot time until the effect of a change can be measured. */
-const changePause = 2000;
+const effectDelay = 2000;
 /** Upper limit of the correction factor that is applied if goals are missed although the estimated replicas are ready. */
-const largestCorrection = 2.5;
+const maxCorrection = 2.5;
 /** Milliseconds for which goals must have been met before a correction is reduced by one step. */
 const correctionLifetime = 25_000;
 /** Factor by which a correction is reduced. */
@@ -35,7 +35,7 @@
 	/** Whether an order of reclaimable replicas failed because none are available. */
 	readonly isScarce: boolean;
 	/** Whether most of the ordered replicas are ready in each data centre. */
-	readonly isWhole: boolean;
+	readonly isMostlyReady: boolean;
 	/** Ready replicas, less lost capacity. */
 	readonly serving: number;
 	/** Milliseconds until a new replica is ready. */
@@ -84,8 +84,8 @@
 	 * @param service - Name of a service.
 	 * @param sample - Its current load.
 	 */
-	note(service: string, sample: LoadSample): void {
-		this.loadOf(service).note(sample);
+	addSample(service: string, sample: LoadSample): void {
+		this.loadOf(service).addSample(sample);
 	}
 
 	/**
@@ -104,36 +104,36 @@
 	 * @returns The size of the service's fleet.
 	 */
 	of(facts: SizeFacts): FleetSize {
-		const {fleet, isScarce, isWhole, bootTime} = facts;
+		const {fleet, isScarce, isMostlyReady, bootTime} = facts;
 		const {service} = fleet;
 		const load = this.loadOf(service);
 		const factor = this.correctionFor(facts, load);
 		const wanted = load.needed * factor;
 		const standing = fleet.needed ?? Math.ceil(fleet.replicas * assumedPart);
-		const isProven = load.isObserved && load.keptFor > bootTime + changePause;
-		const isLess = isProven && isWhole && !isScarce && wanted <= standing * (1 - leastDecrease);
-		const needed = isLess ? this.decreased(service, standing, wanted, bootTime) : this.increased(service, standing, wanted, bootTime);
-		return {needed, leastNow: load.isObservedBriefly ? Math.min(load.leastNow * factor, needed) : needed * sparsePart};
+		const isProven = load.isObserved && load.goalsMetFor > bootTime + effectDelay;
+		const isDecrease = isProven && isMostlyReady && !isScarce && wanted <= standing * (1 - minDecrease);
+		const needed = isDecrease ? this.decreased(service, standing, wanted, bootTime) : this.increased(service, standing, wanted, bootTime);
+		return {needed, leastNow: load.isRecentPeakObserved ? Math.min(load.leastNow * factor, needed) : needed * tightPart};
 	}
 
 	/** If many requests miss their goals, the step is larger, since small steps would leave the fleet too small for long. */
 	private increased(service: string, standing: number, wanted: number, bootTime: number): number {
 		const {from} = this.changeSince(this.increases, service, {standing, bootTime});
 		const load = this.loadOf(service);
-		const most = isShort(load, bootTime) ? Math.max(mostIncrease, load.last.missedPart) : mostIncrease;
-		return Math.max(standing, Math.min(wanted, from * (1 + most)));
+		const maxStep = isMissingGoals(load, bootTime) ? Math.max(maxIncrease, load.last.missedPart) : maxIncrease;
+		return Math.max(standing, Math.min(wanted, from * (1 + maxStep)));
 	}
 
 	private decreased(service: string, standing: number, wanted: number, bootTime: number): number {
 		const {from} = this.changeSince(this.decreases, service, {standing, bootTime});
-		return Math.min(standing, Math.max(wanted, from * (1 - mostDecrease)));
+		return Math.min(standing, Math.max(wanted, from * (1 - maxDecrease)));
 	}
 
 	/** The last change if its effect cannot be measured yet, otherwise a change that starts now. */
 	private changeSince(changes: Map<string, SizeChange>, service: string, {standing, bootTime}: {readonly standing: number; readonly bootTime: number}): SizeChange {
 		const now = this.clock.monotonic();
 		const known = changes.get(service);
-		const change = known && now - known.at <= bootTime + changePause ? known : {from: standing, at: now};
+		const change = known && now - known.at <= bootTime + effectDelay ? known : {from: standing, at: now};
 		changes.set(service, change);
 		return change;
 	}
@@ -146,13 +146,13 @@
 		const now = this.clock.monotonic();
 		const {factor, at} = this.corrections.get(service) ?? {factor: 1, at: Number.NEGATIVE_INFINITY};
 		const enoughFor = this.enoughFor(service, serving >= load.leastNow * factor * servingPart);
-		const isRefuted = isShort(load, bootTime) && enoughFor > (bootTime + changePause) / 2;
-		if (isRefuted && now - at > bootTime + changePause) {
-			return this.correct(service, Math.min(largestCorrection, factor * (1 + load.last.missedPart)));
+		const isRefuted = isMissingGoals(load, bootTime) && enoughFor > (bootTime + effectDelay) / 2;
+		if (isRefuted && now - at > bootTime + effectDelay) {
+			return this.setCorrection(service, Math.min(maxCorrection, factor * (1 + load.last.missedPart)));
 		}
 
-		const isConfirmed = factor > 1 && load.keptFor > correctionLifetime && now - at > correctionLifetime;
-		return isConfirmed ? this.correct(service, Math.max(1, factor / correctionStep)) : factor;
+		const isConfirmed = factor > 1 && load.goalsMetFor > correctionLifetime && now - at > correctionLifetime;
+		return isConfirmed ? this.setCorrection(service, Math.max(1, factor / correctionStep)) : factor;
 	}
 
 	private enoughFor(service: string, isEnough: boolean): number {
@@ -165,7 +165,7 @@
 		return now - getOrCreate(this.enoughSince, service, () => now);
 	}
 
-	private correct(service: string, factor: number): number {
+	private setCorrection(service: string, factor: number): number {
 		this.corrections.set(service, {factor, at: this.clock.monotonic()});
 		return factor;
 	}
@@ -176,6 +176,6 @@
 }
 
 /** Goals that are missed briefly are ignored: the cause may be a burst of requests or replicas that have just left. */
-function isShort({missedFor}: FleetLoad, bootTime: number): boolean {
-	return missedFor > (bootTime + changePause) / 2;
+function isMissingGoals({goalsMissedFor}: FleetLoad, bootTime: number): boolean {
+	return goalsMissedFor > (bootTime + effectDelay) / 2;
 }
--- a/src/duties/holder-life.ts
+++ b/src/duties/holder-life.ts
@@ -8,9 +8,9 @@
 import {draftKind, draftName} from './usage-draft.js';
 
 /** Milliseconds without a change of the draft after which its writer counts as stopped. */
-const silenceOfDead = 4000;
+const holderTimeout = 4000;
 /** Milliseconds between two reads of the draft. */
-const lookInterval = 1000;
+const readInterval = 1000;
 
 /** Watches the usage draft for changes. */
 export class HolderLife {
@@ -24,7 +24,7 @@
 	}
 
 	private seen: {readonly revision: number; readonly changedAt: number} | undefined;
-	private lookedAt = Number.NEGATIVE_INFINITY;
+	private readAt = Number.NEGATIVE_INFINITY;
 
 	private constructor(private readonly store: MetadataStore, private readonly clock: Clock) {}
 
@@ -33,21 +33,21 @@
 		return Effect.suspend(() => {
 			const now = this.clock.monotonic();
 			// An observation that was interrupted has to start again.
-			this.seen = now - this.lookedAt > silenceOfDead ? undefined : this.seen;
-			if (now - this.lookedAt < lookInterval) {
-				return Effect.succeed(this.isYoung(now));
+			this.seen = now - this.readAt > holderTimeout ? undefined : this.seen;
+			if (now - this.readAt < readInterval) {
+				return Effect.succeed(this.mayStillWrite(now));
 			}
 
-			this.lookedAt = now;
+			this.readAt = now;
 			return this.store.read(draftKind, draftName).pipe(Effect.map(object => {
 				const revision = object?.revision ?? 0;
 				this.seen = this.seen?.revision === revision ? this.seen : {revision, changedAt: now};
-				return this.isYoung(now);
+				return this.mayStillWrite(now);
 			}));
 		});
 	}
 
-	private isYoung(now: number): boolean {
-		return this.seen === undefined || now - this.seen.changedAt < silenceOfDead;
+	private mayStillWrite(now: number): boolean {
+		return this.seen === undefined || now - this.seen.changedAt < holderTimeout;
 	}
 }
--- a/src/duties/lost-capacity.ts
+++ b/src/duties/lost-capacity.ts
@@ -9,7 +9,7 @@
  * Milliseconds for which lost capacity still counts. Limits come and go: a replacement would otherwise be removed soon
  * after it has booted, and its prompt cache would be lost.
  */
-const memory = 10_000;
+const peakLifetime = 10_000;
 
 /** The lost capacity of all services. */
 export class LostCapacity {
@@ -35,7 +35,7 @@
 		const now = this.clock.monotonic();
 		const lost = lostReplicas(limits, rate);
 		const peak = this.peaks.get(service);
-		if (!peak || lost >= peak.replicas || now - peak.at > memory) {
+		if (!peak || lost >= peak.replicas || now - peak.at > peakLifetime) {
 			this.peaks.set(service, {replicas: lost, at: now});
 			return lost;
 		}
--- a/src/duties/order-book.ts
+++ b/src/duties/order-registry.ts
@@ -6,22 +6,22 @@
 import type {DutyRefusal, ReplicaOrder} from './duty-calls.js';
 
 /** Milliseconds before an order with an unknown outcome is sent again. */
-const unansweredPause = 300;
+const unansweredRetryDelay = 300;
 /** Milliseconds between two attempts to order unavailable replicas, one data centre at a time. */
-const probePause = 1500;
+const probeInterval = 1500;
 /** Milliseconds after an order before a replica that was present and has gone is ordered again. */
-const lossPause = 1500;
+const lossRetryDelay = 1500;
 /** Milliseconds for which removed replicas may still be listed. */
-const givingUpTime = 4000;
+const removalTime = 4000;
 /** Milliseconds after the boot time before replicas that are still missing are ordered again. */
-const missingPause = 3000;
+const missingRetryDelay = 3000;
 
 type Outcome = 'taken' | 'unavailable' | 'unknown';
 type OrderState = {
 	readonly order: ReplicaOrder;
 	readonly outcome: Outcome;
 	/** Largest number of replicas present since the order was accepted. */
-	readonly seen: number;
+	readonly maxPresent: number;
 	/** Time of the outcome, monotonic milliseconds. */
 	readonly at: number;
 };
@@ -37,13 +37,13 @@
 const keyOf = ({service, dataCentre, isReclaimable}: ReplicaOrder): string => `${service}\n${dataCentre}\n${isReclaimable}`;
 
 /** The orders that this box has sent, with their outcomes. */
-export class OrderBook {
+export class OrderRegistry {
 	/**
 	 * @param clock - Measures the delays.
 	 * @returns An instance without orders.
 	 */
-	static create(clock: Clock): OrderBook {
-		return new OrderBook(clock);
+	static create(clock: Clock): OrderRegistry {
+		return new OrderRegistry(clock);
 	}
 
 	private readonly states = new Map<string, OrderState>();
@@ -55,9 +55,9 @@
 	private constructor(private readonly clock: Clock) {}
 
 	/** @param order - An order that the platform accepted. */
-	noteTaken(order: ReplicaOrder): void {
+	recordAccepted(order: ReplicaOrder): void {
 		this.states.set(keyOf(order), {
-			order, outcome: 'taken', seen: 0, at: this.clock.monotonic(),
+			order, outcome: 'taken', maxPresent: 0, at: this.clock.monotonic(),
 		});
 		if (order.isReclaimable) {
 			// Other data centres may have replicas available again too.
@@ -72,11 +72,11 @@
 	 * @param order - An order that was refused or whose outcome is unknown.
 	 * @param reason - Why the call failed.
 	 */
-	noteRefused(order: ReplicaOrder, reason: DutyRefusal['reason']): void {
+	recordRefused(order: ReplicaOrder, reason: DutyRefusal['reason']): void {
 		const now = this.clock.monotonic();
 		const isUnavailable = reason === 'conflict';
 		this.states.set(keyOf(order), {
-			order, outcome: isUnavailable ? 'unavailable' : 'unknown', seen: 0, at: now,
+			order, outcome: isUnavailable ? 'unavailable' : 'unknown', maxPresent: 0, at: now,
 		});
 		if (isUnavailable) {
 			this.probedAt.set(order.service, now);
@@ -95,8 +95,8 @@
 	 * @param service - Name of a service.
 	 * @returns Data centres that had no kept replicas available in the last 3 s.
 	 */
-	closedToKept(service: string): ReadonlySet<string> {
-		const since = this.clock.monotonic() - missingPause;
+	withoutKeptCapacity(service: string): ReadonlySet<string> {
+		const since = this.clock.monotonic() - missingRetryDelay;
 		return new Set(this.unavailable(service).filter(({order, at}) => !order.isReclaimable && at >= since).map(({order}) => order.dataCentre));
 	}
 
@@ -124,7 +124,7 @@
 			}
 
 			case 'unknown': {
-				return age > unansweredPause;
+				return age > unansweredRetryDelay;
 			}
 
 			case 'unavailable': {
@@ -135,13 +135,13 @@
 
 	/** Replicas that were present and have gone are ordered again soon; those that never arrived, only after the boot time. */
 	private isMissing(state: OrderState, present: number, bootTime: number): boolean {
-		const {order, seen, at} = state;
-		if (present > seen) {
-			this.states.set(keyOf(order), {...state, seen: present});
+		const {order, maxPresent, at} = state;
+		if (present > maxPresent) {
+			this.states.set(keyOf(order), {...state, maxPresent: present});
 		}
 
 		const age = this.clock.monotonic() - at;
-		return present < order.count && age > (present < seen ? lossPause : bootTime + missingPause);
+		return present < order.count && age > (present < maxPresent ? lossRetryDelay : bootTime + missingRetryDelay);
 	}
 
 	/** Replicas may be added without an order of this box. Their removal is ordered once; surplus replicas that stay are then ignored. */
@@ -153,7 +153,7 @@
 			return false;
 		}
 
-		if (this.clock.monotonic() - at <= givingUpTime || surplus <= (this.surpluses.get(key) ?? 0)) {
+		if (this.clock.monotonic() - at <= removalTime || surplus <= (this.surpluses.get(key) ?? 0)) {
 			return false;
 		}
 
@@ -164,7 +164,7 @@
 	/** Tries one data centre at a time, the least recently tried first, since each failed attempt costs a call. */
 	private isNextProbe({order, at}: OrderState): boolean {
 		const {service} = order;
-		const isPaused = this.clock.monotonic() - (this.probedAt.get(service) ?? Number.NEGATIVE_INFINITY) < probePause;
+		const isPaused = this.clock.monotonic() - (this.probedAt.get(service) ?? Number.NEGATIVE_INFINITY) < probeInterval;
 		const oldest = Math.min(...this.unavailable(service).map(state => state.at));
 		return !isPaused && at === oldest;
 	}
--- a/src/duties/test/fleet-load.test.ts
+++ b/src/duties/test/fleet-load.test.ts
@@ -7,7 +7,7 @@
 const play = (load: FleetLoad, seconds: number, sample: LoadSample): void => {
 	for (let step = 0; step < seconds * 4; step++) {
 		clock.now += 250;
-		load.note(sample);
+		load.addSample(sample);
 	}
 };
 
@@ -58,16 +58,16 @@
 
 test('goals count as met or missed only for the observed time', () => {
 	const load = FleetLoad.create(clock);
-	assert.equal(load.missedFor, 0);
+	assert.equal(load.goalsMissedFor, 0);
 	play(load, 10, calm);
-	assert.ok(load.keptFor >= 9000);
+	assert.ok(load.goalsMetFor >= 9000);
 	play(load, 3, {...calm, missedPart: 0.5});
-	assert.ok(load.missedFor >= 2900);
-	assert.equal(load.keptFor, 0);
+	assert.ok(load.goalsMissedFor >= 2900);
+	assert.equal(load.goalsMetFor, 0);
 	clock.now += 60_000;
 	play(load, 1, {...calm, missedPart: 0.5});
-	assert.ok(load.missedFor <= 1000, 'the gap was not observed');
+	assert.ok(load.goalsMissedFor <= 1000, 'the gap was not observed');
 	clock.now += 60_000;
 	play(load, 1, calm);
-	assert.ok(load.keptFor <= 1000);
+	assert.ok(load.goalsMetFor <= 1000);
 });
--- a/src/duties/test/fleet-plan.test.ts
+++ b/src/duties/test/fleet-plan.test.ts
@@ -11,7 +11,7 @@
 const dataCentres = ['a', 'b', 'c', 'd'];
 const facts = (changes: Partial<FleetFacts>): FleetFacts => ({
 	service: 's', scaling, dataCentres, needed: 10, leastNow: 8, baseline: 12, isSettled: true, isIdle: false, isScarce: false,
-	reclaimableReady: new Map(), keptOrdered: new Map(), closedToKept: new Set(), ...changes,
+	reclaimableReady: new Map(), keptOrdered: new Map(), withoutKeptCapacity: new Set(), ...changes,
 });
 const plan = (changes: Partial<FleetFacts>) => MeasuredLoadPolicy.create().plan(facts(changes));
 const ready = (count: number, in_: readonly string[] = dataCentres) => new Map(in_.map(dataCentre => [dataCentre, count]));
@@ -73,7 +73,7 @@
 });
 
 test('kept replicas are not ordered in a data centre that just had none available', () => {
-	const places = plan({isScarce: true, closedToKept: new Set(['a'])});
+	const places = plan({isScarce: true, withoutKeptCapacity: new Set(['a'])});
 	assert.equal(places[0]!.kept, 0);
 	assert.equal(sumOf(places.map(({kept}) => kept)), 8);
 });
--- a/src/duties/test/fleet-size.test.ts
+++ b/src/duties/test/fleet-size.test.ts
@@ -11,12 +11,12 @@
 const play = (sizes: FleetSizes, seconds: number, requests: number, missedPart = 0): void => {
 	for (let step = 0; step < seconds * 4; step++) {
 		clock.now += 250;
-		sizes.note('s', load(requests, missedPart));
+		sizes.addSample('s', load(requests, missedPart));
 	}
 };
 
 const factsOf = (changes: Partial<SizeFacts> = {}): SizeFacts => ({
-	fleet: {service: 's', replicas: 12}, isScarce: false, isWhole: true, serving: 12, bootTime: 4000, ...changes,
+	fleet: {service: 's', replicas: 12}, isScarce: false, isMostlyReady: true, serving: 12, bootTime: 4000, ...changes,
 });
 const assertNear = (actual: number, expected: number, message?: string): void => {
 	assert.ok(Math.abs(actual - expected) < 0.001, message ?? `${actual} instead of ${expected}`);
@@ -37,7 +37,7 @@
 	assert.equal(sizes.of(factsOf()).needed, 12, 'the load was observed for too short a time');
 	play(sizes, 20, 45);
 	assert.equal(sizes.of(factsOf({isScarce: true})).needed, 12);
-	assert.equal(sizes.of(factsOf({isWhole: false})).needed, 12, 'some of the ordered replicas are missing');
+	assert.equal(sizes.of(factsOf({isMostlyReady: false})).needed, 12, 'some of the ordered replicas are missing');
 	assertNear(sizes.of(factsOf()).needed, 7.2);
 	play(sizes, 5, 45);
 	assertNear(sizes.of(factsOf({fleet: standing(7.2)})).needed, 7.2, 'the effect of the last decrease cannot be measured yet');
--- a/src/duties/usage-counts.ts
+++ b/src/duties/usage-counts.ts
@@ -14,7 +14,7 @@
 /** Number of past windows that are retained. */
 const windowsKept = 8;
 /** Number of windows sent to the other boxes. */
-const windowsTold = 3;
+const windowsSent = 3;
 
 /** Requests by client account, by number of the window. */
 type Windows = Map<number, Map<string, number>>;
@@ -42,7 +42,7 @@
 
 	/** The counts that this box sends to the other boxes. */
 	get told(): readonly WindowUsage[] {
-		return usageOf(this.own).slice(-windowsTold);
+		return usageOf(this.own).slice(-windowsSent);
 	}
 
 	/** The subset of the current and the previous window, whose counts may still change. */
@@ -51,7 +51,7 @@
 	}
 
 	/** Counts received from the other boxes and from earlier processes, by process. */
-	get heard(): readonly StartUsage[] {
+	get othersUsage(): readonly StartUsage[] {
 		return [...this.others].map(([start, windows]) => ({start, usage: usageOf(windows)}));
 	}
 
--- a/src/duties/usage-draft.ts
+++ b/src/duties/usage-draft.ts
@@ -81,7 +81,7 @@
 	private write(): Effect.Effect<void, StoreUnavailable | RevisionConflict> {
 		const {store, counts, clock, start} = this.services;
 		const oldest = counts.currentWindow - windowsDrafted;
-		const starts = [...counts.heard, {start, usage: counts.told}].flatMap(entry => recentOf(entry, oldest));
+		const starts = [...counts.othersUsage, {start, usage: counts.told}].flatMap(entry => recentOf(entry, oldest));
 		this.writtenAt = clock.monotonic();
 		const written = this.revision === undefined
 			? store.create(draftKind, draftName, {starts})
--- a/src/duties/usage-duty.ts
+++ b/src/duties/usage-duty.ts
@@ -12,12 +12,12 @@
 import type {UsageCounts} from './usage-counts.js';
 
 /** Milliseconds after the end of a window before it is reported, if gossip from every box has arrived. */
-const earliest = 1500;
+const minReportAge = 1500;
 /** Milliseconds after the end of a window at which it is reported even if gossip from some boxes is missing. */
-const latest = 4500;
+const maxReportAge = 4500;
 
 /** Largest difference between the clocks of two boxes, in milliseconds. */
-const timeSpread = 500;
+const maxClockSkew = 500;
 
 /** Dependencies of the duty. */
 export type UsageDutyServices = {
@@ -47,7 +47,7 @@
 	}
 
 	/** The last window whose report the platform has accepted. */
-	private taken: number | undefined;
+	private lastReported: number | undefined;
 	/** The window in which this process started; without a previous report, the counts of earlier windows may be incomplete. */
 	private readonly firstWindow: number;
 
@@ -58,12 +58,12 @@
 	/** @returns Sends the report that is due, if any. */
 	step(): Effect.Effect<void, StoreUnavailable | DutyTaken> {
 		return Effect.suspend(() => {
-			const standing = this.services.lease.known?.report;
-			if (standing && this.taken !== standing.window && this.ageOf(standing.window) < this.services.delay()) {
+			const decided = this.services.lease.known?.report;
+			if (decided && this.lastReported !== decided.window && this.ageOf(decided.window) < this.services.delay()) {
 				return this.send(undefined);
 			}
 
-			const due = this.dueWindow(standing?.window);
+			const due = this.dueWindow(decided?.window);
 			return due === undefined ? Effect.void : this.send(due);
 		});
 	}
@@ -75,7 +75,7 @@
 	 */
 	afterRestore(record: DutyRecord): DutyRecord {
 		const {trueTime, windowLength} = this.services;
-		const firstUndecided = Math.floor((trueTime() - earliest + timeSpread) / windowLength());
+		const firstUndecided = Math.floor((trueTime() - minReportAge + maxClockSkew) / windowLength());
 		return {...record, reportsFrom: Math.max(record.reportsFrom ?? 0, firstUndecided)};
 	}
 
@@ -91,7 +91,8 @@
 		const oldest = current - Math.ceil(delay() / windowLength());
 		const next = Math.max(last === undefined ? this.firstWindow : last + 1, oldest, this.services.lease.known?.reportsFrom ?? 0);
 		const age = this.ageOf(next);
-		const isDue = age >= latest || (age >= earliest && hasHeardAll(age - 300));
+		// Gossip from every box must have arrived at least 300 ms after the end of the window.
+		const isDue = age >= maxReportAge || (age >= minReportAge && hasHeardAll(age - 300));
 		return isDue && age < delay() ? next : undefined;
 	}
 
@@ -106,7 +107,7 @@
 
 			yield * calls.reportUsage(permit.signer, report).pipe(
 				Effect.map(() => {
-					this.taken = report.window;
+					this.lastReported = report.window;
 					log.write('usageReported', {window: report.window, fence: permit.signer.fence, requests: sumOf(report.counts.map(([, requests]) => requests))});
 				}),
 				Effect.catchTag('DutyRefusal', ({reason, detail}) => Effect.sync(() => {
