--- a/src/claims/claim-shard.ts
+++ b/src/claims/claim-shard.ts
@@ -1,6 +1,6 @@
 /**
- * One object of claims. Whatever waits goes in with one conditional write (group commit); that the write is
- * conditional is all that safety rests on, so any box may claim through any shard.
+ * One store object with claims. All waiting operations are written together in one conditional write (group commit). Safety
+ * depends only on the condition of the write, so any box may use any shard.
  */
 import * as Deferred from 'effect/Deferred';
 import * as Effect from 'effect/Effect';
@@ -14,24 +14,29 @@
 } from '../external/object-store.js';
 import {ClaimEntry, ClaimUnavailable, type ClaimFailure} from './claim.js';
 
-/** Milliseconds a claim is remembered, on the store's clock. */
+/** Milliseconds for which a claim is retained, on the store's clock. */
 export const claimRetention = 24 * 3_600_000;
-/** Milliseconds after which what was read is read again, so that claims get a fresh time. */
+/** Milliseconds after which the object is read again, so that new claims get a recent time of the store. */
 const longestCache = 60_000;
-/** Milliseconds an operation may take before it is given up. */
+/** Milliseconds after which an operation fails. */
 const operationDeadline = 3000;
-/** Characters a shard may hold; the store takes a megabyte. */
+/** Maximum characters of a shard; the store accepts objects up to one megabyte. */
 const largestShard = 900_000;
-/** Milliseconds of failures after which new operations wait for one try at most. */
+/** Milliseconds of failures after which new operations wait for at most one attempt. */
 const outageDelay = 1000;
-/** Milliseconds that an operation nobody waits for stays open for others to share its write. */
+/** Milliseconds by which a `patient` operation is delayed, so that others can share its write. */
 const patience = 400;
+/** Milliseconds of the first pause between two attempts; the pauses double from here. */
 const firstPause = 10;
+/** Maximum milliseconds of a pause between two attempts, before jitter. */
 const longestPause = 500;
-/** Milliseconds into a pause at which new operations end it, to find out whether the store is back; they share that try. */
+/**
+ * Milliseconds after which new operations end a pause early, to check whether the store is available again; all operations
+ * that arrive until then share the attempt.
+ */
 const shortestPause = 100;
 
-/** Milliseconds that an operation waits at most for a try while the store fails. */
+/** Maximum milliseconds that an operation waits for an attempt during an outage. */
 const outagePatience = 3 * shortestPause;
 
 /** The claims of a shard by request. */
@@ -40,11 +45,11 @@
 const Entries = Schema.Record(Schema.String, ClaimEntry);
 const decodeEntries = Schema.decodeUnknownResult(Schema.fromJsonString(Entries));
 
-/** What an operation wants of the entries it is shown. */
+/** Decision of an operation about its entry. */
 export type ClaimDecision<T> = {
-	/** Entry to write; `undefined` where nothing changes. */
+	/** Entry to write; `undefined` if nothing changes. */
 	readonly write: ClaimEntry | undefined;
-	/** What the operation returns once that holds. */
+	/** Result of the operation once the entry is durable. */
 	readonly outcome: T;
 };
 
@@ -52,21 +57,24 @@
 	readonly name: string;
 	readonly decide: (entry: ClaimEntry | undefined, storeTime: number) => ClaimDecision<unknown>;
 	readonly done: Deferred.Deferred<unknown, ClaimUnavailable>;
+	/** Monotonic milliseconds at which the operation fails. */
 	readonly endsAt: number;
-	/** Whether it came while the store failed, and ended a pause. */
+	/** Whether the operation arrived during an outage and ends the current pause early. */
 	readonly endsPause: boolean;
-	/** Whether a write that carried this operation was sent without a clear answer. */
+	/** Whether a write that included this operation may have been applied without an answer. */
 	mayBeRecorded: boolean;
 };
 
 type Snapshot = {
 	readonly version: ObjectVersion;
 	readonly entries: ClaimEntries;
+	/** Time of the read on the store's clock, in milliseconds. */
 	readonly storeTime: number;
+	/** Monotonic milliseconds. */
 	readonly readAt: number;
 };
 
-/** What a shard needs. */
+/** Dependencies of a shard. */
 export type ClaimShardServices = {
 	readonly store: ObjectStore;
 	readonly clock: Clock;
@@ -74,12 +82,12 @@
 	readonly metrics: Metrics;
 };
 
-/** One shard, as this box sees it. */
+/** One shard with the operations of this box. */
 export class ClaimShard {
 	/**
 	 * @param key - Name of the object.
-	 * @param services - What it works with.
-	 * @returns The shard; it reads the object when first used.
+	 * @param services - Dependencies.
+	 * @returns The shard; it reads the object on first use.
 	 */
 	static create(key: string, services: ClaimShardServices): ClaimShard {
 		return new ClaimShard(key, services);
@@ -87,24 +95,25 @@
 
 	private waiting: Operation[] = [];
 	private isCommitting = false;
-	/** Monotonic milliseconds since which no write or read went through; `undefined` while they do. */
+	/** Monotonic milliseconds since which reads and writes have failed; `undefined` while they succeed. */
 	private failingSince: number | undefined;
 	private snapshot: Snapshot | undefined;
-	/** Whether the last read brought entries that do not decode. */
+	/** Whether the entries of the last read could not be decoded. */
 	private isUnreadable = false;
-	/** Ends the committer's pause; `undefined` while it tries. */
+	/** Ends the pause of the commit loop; `undefined` during an attempt. */
 	private endPause: (() => void) | undefined;
+	/** Monotonic milliseconds at which the pause started. */
 	private pausedAt = 0;
 
 	private constructor(private readonly key: string, private readonly services: ClaimShardServices) {}
 
 	/**
-	 * Runs an operation on one entry, together with all that wait.
+	 * Runs an operation on one entry, in a batch with the other waiting operations.
 	 *
-	 * @param name - Which entry.
-	 * @param decide - What to write, given what stands there; called again when that has changed.
-	 * @param urgency - `patient`: waits a little for others to share a write with.
-	 * @returns The outcome, once what it rests on is durable.
+	 * @param name - Name of the entry.
+	 * @param decide - Computes the entry to write from the current one; called again if the entry has changed.
+	 * @param urgency - `patient`: the operation waits 400 ms for others to share its write.
+	 * @returns The outcome, once the state that it depends on is durable.
 	 */
 	run<T>(
 		name: string,
@@ -133,20 +142,20 @@
 				}, patience);
 			}
 
-			// The cast is sound: only decide() of this operation makes its outcome.
+			// The cast is sound: only decide() of this operation creates its outcome.
 			return Deferred.await(operation.done) as Effect.Effect<T, ClaimUnavailable>;
 		});
 	}
 
-	/** While the store fails, what comes shares one try, and is refused with it or soon. */
+	/** Whether the store has failed for a while; new operations then share one attempt and are refused if it fails. */
 	private isOut(): boolean {
 		return this.isCommitting && this.failingSince !== undefined
 			&& this.services.clock.monotonic() - this.failingSince > outageDelay;
 	}
 
 	/**
-	 * The store may be back since the last try: what comes in the rest of the pause would else be refused as not run though
-	 * the store answers.
+	 * Ends the current pause early. The store may be available again since the last attempt; without this, operations that
+	 * arrive during the pause would be refused as not run although the store answers.
 	 */
 	private endPauseSoon(): void {
 		const {endPause} = this;
@@ -155,14 +164,17 @@
 		}
 
 		setTimeout(() => {
-			// Another pause may have begun since.
+			// Another pause may have started in the meantime.
 			if (this.endPause === endPause) {
 				endPause?.();
 			}
 		}, Math.max(0, this.pausedAt + shortestPause - this.services.clock.monotonic()));
 	}
 
-	/** What comes while a try is under way waits for it, since the store may answer it: but not for as long as one that is silent may take. */
+	/**
+	 * Operations that arrive during an attempt wait for it, since the store may answer. An attempt without an answer takes too
+	 * long, so the wait has its own timeout.
+	 */
 	private giveUpSoon(operation: Operation): void {
 		setTimeout(() => {
 			if (this.waiting.includes(operation) && this.failingSince !== undefined) {
@@ -172,7 +184,10 @@
 		}, outagePatience);
 	}
 
-	/** One committer a shard and box; it outlives the callers that wait, for others may wait with them. */
+	/**
+	 * Starts the commit loop unless it runs. There is one loop per shard and box. It continues if a waiting caller is
+	 * interrupted, since other callers may wait for the same write.
+	 */
 	private startCommitting(): void {
 		if (this.isCommitting || this.waiting.length === 0) {
 			return;
@@ -184,7 +199,7 @@
 
 	private commitAll(): Effect.Effect<void> {
 		return Effect.gen({self: this}, function * () {
-			// What comes in the same turn goes into the same write.
+			// Operations that arrive in the same turn of the event loop share one write.
 			yield * Effect.yieldNow;
 			let pause = firstPause;
 			while (this.waiting.length > 0) {
@@ -197,7 +212,7 @@
 					continue;
 				}
 
-				// The pauses of an outage are too long for a store that answers again.
+				// After an outage the pauses start from the shortest again.
 				pause = wasOut && this.failingSince === undefined ? firstPause : pause;
 				this.waiting = [...this.expire(batch), ...this.waiting];
 				yield * this.pauseFor(pause * (0.5 + Math.random()));
@@ -225,7 +240,7 @@
 		})));
 	}
 
-	/** @returns Whether every operation of the batch is done; otherwise it has to be tried again. */
+	/** @returns Whether every operation of the batch is done; otherwise the batch must be retried. */
 	private commit(batch: readonly Operation[]): Effect.Effect<boolean> {
 		return Effect.gen({self: this}, function * () {
 			const snapshot = yield * this.read();
@@ -235,7 +250,7 @@
 
 			const decisions = decideAll(batch, snapshot);
 			if (decisions.every(({decision}) => decision.write === undefined)) {
-				// An entry that is held may have been released since it was read.
+				// An entry that another attempt holds may have been released since it was read.
 				if (snapshot.readAt < this.services.clock.monotonic() - 1) {
 					this.snapshot = undefined;
 					return yield * this.commit(batch);
@@ -274,7 +289,7 @@
 				return finishAll(decisions);
 			}),
 			Effect.catch(error => Effect.sync(() => {
-				// What stands there now has to be read: it may be ours, if an answer was lost.
+				// The object must be read again: if only the answer was lost, it contains this write.
 				this.snapshot = undefined;
 				metrics.claimWrites.inc({outcome: error._tag === 'VersionConflict' ? 'conflict' : error.reason});
 				this.noteError(error);
@@ -320,7 +335,7 @@
 		);
 	}
 
-	/** A version conflict and a rate limit prove that the store answers: claims are tried again until their deadline, as without an outage. */
+	/** A version conflict or a rate limit proves that the store is available: claims are retried until their deadline, as without an outage. */
 	private noteError(error: StoreFailure | VersionConflict): void {
 		if (error._tag === 'VersionConflict' || error.reason === 'throttled') {
 			this.failingSince = undefined;
@@ -333,10 +348,10 @@
 		this.failingSince ??= this.services.clock.monotonic();
 	}
 
-	/** Gives up what has waited too long. @returns What is left. */
+	/** Refuses operations that have waited too long. @returns The remaining ones. */
 	private expire(batch: readonly Operation[]): readonly Operation[] {
 		const now = this.services.clock.monotonic();
-		// What ended a pause is given up with the first try in which the store failed; that another box wrote first is no failure of the store.
+		// Operations that ended a pause are refused with the first attempt in which the store fails. A conflict with another box is not a failure of the store.
 		const isFailing = this.failingSince !== undefined;
 		const isOver = ({endsAt, endsPause}: Operation): boolean => endsAt <= now || (endsPause && isFailing);
 		for (const operation of batch.filter(one => isOver(one))) {
@@ -363,7 +378,7 @@
 	}
 }
 
-/** Operations see what those before them in the batch decided. */
+/** Each operation sees the entries written by the operations before it in the batch. */
 function decideAll(batch: readonly Operation[], snapshot: Snapshot): readonly Decided[] {
 	const written = new Map<string, ClaimEntry>();
 	return batch.map(operation => {
@@ -377,7 +392,7 @@
 	});
 }
 
-/** What stands, less what is too old, and what is new. */
+/** Combines the entries that have not expired with the newly written ones. */
 function mergeEntries(snapshot: Snapshot, decisions: readonly Decided[]): ClaimEntries {
 	const oldest = snapshot.storeTime - claimRetention;
 	const kept = Object.entries(snapshot.entries).filter(([, entry]) => entry.claimedAt >= oldest);
--- a/src/claims/claim.ts
+++ b/src/claims/claim.ts
@@ -1,12 +1,12 @@
 /**
- * A claim: the durable right to run one not repeatable request, once.
+ * A claim: the durable right to run one non-repeatable request at most once.
  */
 import * as Data from 'effect/Data';
 import type * as Effect from 'effect/Effect';
 import * as Schema from 'effect/Schema';
 import type {AttemptId, ClientAccountName, RequestKey} from '../base/identifiers.js';
 
-/** An answer that was kept, so that asking again brings the same one. */
+/** A stored answer, so that a repeated request gets the same one. */
 export const KeptAnswer = Schema.Struct({
 	status: Schema.Number,
 	contentType: Schema.String,
@@ -15,42 +15,42 @@
 });
 export type KeptAnswer = typeof KeptAnswer.Type;
 
-/** What a shard holds of one request. */
+/** The entry of one request in a claim shard. */
 export const ClaimEntry = Schema.Struct({
-	/** Who claimed it. */
+	/** The attempt that made the claim. */
 	attempt: Schema.String,
-	/** Hash of the request, to tell a reused key. */
+	/** Hash of the request, to detect a key that is reused for another request. */
 	fingerprint: Schema.String,
-	/** `claimed`: it may have run. `released`: it did not run and may be claimed anew. `ran`: it ran. */
+	/** `claimed`: the request may have run. `released`: it did not run and may be claimed again. `ran`: it ran. */
 	state: Schema.Literals(['claimed', 'released', 'ran']),
-	/** The store's clock when it was claimed, in milliseconds. */
+	/** Time of the claim on the store's clock, in milliseconds. */
 	claimedAt: Schema.Number,
 	answer: Schema.optionalKey(KeptAnswer),
 });
 export type ClaimEntry = typeof ClaimEntry.Type;
 
-/** What names a claim. */
+/** Identifies a claim. */
 export type ClaimName = {
 	readonly account: ClientAccountName;
 	readonly key: RequestKey;
 };
 
-/** A wish to run a request. */
+/** Asks for the right to run a request. */
 export type ClaimRequest = ClaimName & {
 	readonly fingerprint: string;
 	readonly attempt: AttemptId;
 };
 
-/** How a claim ended. */
+/** Result of an attempt to claim a request. */
 export type ClaimOutcome = Data.TaggedEnum<{
-	/** The attempt that asked, and no other, may run the request. */
+	/** Only the attempt that made the claim may run the request. */
 	readonly Claimed: Readonly<Record<never, never>>;
-	/** Another attempt holds it. */
+	/** The request is already claimed or has run. */
 	readonly Held: {readonly entry: ClaimEntry};
 }>;
 export const ClaimOutcome = Data.taggedEnum<ClaimOutcome>();
 
-/** Why a claim could not be recorded, as callers and the log read it. */
+/** Reasons why a claim could not be recorded, with the texts for callers and the log. */
 export const claimFailures = {
 	'deadline-passed': 'the Object API did not take the claim in time',
 	'retry-failed': 'the Object API is away, and the next call to it failed',
@@ -59,50 +59,50 @@
 	'shard-unreadable': 'the claim shard cannot be read',
 } as const;
 
-/** Why a claim could not be recorded. */
+/** Reason why a claim could not be recorded. */
 export type ClaimFailure = keyof typeof claimFailures;
 
 /** The claim could not be recorded in time; the request must not run. */
 export class ClaimUnavailable extends Data.TaggedError('ClaimUnavailable')<{
 	readonly failure: ClaimFailure;
-	/** Whether the claim may have been recorded all the same: then it has to be released. */
+	/** Whether the claim may have been recorded nevertheless, in which case it must be released. */
 	readonly mayBeRecorded: boolean;
 }> {
-	/** What happened, as callers read it. */
+	/** Description of the failure for callers. */
 	get detail(): string {
 		return claimFailures[this.failure];
 	}
 }
 
-/** What became of a claimed request. */
+/** Final result of a claimed request: it did not run, or it ran, with its answer if one is stored. */
 export type ClaimEnd = Data.TaggedEnum<{
 	readonly Released: Readonly<Record<never, never>>;
 	readonly Ran: {readonly answer: KeptAnswer | undefined};
 }>;
 export const ClaimEnd = Data.taggedEnum<ClaimEnd>();
 
-/** Records claims. */
+/** Records claims durably. */
 export abstract class ClaimLedger {
 	/**
-	 * Claims a request. Only after `Claimed` may it be sent, and by the attempt that asked alone.
+	 * Claims a request. The request may be sent only after `Claimed`, and only by the attempt that made the claim.
 	 *
-	 * @param request - What is to run.
+	 * @param request - The request to claim.
 	 * @returns Whether this attempt may run it.
 	 */
 	abstract claim(request: ClaimRequest): Effect.Effect<ClaimOutcome, ClaimUnavailable>;
 
 	/**
-	 * @param name - Client account and key.
-	 * @returns What is recorded of the request; `undefined` where nothing is.
+	 * @param name - Client account and key of the request.
+	 * @returns The entry of the request; `undefined` if there is none.
 	 */
 	abstract lookUp(name: ClaimName): Effect.Effect<ClaimEntry | undefined, ClaimUnavailable>;
 
 	/**
-	 * Records what became of a claim. What another attempt holds is left alone.
+	 * Records the final result of a claim. The claim of another attempt is not changed.
 	 *
-	 * @param request - The claim.
-	 * @param end - What became of it.
-	 * @returns Ends when it is recorded.
+	 * @param request - The claimed request.
+	 * @param end - Its result.
+	 * @returns Completes when the result is recorded.
 	 */
 	abstract settle(request: ClaimRequest, end: ClaimEnd): Effect.Effect<void, ClaimUnavailable>;
 }
--- a/src/claims/store-claim-ledger.ts
+++ b/src/claims/store-claim-ledger.ts
@@ -1,5 +1,5 @@
 /**
- * Claims in shards of the Object API.
+ * Stores claims in shards, each an object of the Object API.
  */
 import * as Effect from 'effect/Effect';
 import {hashText} from '../base/rendezvous.js';
@@ -8,23 +8,23 @@
 } from './claim.js';
 import {ClaimShard, type ClaimDecision, type ClaimShardServices} from './claim-shard.js';
 
-/** Shards of an installation. Changing it needs all claims to have run out first. */
+/** Number of shards of an installation. All claims must have expired before it is changed. */
 export const claimShards = 16;
 
 const entryName = ({account, key}: ClaimName) => `${account}/${key}`;
 
 /**
- * @param request - What names a claim.
- * @returns Number of the shard that holds it.
+ * @param request - Identifies the claim.
+ * @returns Number of the shard that stores it.
  */
 export function shardOf(request: ClaimName): number {
 	return hashText(entryName(request)) % claimShards;
 }
 
-/** Records claims by conditional writes of shard objects. */
+/** Records claims with conditional writes to shard objects. */
 export class StoreClaimLedger extends ClaimLedger {
 	/**
-	 * @param services - What the shards work with.
+	 * @param services - Dependencies of the shards.
 	 * @returns The ledger.
 	 */
 	static create(services: ClaimShardServices): StoreClaimLedger {
@@ -57,7 +57,7 @@
 	}
 
 	override settle(request: ClaimRequest, end: ClaimEnd): Effect.Effect<void, ClaimUnavailable> {
-		// A caller waits for a release; nobody waits for the note that a call ran.
+		// A caller waits for a release, but no caller waits for the record that a request ran.
 		return this.shardFor(request).run(entryName(request), entry => decideEnd(request, end, entry), end._tag === 'Ran' ? 'patient' : 'urgent');
 	}
 
@@ -66,7 +66,10 @@
 	}
 }
 
-/** Free or released: take it. Ours already: a lost answer, or a second try of the same write. */
+/**
+ * Claims a request without an entry or with a released one. The entry may already belong to this attempt if the answer to
+ * its write was lost or the write was retried.
+ */
 function decideClaim(request: ClaimRequest, entry: ClaimEntry | undefined, storeTime: number): ClaimDecision<ClaimOutcome> {
 	if (entry?.attempt === request.attempt && entry.state === 'claimed') {
 		return {write: undefined, outcome: ClaimOutcome.Claimed()};
--- a/src/claims/test/claim-outage-model.test.ts
+++ b/src/claims/test/claim-outage-model.test.ts
@@ -1,4 +1,7 @@
-/** Guards against calls that are refused as not run (503 claim-unavailable) although the store is back: a call came during a retry, or other boxes wrote first. */
+/**
+ * Guards against calls that are refused as not run (503 claim-unavailable) although the store is available again: the call
+ * arrived during an attempt, or another box wrote first.
+ */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import * as Effect from 'effect/Effect';
@@ -15,21 +18,22 @@
 
 const seeds = 200;
 const key = 'claims/0';
-/** Milliseconds after an outage in which the store refuses some calls for its rate, as all boxes come back at once. */
+/** Milliseconds after an outage during which the store rate-limits some calls, since all boxes reconnect at once. */
 const throttledFor = 300;
+/** Fraction of the calls that are rate-limited. */
 const throttledShare = 0.3;
-/** Milliseconds that a call waits at most once the store is back: half of the time after which a refused caller may come back. */
+/** Maximum milliseconds of a call after an outage: half of the Retry-After time of a refused call. */
 const longestWait = 1000;
 
 type Outage = {
 	readonly from: number;
 	readonly until: number;
-	/** Whether calls fail at once; else they are answered when it is over. */
+	/** Whether calls fail at once; otherwise they are answered after the outage. */
 	readonly isRefusing: boolean;
 	readonly isThrottling: boolean;
 };
 
-/** A store that is away for a while, and takes its time. */
+/** A store with an outage and with random latency. */
 class AwayStore extends ObjectStore {
 	constructor(
 		private readonly objects: FakeObjects,
@@ -75,7 +79,7 @@
 				}
 
 				return outage.isRefusing
-					? Effect.fail(new StoreFailure({reason: 'unreachable', mayHaveApplied: false, detail: 'away'}))
+					? Effect.fail(new StoreFailure({reason: 'unreachable', mayHaveApplied: false, detail: 'outage'}))
 					: Effect.sleep(outage.until - time.now).pipe(Effect.andThen(Effect.suspend(act)));
 			})),
 			Effect.tap(travel),
@@ -83,22 +87,22 @@
 	}
 }
 
-/** What became of one call. */
+/** Result of one call. */
 type Call = {
 	readonly at: number;
 	readonly endedAt: number;
-	/** Why it was refused; `undefined` where it was not. */
+	/** Why the call was refused; `undefined` if it was not. */
 	readonly refusal: string | undefined;
 };
 
 const refusalOf = (exit: Exit.Exit<unknown, unknown>): string | undefined => Exit.isFailure(exit) ? JSON.stringify(exit.cause) : undefined;
 
-/** @returns The calls of a box that came after its store was back. */
+/** @returns The calls of one box after the outage of its store. */
 async function play(seed: number, isThrottling: boolean): Promise<readonly Call[]> {
 	const random = randomOf(seed);
 	const time = VirtualTime.start();
 	const ownRandom = Math.random;
-	// Pauses are drawn too; each seed plays the same.
+	// The pauses use Math.random too; each seed must be reproducible.
 	Math.random = random;
 	try {
 		const outage = {
@@ -128,7 +132,7 @@
 		};
 
 		await time.advance(outage.from - 10);
-		// Notes that nobody waits for are what a box goes on trying while the store is away.
+		// A box retries the records of completed calls, for which no caller waits, during the whole outage.
 		for (let at = time.now; at < outage.until - 10; at += 700) {
 			void note(own, `own-${at}`);
 			void note(other, `other-${at}`);
@@ -136,7 +140,7 @@
 		}
 
 		const end = outage.until + 400;
-		// With rare calls, none ends the pause for another.
+		// With rare calls, no call ends the pause for another one.
 		const spacing = random() < 0.5 ? 60 : 600;
 		let count = 0;
 		await time.advance(outage.until - time.now + (random() * 20));
@@ -151,7 +155,7 @@
 		}
 
 		await time.advance(10_000);
-		assert.equal(calls.length, count, 'a call got no outcome');
+		assert.equal(calls.length, count, 'a call has no outcome');
 		return calls.filter(({at}) => at >= outage.until);
 	} finally {
 		Math.random = ownRandom;
@@ -172,11 +176,11 @@
 	assert.deepEqual(broken, []);
 }
 
-test('no call that comes after the store is back is refused because it was away', async () => {
+test('no call after an outage is refused because of the outage', async () => {
 	await assertNoneRefused(false);
 });
 
-/** Guards against an answer of the store, a refusal for its rate, that counts as an outage. */
-test('no call that comes after the store is back is refused because the store limits its rate', async () => {
+/** Guards against counting a rate-limit answer of the store as an outage. */
+test('no call after an outage is refused because the store limits its rate', async () => {
 	await assertNoneRefused(true);
 });
--- a/src/claims/test/claim-shard.test.ts
+++ b/src/claims/test/claim-shard.test.ts
@@ -1,10 +1,11 @@
 /*
- * A call that had been cut was refused as not run at a second box, where it should have been told that it may have run. That box had
- * notes to write when the store went away; the shard they belong to refused everything at once for the rest of its pause, up to
- * 750 ms after the store was back, and a call whose key falls into that shard (one of sixteen) was among it: 503 `claim-unavailable`
- * after 31 ms in place of 409. It was refused so too where another box wrote to the shard just before this one, as the box of the cut call
- * does: a write that came too late counted as a failure of the store (503 after 49 ms, in one of two whole suites). And it was refused where it
- * came in the very moment of a try, between two pauses (503 `claim-unavailable` in one of 33 runs of the test of a box that had notes to write).
+ * Guards against calls that are refused as not run (503 `claim-unavailable`) after the store is available again, although they may have
+ * run (409). The client retries an interrupted call at a second box, which still has results of earlier calls to write from the time of the
+ * outage. There were three causes:
+ * - The shard refused every operation for the rest of its pause, up to 750 ms after the store was available again.
+ * - A version conflict with another box, such as the box of the interrupted call, counted as a failure of the store.
+ * - The call arrived during an attempt, between two pauses.
+ * Since there are sixteen shards, only some of the calls were affected.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -17,7 +18,7 @@
 import {Metrics} from '../../base/metrics.js';
 import {ClaimShard} from '../claim-shard.js';
 
-/** Milliseconds after which new operations are refused at once, and some tries beyond it. */
+/** Milliseconds of an outage: the time after which new operations are refused early, plus a few attempts. */
 const longOutage = 1900;
 
 const shardOver = (store: FakeObjectStore) => ClaimShard.create('claims/0', {
@@ -25,7 +26,7 @@
 });
 const look = async (shard: ClaimShard, name: string) => Effect.runPromiseExit(shard.run(name, entry => ({write: undefined, outcome: entry})));
 
-/** @returns A shard whose store has just come back, and the operation that has waited since before it went. */
+/** @returns A shard whose store has just become available again, and an operation that has waited for the whole outage. */
 async function afterOutage() {
 	const store = FakeObjectStore.create(new FakeObjects(() => performance.now()));
 	const shard = shardOver(store);
@@ -36,20 +37,20 @@
 	return {shard, waiting};
 }
 
-test('the first operation after the store came back finds it back, though what waited before it pauses', async () => {
+test('the first operation after an outage succeeds although the earlier operations are in a pause', async () => {
 	const {shard, waiting} = await afterOutage();
 	assert.ok(Exit.isSuccess(await look(shard, 'b')));
 	assert.ok(Exit.isSuccess(await waiting));
 });
 
-test('what comes while a try is under way is not refused: the store is back', async () => {
+test('operations that arrive during the first attempt after an outage are not refused', async () => {
 	const {shard, waiting} = await afterOutage();
 	const exits: Array<Promise<Exit.Exit<unknown, unknown>>> = [];
 	const back = new AbortController();
 	void waiting.then(() => {
 		back.abort();
 	});
-	// One of them comes while the try reads, which takes five milliseconds.
+	// One of them arrives during the read of the attempt, which takes five milliseconds.
 	while (!back.signal.aborted) {
 		exits.push(look(shard, `b-${exits.length}`));
 		await pause(1);
@@ -59,9 +60,9 @@
 	assert.deepEqual(refused.filter(Boolean), [], `of ${refused.length}`);
 });
 
-/** Objects that another box writes just before a write of this one. */
+/** Objects that another box writes just before a write of this box. */
 class ContestedObjects extends FakeObjects {
-	/** Writes that come too late. */
+	/** Number of coming writes that conflict with one of another box. */
 	contested = 0;
 
 	override write(key: string, value: string, expected: number): number | undefined {
@@ -75,7 +76,7 @@
 	}
 }
 
-test('the first operation after the store came back is not refused because another box wrote in the same moment', async () => {
+test('the first operation after an outage is not refused if another box writes at the same moment', async () => {
 	const objects = new ContestedObjects(() => performance.now());
 	const store = FakeObjectStore.create(objects);
 	const shard = shardOver(store);
@@ -92,7 +93,7 @@
 	assert.ok(Exit.isSuccess(await noted));
 });
 
-test('while the store is out a few calls a second find that out, and all else is refused at once', async () => {
+test('during an outage only a few calls per second reach the store, and all operations are refused', async () => {
 	const objects = new FakeObjects(() => performance.now());
 	const store = FakeObjectStore.create(objects);
 	const shard = shardOver(store);
