--- a/src/claims/claim-shard.ts
+++ b/src/claims/claim-shard.ts
@@ -17,27 +17,27 @@
 /** Milliseconds for which a claim is retained, on the store's clock. */
 export const claimRetention = 24 * 3_600_000;
 /** Milliseconds after which the object is read again, so that new claims get a recent time of the store. */
-const longestCache = 60_000;
+const maxCacheAge = 60_000;
 /** Milliseconds after which an operation fails. */
 const operationDeadline = 3000;
 /** Maximum characters of a shard; the store accepts objects up to one megabyte. */
-const largestShard = 900_000;
+const maxShardSize = 900_000;
 /** Milliseconds of failures after which new operations wait for at most one attempt. */
-const outageDelay = 1000;
+const outageThreshold = 1000;
 /** Milliseconds by which a `patient` operation is delayed, so that others can share its write. */
-const patience = 400;
+const batchDelay = 400;
 /** Milliseconds of the first pause between two attempts; the pauses double from here. */
-const firstPause = 10;
+const minPause = 10;
 /** Maximum milliseconds of a pause between two attempts, before jitter. */
-const longestPause = 500;
+const maxPause = 500;
 /**
  * Milliseconds after which new operations end a pause early, to check whether the store is available again; all operations
  * that arrive until then share the attempt.
  */
-const shortestPause = 100;
+const minOutagePause = 100;
 
 /** Maximum milliseconds that an operation waits for an attempt during an outage. */
-const outagePatience = 3 * shortestPause;
+const outageTimeout = 3 * minOutagePause;
 
 /** The claims of a shard by request. */
 export type ClaimEntries = Readonly<Record<string, ClaimEntry>>;
@@ -121,25 +121,25 @@
 		urgency: 'urgent' | 'patient' = 'urgent',
 	): Effect.Effect<T, ClaimUnavailable> {
 		return Effect.suspend(() => {
-			const isOut = this.isOut();
+			const isInOutage = this.isInOutage();
 			const operation: Operation = {
 				name,
 				decide,
 				done: Deferred.makeUnsafe<unknown, ClaimUnavailable>(),
 				endsAt: this.services.clock.monotonic() + operationDeadline,
-				endsPause: isOut,
+				endsPause: isInOutage,
 				mayBeRecorded: false,
 			};
 			this.waiting.push(operation);
-			if (isOut) {
+			if (isInOutage) {
 				this.endPauseSoon();
-				this.giveUpSoon(operation);
+				this.refuseAfterTimeout(operation);
 			} else if (urgency === 'urgent') {
 				this.startCommitting();
 			} else {
 				setTimeout(() => {
 					this.startCommitting();
-				}, patience);
+				}, batchDelay);
 			}
 
 			// The cast is sound: only decide() of this operation creates its outcome.
@@ -148,9 +148,9 @@
 	}
 
 	/** Whether the store has failed for a while; new operations then share one attempt and are refused if it fails. */
-	private isOut(): boolean {
+	private isInOutage(): boolean {
 		return this.isCommitting && this.failingSince !== undefined
-			&& this.services.clock.monotonic() - this.failingSince > outageDelay;
+			&& this.services.clock.monotonic() - this.failingSince > outageThreshold;
 	}
 
 	/**
@@ -168,20 +168,20 @@
 			if (this.endPause === endPause) {
 				endPause?.();
 			}
-		}, Math.max(0, this.pausedAt + shortestPause - this.services.clock.monotonic()));
+		}, Math.max(0, this.pausedAt + minOutagePause - this.services.clock.monotonic()));
 	}
 
 	/**
 	 * Operations that arrive during an attempt wait for it, since the store may answer. An attempt without an answer takes too
 	 * long, so the wait has its own timeout.
 	 */
-	private giveUpSoon(operation: Operation): void {
+	private refuseAfterTimeout(operation: Operation): void {
 		setTimeout(() => {
 			if (this.waiting.includes(operation) && this.failingSince !== undefined) {
 				this.waiting = this.waiting.filter(other => other !== operation);
 				refuse(operation, 'no-retry');
 			}
-		}, outagePatience);
+		}, outageTimeout);
 	}
 
 	/**
@@ -201,22 +201,22 @@
 		return Effect.gen({self: this}, function * () {
 			// Operations that arrive in the same turn of the event loop share one write.
 			yield * Effect.yieldNow;
-			let pause = firstPause;
+			let pause = minPause;
 			while (this.waiting.length > 0) {
 				const batch = this.waiting;
 				this.waiting = [];
 				const wasOut = this.failingSince !== undefined;
 				const isDone = yield * this.commit(batch);
 				if (isDone) {
-					pause = firstPause;
+					pause = minPause;
 					continue;
 				}
 
 				// After an outage the pauses start from the shortest again.
-				pause = wasOut && this.failingSince === undefined ? firstPause : pause;
+				pause = wasOut && this.failingSince === undefined ? minPause : pause;
 				this.waiting = [...this.expire(batch), ...this.waiting];
 				yield * this.pauseFor(pause * (0.5 + Math.random()));
-				pause = Math.min(longestPause, pause * 2);
+				pause = Math.min(maxPause, pause * 2);
 			}
 
 			this.isCommitting = false;
@@ -261,7 +261,7 @@
 
 			const entries = mergeEntries(snapshot, decisions);
 			const value = JSON.stringify(entries);
-			if (value.length > largestShard) {
+			if (value.length > maxShardSize) {
 				this.services.log.write('claimShardFull', {shard: this.key, characters: value.length});
 				return yield * refuseAll(batch, 'shard-full');
 			}
@@ -292,7 +292,7 @@
 				// The object must be read again: if only the answer was lost, it contains this write.
 				this.snapshot = undefined;
 				metrics.claimWrites.inc({outcome: error._tag === 'VersionConflict' ? 'conflict' : error.reason});
-				this.noteError(error);
+				this.recordError(error);
 				if (error._tag === 'StoreFailure') {
 					markMayBeRecorded(error.mayHaveApplied ? decisions : []);
 				}
@@ -304,7 +304,7 @@
 
 	private read(): Effect.Effect<Snapshot | undefined> {
 		const now = this.services.clock.monotonic();
-		if (this.snapshot && this.snapshot.readAt > now - longestCache) {
+		if (this.snapshot && this.snapshot.readAt > now - maxCacheAge) {
 			return Effect.succeed(this.snapshot);
 		}
 
@@ -314,7 +314,7 @@
 				this.isUnreadable = Result.isFailure(entries);
 				if (Result.isFailure(entries)) {
 					this.services.log.write('claimShardUnreadable', {shard: this.key, version: object.version});
-					this.noteFailure();
+					this.recordFailure();
 					return undefined;
 				}
 
@@ -329,22 +329,22 @@
 			}),
 			Effect.catch(error => Effect.sync(() => {
 				this.isUnreadable = false;
-				this.noteError(error);
+				this.recordError(error);
 				return undefined;
 			})),
 		);
 	}
 
 	/** A version conflict or a rate limit proves that the store is available: claims are retried until their deadline, as without an outage. */
-	private noteError(error: StoreFailure | VersionConflict): void {
+	private recordError(error: StoreFailure | VersionConflict): void {
 		if (error._tag === 'VersionConflict' || error.reason === 'throttled') {
 			this.failingSince = undefined;
 		} else {
-			this.noteFailure();
+			this.recordFailure();
 		}
 	}
 
-	private noteFailure(): void {
+	private recordFailure(): void {
 		this.failingSince ??= this.services.clock.monotonic();
 	}
 
@@ -353,12 +353,12 @@
 		const now = this.services.clock.monotonic();
 		// Operations that ended a pause are refused with the first attempt in which the store fails. A conflict with another box is not a failure of the store.
 		const isFailing = this.failingSince !== undefined;
-		const isOver = ({endsAt, endsPause}: Operation): boolean => endsAt <= now || (endsPause && isFailing);
-		for (const operation of batch.filter(one => isOver(one))) {
+		const isExpired = ({endsAt, endsPause}: Operation): boolean => endsAt <= now || (endsPause && isFailing);
+		for (const operation of batch.filter(one => isExpired(one))) {
 			refuse(operation, this.failureOf(operation, now));
 		}
 
-		return batch.filter(one => !isOver(one));
+		return batch.filter(one => !isExpired(one));
 	}
 
 	private failureOf({endsAt}: Operation, now: number): ClaimFailure {
--- a/src/claims/claim.ts
+++ b/src/claims/claim.ts
@@ -101,8 +101,8 @@
 	 * Records the final result of a claim. The claim of another attempt is not changed.
 	 *
 	 * @param request - The claimed request.
-	 * @param end - Its result.
+	 * @param settlement - Its result.
 	 * @returns Completes when the result is recorded.
 	 */
-	abstract settle(request: ClaimRequest, end: ClaimEnd): Effect.Effect<void, ClaimUnavailable>;
+	abstract settle(request: ClaimRequest, settlement: ClaimEnd): Effect.Effect<void, ClaimUnavailable>;
 }
--- a/src/claims/store-claim-ledger.ts
+++ b/src/claims/store-claim-ledger.ts
@@ -9,7 +9,7 @@
 import {ClaimShard, type ClaimDecision, type ClaimShardServices} from './claim-shard.js';
 
 /** Number of shards of an installation. All claims must have expired before it is changed. */
-export const claimShards = 16;
+export const shardCount = 16;
 
 const entryName = ({account, key}: ClaimName) => `${account}/${key}`;
 
@@ -18,7 +18,7 @@
  * @returns Number of the shard that stores it.
  */
 export function shardOf(request: ClaimName): number {
-	return hashText(entryName(request)) % claimShards;
+	return hashText(entryName(request)) % shardCount;
 }
 
 /** Records claims with conditional writes to shard objects. */
@@ -35,7 +35,7 @@
 
 	private constructor(private readonly services: ClaimShardServices) {
 		super();
-		this.shards = Array.from({length: claimShards}, (_, index) => ClaimShard.create(`claims/${index}`, services));
+		this.shards = Array.from({length: shardCount}, (_, index) => ClaimShard.create(`claims/${index}`, services));
 	}
 
 	override claim(request: ClaimRequest): Effect.Effect<ClaimOutcome, ClaimUnavailable> {
@@ -56,9 +56,9 @@
 		return this.shardFor(name).run(entryName(name), entry => ({write: undefined, outcome: entry}));
 	}
 
-	override settle(request: ClaimRequest, end: ClaimEnd): Effect.Effect<void, ClaimUnavailable> {
+	override settle(request: ClaimRequest, settlement: ClaimEnd): Effect.Effect<void, ClaimUnavailable> {
 		// A caller waits for a release, but no caller waits for the record that a request ran.
-		return this.shardFor(request).run(entryName(request), entry => decideEnd(request, end, entry), end._tag === 'Ran' ? 'patient' : 'urgent');
+		return this.shardFor(request).run(entryName(request), entry => decideSettlement(request, settlement, entry), settlement._tag === 'Ran' ? 'patient' : 'urgent');
 	}
 
 	private shardFor(request: ClaimName): ClaimShard {
@@ -87,13 +87,13 @@
 	};
 }
 
-function decideEnd(request: ClaimRequest, end: ClaimEnd, entry: ClaimEntry | undefined): ClaimDecision<void> {
+function decideSettlement(request: ClaimRequest, settlement: ClaimEnd, entry: ClaimEntry | undefined): ClaimDecision<void> {
 	if (entry?.attempt !== request.attempt || entry.state !== 'claimed') {
 		return {write: undefined, outcome: undefined};
 	}
 
 	return {
-		write: ClaimEnd.$match(end, {
+		write: ClaimEnd.$match(settlement, {
 			Released: (): ClaimEntry => ({...entry, state: 'released'}),
 			Ran: ({answer}): ClaimEntry => ({...entry, state: 'ran', ...(answer ? {answer} : {})}),
 		}),
--- a/src/claims/test/claim-outage-model.test.ts
+++ b/src/claims/test/claim-outage-model.test.ts
@@ -23,7 +23,7 @@
 /** Fraction of the calls that are rate-limited. */
 const throttledShare = 0.3;
 /** Maximum milliseconds of a call after an outage: half of the Retry-After time of a refused call. */
-const longestWait = 1000;
+const maxWait = 1000;
 
 type Outage = {
 	readonly from: number;
@@ -34,7 +34,7 @@
 };
 
 /** A store with an outage and with random latency. */
-class AwayStore extends ObjectStore {
+class OutageStore extends ObjectStore {
 	constructor(
 		private readonly objects: FakeObjects,
 		private readonly time: VirtualTime,
@@ -73,8 +73,8 @@
 		const travel = () => Effect.sleep(1 + (random() * 20));
 		return travel().pipe(
 			Effect.andThen(Effect.suspend((): Effect.Effect<Answer, Failure | StoreFailure> => {
-				const isAway = time.now >= outage.from && time.now < outage.until;
-				if (!isAway) {
+				const isInOutage = time.now >= outage.from && time.now < outage.until;
+				if (!isInOutage) {
 					return this.isThrottling ? Effect.fail(new StoreFailure({reason: 'throttled', mayHaveApplied: false, detail: 'rate limit'})) : act();
 				}
 
@@ -110,11 +110,11 @@
 		};
 		const objects = new FakeObjects(() => time.now);
 		const shardOf = () => ClaimShard.create(key, {
-			store: new AwayStore(objects, time, outage, random), clock: VirtualClock.create(time), log: SilentEventLog.create(), metrics: Metrics.create(),
+			store: new OutageStore(objects, time, outage, random), clock: VirtualClock.create(time), log: SilentEventLog.create(), metrics: Metrics.create(),
 		});
 		const [own, other] = [shardOf(), shardOf()];
 		const calls: Call[] = [];
-		const note = async (shard: ClaimShard, name: string) => Effect.runPromiseExit(shard.run(name, (_, storeTime) => ({
+		const record = async (shard: ClaimShard, name: string) => Effect.runPromiseExit(shard.run(name, (_, storeTime) => ({
 			write: {
 				attempt: name, fingerprint: 'f', state: 'ran', claimedAt: storeTime,
 			}, outcome: undefined,
@@ -134,8 +134,8 @@
 		await time.advance(outage.from - 10);
 		// A box retries the records of completed calls, for which no caller waits, during the whole outage.
 		for (let at = time.now; at < outage.until - 10; at += 700) {
-			void note(own, `own-${at}`);
-			void note(other, `other-${at}`);
+			void record(own, `own-${at}`);
+			void record(other, `other-${at}`);
 			await time.advance(Math.min(700, outage.until - 10 - time.now));
 		}
 
@@ -148,7 +148,7 @@
 			void call(`call-${count}`);
 			count++;
 			if (random() < 0.3) {
-				void note(other, `late-${count}`);
+				void record(other, `late-${count}`);
 			}
 
 			await time.advance(1 + (random() * spacing));
@@ -167,7 +167,7 @@
 	const broken = [];
 	for (let seed = 1; seed <= seeds; seed++) {
 		const calls = await play(seed, isThrottling);
-		const wrong = calls.filter(({refusal, at, endedAt}) => refusal !== undefined || endedAt - at > longestWait);
+		const wrong = calls.filter(({refusal, at, endedAt}) => refusal !== undefined || endedAt - at > maxWait);
 		broken.push(...wrong.map(({at, endedAt, refusal}) => ({
 			seed, at: Math.round(at), took: Math.round(endedAt - at), refusal,
 		})));
--- a/src/claims/test/claim-shard.test.ts
+++ b/src/claims/test/claim-shard.test.ts
@@ -24,14 +24,14 @@
 const shardOver = (store: FakeObjectStore) => ClaimShard.create('claims/0', {
 	store, clock: SystemClock.create(), log: SilentEventLog.create(), metrics: Metrics.create(),
 });
-const look = async (shard: ClaimShard, name: string) => Effect.runPromiseExit(shard.run(name, entry => ({write: undefined, outcome: entry})));
+const readEntry = async (shard: ClaimShard, name: string) => Effect.runPromiseExit(shard.run(name, entry => ({write: undefined, outcome: entry})));
 
 /** @returns A shard whose store has just become available again, and an operation that has waited for the whole outage. */
 async function afterOutage() {
 	const store = FakeObjectStore.create(new FakeObjects(() => performance.now()));
 	const shard = shardOver(store);
 	store.isOut = true;
-	const waiting = look(shard, 'a');
+	const waiting = readEntry(shard, 'a');
 	await pause(longOutage);
 	store.isOut = false;
 	return {shard, waiting};
@@ -39,20 +39,20 @@
 
 test('the first operation after an outage succeeds although the earlier operations are in a pause', async () => {
 	const {shard, waiting} = await afterOutage();
-	assert.ok(Exit.isSuccess(await look(shard, 'b')));
+	assert.ok(Exit.isSuccess(await readEntry(shard, 'b')));
 	assert.ok(Exit.isSuccess(await waiting));
 });
 
 test('operations that arrive during the first attempt after an outage are not refused', async () => {
 	const {shard, waiting} = await afterOutage();
 	const exits: Array<Promise<Exit.Exit<unknown, unknown>>> = [];
-	const back = new AbortController();
+	const recovered = new AbortController();
 	void waiting.then(() => {
-		back.abort();
+		recovered.abort();
 	});
 	// One of them arrives during the read of the attempt, which takes five milliseconds.
-	while (!back.signal.aborted) {
-		exits.push(look(shard, `b-${exits.length}`));
+	while (!recovered.signal.aborted) {
+		exits.push(readEntry(shard, `b-${exits.length}`));
 		await pause(1);
 	}
 
@@ -81,7 +81,7 @@
 	const store = FakeObjectStore.create(objects);
 	const shard = shardOver(store);
 	store.isOut = true;
-	const noted = Effect.runPromiseExit(shard.run('a', (_, storeTime) => ({
+	const recorded = Effect.runPromiseExit(shard.run('a', (_, storeTime) => ({
 		write: {
 			attempt: 'x', fingerprint: 'f', state: 'ran', claimedAt: storeTime,
 		}, outcome: undefined,
@@ -89,8 +89,8 @@
 	await pause(longOutage);
 	store.isOut = false;
 	objects.contested = 1;
-	assert.ok(Exit.isSuccess(await look(shard, 'b')));
-	assert.ok(Exit.isSuccess(await noted));
+	assert.ok(Exit.isSuccess(await readEntry(shard, 'b')));
+	assert.ok(Exit.isSuccess(await recorded));
 });
 
 test('during an outage only a few calls per second reach the store, and all operations are refused', async () => {
@@ -98,12 +98,12 @@
 	const store = FakeObjectStore.create(objects);
 	const shard = shardOver(store);
 	store.isOut = true;
-	const waiting = look(shard, 'a');
+	const waiting = readEntry(shard, 'a');
 	await pause(longOutage);
 	const before = objects.faults;
 	const exits = await Promise.all(Array.from({length: 200}, async (_, index) => {
 		await pause(index * 2);
-		return look(shard, `b-${index}`);
+		return readEntry(shard, `b-${index}`);
 	}));
 	assert.ok(exits.every(exit => Exit.isFailure(exit)));
 	assert.ok(objects.faults - before <= 10, `${objects.faults - before} calls`);
