--- a/src/duties/usage-duty.ts
+++ b/src/duties/usage-duty.ts
@@ -1,5 +1,5 @@
 /**
- * Reports the usage of each window once, with counts that stand in the store before they are sent.
+ * Reports the usage of each window once. The counts of a report are written to the store before it is sent.
  */
 import * as Effect from 'effect/Effect';
 import type {Clock} from '../base/clock.js';
@@ -11,70 +11,71 @@
 import type {DutyRecord} from './duty-record.js';
 import type {UsageCounts} from './usage-counts.js';
 
-/** Milliseconds after a window's end at which it is reported where every box has been heard. */
-const earliest = 1500;
-/** Milliseconds after a window's end at which it is reported whatever has been heard. */
-const latest = 4500;
+/** Milliseconds after the end of a window before it is reported, if gossip from every box has arrived. */
+const minReportAge = 1500;
+/** Milliseconds after the end of a window at which it is reported even if gossip from some boxes is missing. */
+const maxReportAge = 4500;
 
-/** Milliseconds by which boxes may differ in what they take for true time. */
-const timeSpread = 500;
+/** Largest difference between the clocks of two boxes, in milliseconds. */
+const maxClockSkew = 500;
 
-/** What the duty needs. */
+/** Dependencies of the duty. */
 export type UsageDutyServices = {
 	readonly lease: DutyLease;
 	readonly calls: DutyCalls;
 	readonly counts: UsageCounts;
 	readonly clock: Clock;
 	readonly log: EventLog;
-	/** @returns Milliseconds since 1970. */
+	/** @returns Milliseconds since 1970, on the clock that the boxes share. */
 	readonly trueTime: () => number;
-	/** @returns Milliseconds. */
+	/** @returns Length of a window in milliseconds. */
 	readonly windowLength: () => number;
-	/** @returns Milliseconds after a window's end at which a report is too late. */
+	/** @returns Milliseconds after the end of a window at which a report is too late. */
 	readonly delay: () => number;
-	/** @returns Whether every box that is there was heard so many milliseconds ago or less. */
+	/** @returns Whether gossip arrived from every known box within the given milliseconds. */
 	readonly hasHeardAll: (within: number) => boolean;
 };
 
-/** The duty. */
+/** Reports usage to the platform. */
 export class UsageDuty {
 	/**
-	 * @param services - What it needs.
+	 * @param services - Dependencies.
 	 * @returns The duty.
 	 */
 	static create(services: UsageDutyServices): UsageDuty {
 		return new UsageDuty(services);
 	}
 
-	/** The window that was last taken by the platform. */
-	private taken: number | undefined;
-	/** Windows from this one on were counted from their start by this box or told by others. */
+	/** The last window whose report the platform has accepted. */
+	private lastReported: number | undefined;
+	/** The window in which this process started; without a previous report, the counts of earlier windows may be incomplete. */
 	private readonly firstWindow: number;
 
 	private constructor(private readonly services: UsageDutyServices) {
 		this.firstWindow = Math.floor(services.trueTime() / services.windowLength());
 	}
 
-	/** @returns Does what is due; ends soon. */
+	/** @returns Sends the report that is due, if any. */
 	step(): Effect.Effect<void, StoreUnavailable | DutyTaken> {
 		return Effect.suspend(() => {
-			const standing = this.services.lease.known?.report;
-			if (standing && this.taken !== standing.window && this.ageOf(standing.window) < this.services.delay()) {
+			const decided = this.services.lease.known?.report;
+			if (decided && this.lastReported !== decided.window && this.ageOf(decided.window) < this.services.delay()) {
 				return this.send(undefined);
 			}
 
-			const due = this.dueWindow(standing?.window);
+			const due = this.dueWindow(decided?.window);
 			return due === undefined ? Effect.void : this.send(due);
 		});
 	}
 
 	/**
-	 * @param record - A record that the store, which came back from a copy, holds of the duties.
-	 * @returns The same without the windows whose reports it may have lost: counted anew they could differ.
+	 * @param record - The record of the duties after the store was restored from a backup.
+	 * @returns The record with `reportsFrom` after the windows whose reports the store may have lost. These are not
+	 * reported again, since their counts could differ.
 	 */
 	afterRestore(record: DutyRecord): DutyRecord {
 		const {trueTime, windowLength} = this.services;
-		const firstUndecided = Math.floor((trueTime() - earliest + timeSpread) / windowLength());
+		const firstUndecided = Math.floor((trueTime() - minReportAge + maxClockSkew) / windowLength());
 		return {...record, reportsFrom: Math.max(record.reportsFrom ?? 0, firstUndecided)};
 	}
 
@@ -90,7 +91,8 @@
 		const oldest = current - Math.ceil(delay() / windowLength());
 		const next = Math.max(last === undefined ? this.firstWindow : last + 1, oldest, this.services.lease.known?.reportsFrom ?? 0);
 		const age = this.ageOf(next);
-		const isDue = age >= latest || (age >= earliest && hasHeardAll(age - 300));
+		// Gossip from every box must have arrived at least 300 ms after the end of the window.
+		const isDue = age >= maxReportAge || (age >= minReportAge && hasHeardAll(age - 300));
 		return isDue && age < delay() ? next : undefined;
 	}
 
@@ -105,7 +107,7 @@
 
 			yield * calls.reportUsage(permit.signer, report).pipe(
 				Effect.map(() => {
-					this.taken = report.window;
+					this.lastReported = report.window;
 					log.write('usageReported', {window: report.window, fence: permit.signer.fence, requests: sumOf(report.counts.map(([, requests]) => requests))});
 				}),
 				Effect.catchTag('DutyRefusal', ({reason, detail}) => Effect.sync(() => {
