--- a/src/quarantine/blame.ts
+++ b/src/quarantine/blame.ts
@@ -1,50 +1,50 @@
 /**
- * Which requests the ends of replicas are put down to: as few as explain them all.
+ * Attributes crashes of replicas to requests: to the smallest set of requests that explains all crashes.
  *
  * @remarks
- * A replica takes all that runs there with it, so that most requests at an end only stood beside. The request that is common to
- * the most ends explains them; what is left of others is counted in the ends that are not explained yet (the greedy cover of a
- * set: V. Chvátal, "A greedy heuristic for the set-covering problem", Mathematics of Operations Research, 1979).
+ * A crash cuts off every request that the replica was running, so that most of them are innocent bystanders. The request that is common
+ * to the most crashes explains these; other requests are then counted only in the crashes that remain unexplained (greedy set cover:
+ * V. Chvátal, "A greedy heuristic for the set-covering problem", Mathematics of Operations Research, 1979).
  */
 import {getOrCreate} from '../base/get-or-create.js';
 import type {Fingerprint} from './fingerprint.js';
 
-/** A request that was at a replica when that ended. */
+/** A request that was running at a replica when the replica crashed. */
 export type Suspect = {
 	readonly fingerprint: Fingerprint;
-	/** Milliseconds for which it had been there. */
+	/** Milliseconds for which the request had been running there. */
 	readonly ranFor: number;
 };
 
-/** An end, as far as the blame is concerned. */
+/** The part of a crash that attribution needs. */
 export type BlamedEnd = {
-	/** Names the start of the replica that ended. */
+	/** Identifies the start (incarnation) of the replica that crashed. */
 	readonly start: string;
-	/** Requests that were at the replica. */
+	/** Requests that were running at the replica. */
 	readonly suspects: readonly Suspect[];
 };
 
-/** What is put down to one request. */
+/** Crashes that are attributed to one request. */
 export type Blame = {
-	/** Starts of the replicas whose ends it explains. */
+	/** Starts of the replicas whose crashes the request explains. */
 	readonly starts: readonly string[];
-	/** Whether another request, at as many ends, was at all of these but one at most, so that either may be the one. */
+	/** Whether another request with as many crashes was running at all but at most one of these, so that either may be the cause. */
 	readonly isShared: boolean;
 };
 
-/** Ends from which on a request explains others' ends: what was at one alone may have stood beside. */
+/** Min. crashes at which a request explains a crash for the other requests there: a request at a single crash may be a bystander. */
 const leastExplaining = 2;
-/** Ends by which two must differ to be told apart: one by itself may be a replica that ended for a reason of its own. */
+/** Max. crashes by which two indistinguishable requests differ: a single crash may have an unrelated cause. */
 const mostApart = 1;
-/** How many times longer all others must have been at one of their ends, for the one that ended every replica quickly to be told from them. */
+/** How many times longer every other request must have run before one of its crashes, for the request with the shortest runs to be the cause. */
 const quickness = 2;
 
-/** The ends at which a request was, and the longest time it was there. */
+/** The crashes at which a request was running, and its longest run before one of them in milliseconds. */
 type Presence = {readonly fingerprint: Fingerprint; readonly starts: string[]; longest: number};
 
 /**
- * @param ends - All ends.
- * @returns What is put down to whom, the most to the first; a request that is absent only stood beside.
+ * @param ends - All crashes.
+ * @returns The crashes attributed to each request, in descending order of their number; a request that is absent was only a bystander.
  */
 export function blameFor(ends: readonly BlamedEnd[]): ReadonlyMap<Fingerprint, Blame> {
 	const blames = new Map<Fingerprint, Blame>();
@@ -67,7 +67,7 @@
 	}
 }
 
-/** A request that ends replicas does so soon after it begins; who stands beside was there for any time. */
+/** A request that crashes replicas does so soon after it begins; a bystander has run for an arbitrary time. */
 function quickestOf(presences: readonly Presence[]): Presence | undefined {
 	const [first, second] = [...presences].sort((left, right) => left.longest - right.longest);
 	return first && (!second || first.longest * quickness <= second.longest) ? first : undefined;
--- a/src/quarantine/end-ledger.ts
+++ b/src/quarantine/end-ledger.ts
@@ -1,15 +1,16 @@
 /**
- * The ends of replicas with the requests that were there, and the requests that were served since, as all boxes tell them. Sets that
- * only grow until they lapse: boxes that heard the same, in whichever order and however often, know the same.
+ * Crashes of replicas with the requests that were running there, and the requests that have completed since, as reported by all boxes.
+ * Both are grow-only sets whose entries expire: boxes that received the same updates, in any order and any number of times, have the
+ * same state.
  */
 import type {Clock} from '../base/clock.js';
 import {getOrCreate} from '../base/get-or-create.js';
 import type {Suspect} from './blame.js';
 import type {Fingerprint} from './fingerprint.js';
 
-/** A replica that ended under requests. */
+/** A replica that crashed while it ran requests. */
 export type ReplicaEnd = {
-	/** Names the start of the replica. */
+	/** Identifies the start (incarnation) of the replica. */
 	readonly start: string;
 	readonly service: string;
 	/** Version of the software that it ran. */
@@ -17,47 +18,50 @@
 	readonly suspects: readonly Suspect[];
 };
 
-/** An end as it is told: its age is in milliseconds. */
+/** A crash as it is sent to other boxes; its age is in milliseconds. */
 export type ToldEnd = ReplicaEnd & {readonly age: number};
 
-/** A request that a replica ran without ending, and the milliseconds since. */
+/** A request that a replica ran without a crash, and the milliseconds since. */
 export type ToldCompletion = {readonly fingerprint: Fingerprint; readonly age: number};
 
-/** What boxes tell each other of ends. */
+/** An update that boxes send to each other. */
 export type EndNews = {
 	readonly ends: readonly ToldEnd[];
 	readonly completions: readonly ToldCompletion[];
 };
 
-/** An end that is known, and its moment by this box's monotonic clock. */
+/** A known crash, with its time by this box's monotonic clock. */
 export type KnownEnd = ReplicaEnd & {readonly at: number};
 
-/** Milliseconds for which an end counts. A request that comes again after that must end as many replicas anew. */
+/** Milliseconds for which a crash counts. After that a request is quarantined only once it has crashed as many replicas again. */
 export const endLifetime = 1_800_000;
-/** Milliseconds for which a box tells what it has seen itself: some rounds, since datagrams are lost. */
+/** Milliseconds for which a box sends its own observations: several gossip rounds, since datagrams are lost. */
 const newsTime = 5000;
-/** Bounds of memory, 5.2 MB of heap when all are reached; clients may invent bodies. Of more ends the oldest are given up. */
+/** Bounds on memory (5.2 MB of heap when all are reached), since clients may send any number of distinct bodies. Past it the oldest crash is dropped. */
 const mostEnds = 256;
 const mostSuspects = 64;
 const mostCompletions = 1024;
-/** Ends of either sort in one message, with all their requests 3.5 KB where each box tells all, 1.2 KB where an aggregator answers hundreds a second. */
+/**
+ * Max. crashes of either sort (own and needed) in one message. With all their requests these take 3.5 KB in a small fleet, where each box
+ * sends to all boxes, and 1.2 KB in a large fleet, where an aggregator answers hundreds of messages a second.
+ */
 export const mostEndsTold = {small: 12, large: 4} as const;
 const mostSuspectsTold = 12;
 const mostCompletionsTold = 16;
-/** Ends of one request that are told: what others need to know that it is kept away. */
+/** Max. crashes sent for one request: as many as other boxes need to quarantine it. */
 const mostEndsOfOne = 5;
-/** Ends from which on all boxes must know of a request. */
+/** Min. crashes of a request from which all boxes must know of it. */
 const leastTelling = 2;
 
 type Sighting = {readonly ownUntil: number; readonly ranFor: number};
 type Completion = {readonly at: number; readonly ownUntil: number};
 type End = Omit<ReplicaEnd, 'suspects'> & {readonly at: number; readonly suspects: Map<Fingerprint, Sighting>};
 
-/** The ledger of one box. */
+/** The crash ledger of one box. */
 export class EndLedger {
 	/**
-	 * @param clock - For ages.
-	 * @returns A ledger that knows of no end.
+	 * @param clock - For the age of entries.
+	 * @returns An empty ledger.
 	 */
 	static create(clock: Clock): EndLedger {
 		return new EndLedger(clock);
@@ -65,24 +69,24 @@
 
 	private readonly ends = new Map<string, End>();
 	private readonly completions = new Map<Fingerprint, Completion>();
-	/** Starts of the replicas that ended under a request. */
+	/** Starts of the replicas that crashed while they ran a request. */
 	private readonly startsOf = new Map<Fingerprint, Set<string>>();
 	private changeCount = 0;
 	private tellings = 0;
 
 	private constructor(private readonly clock: Clock) {}
 
-	/** Whether nobody is suspected. */
+	/** Whether no request is suspected. */
 	get isEmpty(): boolean {
 		return this.startsOf.size === 0;
 	}
 
-	/** Rises with each change. */
+	/** Number of changes so far. */
 	get changes(): number {
 		return this.changeCount;
 	}
 
-	/** All ends, each with the requests that were not served since; with none, it was for another cause. */
+	/** All crashes, each with the requests that have not completed since; a crash without any had another cause. */
 	get known(): readonly KnownEnd[] {
 		this.dropLapsed();
 		return [...this.ends.values()].map(({start, service, software, at, suspects}) => ({
@@ -92,24 +96,24 @@
 
 	/**
 	 * @param fingerprint - A request.
-	 * @returns Whether a replica ended under it, and none has served it since.
+	 * @returns Whether a replica crashed while it ran the request, and no replica has completed it since.
 	 */
 	isSuspected(fingerprint: Fingerprint): boolean {
 		return this.startsOf.has(fingerprint);
 	}
 
 	/**
-	 * Notes an end that this box has seen.
+	 * Records a crash that this box observed.
 	 *
-	 * @param end - The end; more requests may be added to it later.
-	 * @param at - Monotonic milliseconds.
+	 * @param end - The crash; more requests may be added to it later.
+	 * @param at - Time of the crash, in monotonic milliseconds.
 	 */
 	noteEnd(end: ReplicaEnd, at: number): void {
 		this.addEnd(end, at, this.clock.monotonic() + newsTime);
 	}
 
 	/**
-	 * Notes that a replica ran a request at this box without ending.
+	 * Records that a replica ran a request of this box without a crash.
 	 *
 	 * @param fingerprint - The request.
 	 */
@@ -118,7 +122,7 @@
 		this.addCompletion(fingerprint, now, now + newsTime);
 	}
 
-	/** @param news - What another box tells. */
+	/** @param news - The update that another box sent. */
 	take({ends, completions}: EndNews): void {
 		const now = this.clock.monotonic();
 		for (const {fingerprint, age} of completions) {
@@ -131,9 +135,9 @@
 	}
 
 	/**
-	 * @param isWhole - Whether all is told that other boxes must know, not only what is new.
-	 * @param most - Ends of either sort that fit.
-	 * @returns What to tell; `undefined` where there is nothing.
+	 * @param isWhole - Whether to include all that other boxes must know, not only recent crashes.
+	 * @param most - Max. crashes of either sort (own and needed).
+	 * @returns The update to send; `undefined` where there is nothing to send.
 	 */
 	told(isWhole: boolean, most: number): EndNews | undefined {
 		if (this.ends.size === 0) {
@@ -150,7 +154,7 @@
 		return ends.length + completions.length > 0 ? {ends, completions} : undefined;
 	}
 
-	/** Of what this box alone has seen, and of what all boxes must know, a part goes with each message, in turn: a message stays small. */
+	/** Each message carries the next part of the own observations and of the crashes that all boxes must know, to keep it small. */
 	private endsToTell(now: number, isWhole: boolean, most: number): readonly ToldEnd[] {
 		const newest = [...this.ends.values()].reverse();
 		const own = newest.flatMap(end => this.toldOf(end, now, (_, {ownUntil}) => ownUntil > now));
@@ -162,7 +166,7 @@
 		return [...partOf(own, part, most), ...partOf(needed, part, most)];
 	}
 
-	/** Whether others must know of this end, to know that the request is kept from replicas. */
+	/** Whether other boxes must know of this crash, to know that the request is quarantined. */
 	private isNeeded(start: string, fingerprint: Fingerprint): boolean {
 		const starts = [...this.startsOf.get(fingerprint) ?? []];
 		return starts.length >= leastTelling && starts.slice(-mostEndsOfOne).includes(start);
@@ -192,7 +196,7 @@
 	private addSuspect({start, at, suspects}: End, suspect: Fingerprint, sighting: Sighting): void {
 		const completion = this.completions.get(suspect);
 		if (completion && completion.at >= at) {
-			// Who still suspects it has not heard that it was served.
+			// The box that still suspects the request has not received its completion: send it again.
 			this.completions.set(suspect, {...completion, ownUntil: this.clock.monotonic() + newsTime});
 			return;
 		}
@@ -213,7 +217,7 @@
 			return;
 		}
 
-		// Set anew, so that the newest stand last.
+		// Inserted again, so that the newest are last.
 		this.completions.delete(fingerprint);
 		this.completions.set(fingerprint, {at, ownUntil: Math.max(ownUntil, known?.ownUntil ?? 0)});
 		const [oldest] = this.completions.keys();
@@ -268,7 +272,7 @@
 	return [...sightings].map(([fingerprint, {ranFor}]) => ({fingerprint, ranFor}));
 }
 
-/** A part of a list, the next one each time. */
+/** The given part of a list, of at most `most` entries; the number wraps round at the end of the list. */
 function partOf(ends: readonly ToldEnd[], part: number, most: number): readonly ToldEnd[] {
 	const first = (part * most) % Math.max(1, Math.ceil(ends.length / most) * most);
 	return ends.slice(first, first + most);
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a request that ends replicas from running again, at whichever box it comes. Without it one such request, sent every 0.3 s to
- * four boxes before eight replicas, ended 19 in 7.2 s; with it four, one run of the test `poison-request` each.
+ * Quarantines requests that crash replicas (poison requests), at all boxes. Without it one such request, sent every 0.3 s to four boxes
+ * with eight replicas, crashed 19 replicas in 7.2 s; with it four (test `poison-request`).
  *
  * @remarks Source: docs/DESIGN.md, "Requests that end replicas".
  */
@@ -16,42 +16,46 @@
 import type {Fingerprint} from './fingerprint.js';
 
 /**
- * How a request stands.
- * - `sound`: nothing speaks against it.
- * - `suspect`: one replica ended under it; it stays away from other suspects, so that the next end tells them apart.
- * - `trial`: two did, or nobody can tell it from another: one run at a time, where it takes the fewest with it.
+ * Status of a request.
+ * - `sound`: no crash is attributed to it.
+ * - `suspect`: one crash is attributed to it. It runs on other replicas than other suspects, so that the next crash distinguishes them.
+ * - `trial`: two crashes are attributed to it, or it cannot be distinguished from another request. It runs once at a time, at a replica
+ *   with few other requests.
  * - `quarantined`: it is not run.
  */
 export type Standing = 'sound' | 'suspect' | 'trial' | 'quarantined';
 
-/** Ends put down to a request from which on it runs alone. */
+/** Min. crashes attributed to a request for a trial. */
 const trialEnds = 2;
-/** Ends from which on it is not run, where replicas end for no other cause. */
+/** Min. crashes for the quarantine, where replicas crash for no other cause. */
 const quarantineEnds = 3;
-/** The same at most: where replicas end on and on, an innocent request may well have stood beside three; and where another was at all of them. */
+/**
+ * Min. crashes for the quarantine where replicas crash all the time, since an innocent request may then have been at three crashes by
+ * chance, and where another request was at all of the crashes.
+ */
 const mostQuarantineEnds = 5;
-/** Milliseconds before its last end in which ends without it tell how likely it stood beside by chance. */
+/** Milliseconds before the last crash of a request in which crashes without it count towards the probability of a coincidence. */
 const chanceWindow = 10_000;
 /**
- * Milliseconds until a request that is kept away is tried once more: it may have been innocent all the same. Up to twice as many by its
- * fingerprint, so that those kept away together are not tried together.
+ * Milliseconds until a quarantined request gets another trial, since it may be innocent. Spread by fingerprint up to twice the value, so
+ * that requests that were quarantined together are not tried together.
  */
 const firstRelease = 20_000;
-/** How many times longer than the last pause the next one is. */
+/** Factor by which the delay grows with each further trial. */
 const releaseGrowth = 10;
-/** Milliseconds after an end from which bytes from that start of the replica prove that it goes on: those before may have waited in a buffer. */
+/** Milliseconds after a reported crash from which bytes of the same start prove that the replica is alive: earlier bytes may have been buffered. */
 const contradictedAfter = 500;
-/** Milliseconds for which a judgement is kept while no news comes; what replicas answer meanwhile changes it too. */
+/** Milliseconds for which an assessment is cached while the ledger does not change; answers of replicas change it too. */
 const judgementLifetime = 100;
 
-/** What the quarantine needs. */
+/** Dependencies of the quarantine. */
 export type QuarantineServices = {
 	readonly clock: Clock;
 	readonly log: EventLog;
 	readonly replicas: ReplicaDirectory;
-	/** @returns Whether this box, of all that are heard, is the one that tries a request once more. */
+	/** @returns Whether this box is the one of all reachable boxes that runs the trial of a quarantined request. */
 	readonly isOwner: (fingerprint: Fingerprint) => boolean;
-	/** @returns Fingerprints that an operator lets run whatever they did. */
+	/** @returns Fingerprints that an operator has exempted from the quarantine. */
 	readonly released: () => readonly string[];
 };
 
@@ -66,17 +70,17 @@
 /** The quarantine of one box. */
 export class Quarantine {
 	/**
-	 * @param services - What it needs.
-	 * @returns A quarantine that keeps nothing away.
+	 * @param services - Its dependencies.
+	 * @returns A quarantine without any requests.
 	 */
 	static create(services: QuarantineServices): Quarantine {
 		return new Quarantine(services);
 	}
 
 	private readonly ledger: EndLedger;
-	/** Starts of replicas at which this box runs requests that are not sound. */
+	/** Starts of the replicas at which this box runs requests that are not sound, by request. */
 	private readonly running = new Map<Fingerprint, string[]>();
-	/** Those that the log has told of. */
+	/** Requests whose quarantine has been logged. */
 	private logged: ReadonlySet<Fingerprint> = new Set();
 	private judgement: Judgement | undefined;
 
@@ -84,27 +88,27 @@
 		this.ledger = EndLedger.create(services.clock);
 	}
 
-	/** Whether any request is suspected: only then it is worth to know which one comes. */
+	/** Whether any request is suspected; otherwise callers can skip computing fingerprints. */
 	get isWatching(): boolean {
 		return !this.ledger.isEmpty;
 	}
 
 	/**
 	 * @param fingerprint - A request.
-	 * @returns Whether a replica ended under it, and none has served it since.
+	 * @returns Whether a replica crashed while it ran the request, and no replica has completed it since.
 	 */
 	isSuspected(fingerprint: Fingerprint): boolean {
 		return this.ledger.isSuspected(fingerprint);
 	}
 
-	/** Fingerprints of the requests that are not run now. */
+	/** Fingerprints of the requests that are quarantined now. */
 	get kept(): readonly Fingerprint[] {
 		return this.isWatching ? [...this.judge().blames.keys()].filter(fingerprint => this.standingOf(fingerprint) === 'quarantined') : [];
 	}
 
 	/**
 	 * @param fingerprint - A request.
-	 * @returns How it stands.
+	 * @returns Its status.
 	 */
 	standingOf(fingerprint: Fingerprint): Standing {
 		if (!this.ledger.isSuspected(fingerprint) || this.services.released().includes(fingerprint)) {
@@ -131,22 +135,22 @@
 	}
 
 	/**
-	 * @param fingerprint - A request that is kept away.
-	 * @returns Milliseconds until it is tried once more.
+	 * @param fingerprint - A quarantined request.
+	 * @returns Milliseconds until its next trial.
 	 */
 	keptFor(fingerprint: Fingerprint): number {
 		const {blames, ends} = this.judge();
 		const moments = (blames.get(fingerprint)?.starts ?? []).map(start => ends.get(start)!.at).sort((left, right) => right - left);
 		const [last = 0, before = last] = moments;
 		const gap = last - before;
-		// A shorter gap is none that a release has ended.
+		// After a shorter gap the last crash was not that of a trial after quarantine.
 		const pause = gap < firstRelease ? firstRelease : gap * releaseGrowth;
 		return Math.max(0, last + Math.min(pause * (1 + shareOf(fingerprint)), endLifetime) - this.services.clock.monotonic());
 	}
 
 	/**
 	 * @param fingerprint - A request.
-	 * @returns Whether this box runs it now.
+	 * @returns Whether this box is running it now, with a status other than `sound`.
 	 */
 	isRunning(fingerprint: Fingerprint): boolean {
 		return this.running.has(fingerprint);
@@ -154,10 +158,11 @@
 
 	/**
 	 * @param fingerprint - A request.
-	 * @param standing - How it stands.
-	 * @param candidates - Replicas that may get it; at least one.
-	 * @returns Those that it may go to as it stands: one alone where it is tried, none where all have others that are not sound. Boxes that
-	 * try several requests at once choose different replicas without talking, so that the next end tells them apart.
+	 * @param standing - Its status.
+	 * @param candidates - Replicas that could run it; at least one.
+	 * @returns The replicas that its status permits: a single one for a trial, none where all are running other requests that are not sound.
+	 * Boxes that run trials of different requests at once choose different replicas without communication, so that the next crash
+	 * distinguishes them.
 	 */
 	bounded(fingerprint: Fingerprint, standing: Standing, candidates: readonly Replica[]): readonly Replica[] {
 		if (standing === 'sound') {
@@ -173,11 +178,11 @@
 	}
 
 	/**
-	 * Notes that a request that is not sound begins at a replica.
+	 * Records that a request that is not sound begins to run at a replica.
 	 *
 	 * @param fingerprint - The request.
 	 * @param start - Start of the replica.
-	 * @returns Call it when the run has ended.
+	 * @returns A function to call when the run has ended.
 	 */
 	begin(fingerprint: Fingerprint, start: string): () => void {
 		this.running.set(fingerprint, [...this.running.get(fingerprint) ?? [], start]);
@@ -193,11 +198,11 @@
 	}
 
 	/**
-	 * Notes an end that this box has seen.
+	 * Records a crash that this box observed.
 	 *
 	 * @param replica - The replica.
-	 * @param suspects - Requests that it took with it.
-	 * @param at - Monotonic milliseconds of the first cut.
+	 * @param suspects - Requests that the crash cut off.
+	 * @param at - Time at which the first request was cut off, in monotonic milliseconds.
 	 */
 	noteEnd(replica: Replica, suspects: readonly Suspect[], at: number): void {
 		const {start, entry: {service, software}} = replica;
@@ -207,7 +212,7 @@
 	}
 
 	/**
-	 * Notes that a replica ran a request without ending.
+	 * Records that a replica ran a request without a crash.
 	 *
 	 * @param fingerprint - The request.
 	 */
@@ -215,26 +220,26 @@
 		this.ledger.noteCompletion(fingerprint);
 	}
 
-	/** @param news - What another box tells. */
+	/** @param news - The update that another box sent. */
 	take(news: EndNews): void {
 		this.ledger.take(news);
 	}
 
 	/**
-	 * @param isWhole - Whether all is told that other boxes must know, not only what is new.
-	 * @param most - Ends of either sort that fit.
-	 * @returns What to tell other boxes; `undefined` where there is nothing.
+	 * @param isWhole - Whether to include all that other boxes must know, not only recent crashes.
+	 * @param most - Max. crashes of either sort (own and needed).
+	 * @returns The update to send to other boxes; `undefined` where there is nothing to send.
 	 */
 	told(isWhole: boolean, most: number): EndNews | undefined {
 		return this.ledger.told(isWhole, most);
 	}
 
-	/** Tried by one box alone, so that the next end is one. */
+	/** Only one box runs the trial, so that it crashes at most one replica. */
 	private isReleased(fingerprint: Fingerprint): boolean {
 		return this.keptFor(fingerprint) === 0 && this.services.isOwner(fingerprint);
 	}
 
-	/** Replicas at which this box runs no other request that is not sound. */
+	/** Filters out replicas at which this box runs a request that is not sound. */
 	private apart(candidates: readonly Replica[]): readonly Replica[] {
 		const taken = new Set([...this.running.values()].flat());
 		return candidates.filter(({start}) => !taken.has(start));
@@ -254,7 +259,7 @@
 		return this.judgement;
 	}
 
-	/** Those with the most ends come first, so that the ends of one that is kept away speak for the next one no more. */
+	/** Requests with the most crashes come first; the crashes of a quarantined request no longer raise the threshold of the next ones. */
 	private quarantinedOf(blames: ReadonlyMap<Fingerprint, Blame>, ends: readonly KnownEnd[]): ReadonlySet<Fingerprint> {
 		const quarantined = new Set<Fingerprint>();
 		let open = ends;
@@ -269,8 +274,9 @@
 	}
 
 	/**
-	 * More than as many ends as a request that is always at one of the replicas is at by chance. Ends whose requests were all served since count
-	 * too; later ones do not, or a request that is kept away would run again as soon as replicas end for another reason.
+	 * More crashes than a request that is always running at one of the replicas would be at by chance. Crashes whose requests have all
+	 * completed since count too. Crashes after the last one of the request do not count: otherwise a quarantined request would run again
+	 * as soon as replicas crash for another reason.
 	 */
 	private neededEnds(starts: readonly string[], ends: readonly KnownEnd[]): number {
 		const own = ends.filter(({start}) => starts.includes(start));
@@ -280,13 +286,13 @@
 		return Math.min(mostQuarantineEnds, quarantineEnds + Math.round(others.length / replicas));
 	}
 
-	/** A box that is cut off takes replicas for ended that go on; whoever hears them knows better. */
+	/** Drops crashes of replicas that have answered since: a box that is partitioned reports live replicas as crashed. */
 	private uncontradicted(): readonly KnownEnd[] {
 		const answeredAt = new Map(this.services.replicas.all.map(replica => [replica.start, replica.lastAnsweredAt]));
 		return this.ledger.known.filter(({start, at}) => (answeredAt.get(start) ?? Number.NEGATIVE_INFINITY) <= at + contradictedAfter);
 	}
 
-	/** Whether the service runs other software by now, which may bear the request. */
+	/** Whether all ready replicas of the service run other software by now, which may handle the request without a crash. */
 	private isReplaced({service, software}: KnownEnd): boolean {
 		const ready = this.services.replicas.ready(service);
 		return ready.length > 0 && ready.every(({entry}) => entry.software !== software);
@@ -300,7 +306,7 @@
 	}
 }
 
-/** One of the half with the least work: what ends there takes the fewest with it. */
+/** Picks one of the half of the replicas with the fewest requests, so that a crash cuts off few. */
 function trialReplica(fingerprint: Fingerprint, candidates: readonly Replica[]): Replica {
 	const byWork = candidates
 		.map(replica => ({replica, requests: replica.work.requests}))
--- a/src/quarantine/test/blame.test.ts
+++ b/src/quarantine/test/blame.test.ts
@@ -12,28 +12,28 @@
 
 const told = (list: readonly BlamedEnd[]) => Object.fromEntries([...blameFor(list)].map(([name, {starts, isShared}]) => [name, `${starts.length}${isShared ? ' shared' : ''}`]));
 
-test('the request that is common to the ends explains them, and those beside it are not counted', () => {
+test('crashes are attributed to the request that is common to all of them, and not to bystanders', () => {
 	assert.deepEqual(told(ends('x a b', 'x c', 'x a d')), {x: '3'});
 });
 
-test('a request that was at fewer of the ends than another is counted in what is left alone', () => {
+test('a request that was at fewer crashes than another is counted only in those that remain unexplained', () => {
 	assert.deepEqual(told(ends('x a', 'x a', 'x', 'x', 'a')), {x: '4', a: '1'});
 });
 
-test('two that were at the same ends cannot be told apart, until one runs without the other', () => {
+test('two requests that were at the same crashes cannot be distinguished until one runs without the other', () => {
 	assert.deepEqual(told(ends('x a', 'x a', 'x a')), {x: '3 shared', a: '3 shared'});
-	assert.deepEqual(told(ends('x a', 'x a', 'x', 'a')), {x: '3 shared', a: '3 shared'}, 'each may have been at one end of another cause');
+	assert.deepEqual(told(ends('x a', 'x a', 'x', 'a')), {x: '3 shared', a: '3 shared'}, 'each may have been at one crash with another cause');
 	assert.deepEqual(told(ends('x a', 'x a', 'x a', 'x')), {x: '4'});
 });
 
-test('ends that have nobody in common, as of a rack, are put down to nobody more than once', () => {
+test('of crashes without a common request, such as those of a whole rack, at most one is attributed to each request', () => {
 	assert.deepEqual(told(ends('a b', 'c', 'd e f')), {
 		a: '1 shared', b: '1 shared', c: '1 shared', d: '1 shared', e: '1 shared', f: '1 shared',
 	});
 	assert.deepEqual(told([]), {});
 });
 
-test('of two that were at the same ends the one that was there for a short time at each is the one', () => {
+test('of two requests that were at the same crashes, the one that had run for a short time at each is the cause', () => {
 	assert.deepEqual(told(ends('x:60 a:30', 'x:70 a:300', 'x:60 a:140')), {x: '3'});
 	assert.deepEqual(told(ends('x:60 a:30', 'x:70 a:90', 'x:60 a:100')), {x: '3 shared', a: '3 shared'});
 });
--- a/src/quarantine/test/end-ledger.test.ts
+++ b/src/quarantine/test/end-ledger.test.ts
@@ -19,14 +19,14 @@
 
 const knownOf = (ledger: EndLedger) => ledger.known.map(({start, suspects}) => `${start}: ${suspects.map(({fingerprint}) => fingerprint).sort().join(' ')}`).sort();
 
-test('what is told by several boxes of one end is one end', () => {
+test('reports of several boxes about one crash are merged into one crash', () => {
 	const {ledger} = ledgerAt();
 	ledger.noteEnd(end('i-1', x), 10_000);
 	ledger.take({ends: [{...end('i-1', a), age: 40}], completions: []});
 	assert.deepEqual(knownOf(ledger), [`i-1: ${a} ${x}`]);
 });
 
-test('who was served after an end is not suspected for it, whichever of the two is heard first', () => {
+test('a request that completed after a crash is not suspected of it, whichever of the two updates is received first', () => {
 	const news: readonly EndNews[] = [{ends: [{...end('i-1', x, a), age: 500}], completions: []}, {ends: [], completions: [{fingerprint: a, age: 200}]}];
 	for (const order of [news, [...news].reverse()]) {
 		const {ledger} = ledgerAt();
@@ -39,7 +39,7 @@
 	}
 });
 
-test('who was served before an end is suspected for it', () => {
+test('a request that completed before a crash is suspected of it', () => {
 	const {clock, ledger} = ledgerAt();
 	ledger.noteCompletion(x);
 	clock.now += 10;
@@ -47,12 +47,12 @@
 	assert.equal(ledger.isSuspected(x), true);
 });
 
-test('a box that starts late or was cut off is told what all must know, and not who stood beside', () => {
+test('a box that starts later or was partitioned is sent what all boxes must know, without bystanders', () => {
 	const {clock, ledger} = ledgerAt();
 	ledger.noteEnd(end('i-1', x, a), clock.now);
 	ledger.noteEnd(end('i-2', x), clock.now);
 	ledger.noteEnd(end('i-3', x), clock.now);
-	assert.equal(ledger.told(false, mostEndsTold.small)?.ends.length, 3, 'all are new');
+	assert.equal(ledger.told(false, mostEndsTold.small)?.ends.length, 3, 'all crashes are recent');
 	clock.now += 60_000;
 	assert.equal(ledger.told(false, mostEndsTold.small), undefined);
 	const late = ledgerAt(clock.now);
@@ -60,7 +60,7 @@
 	assert.deepEqual(knownOf(late.ledger), [`i-1: ${x}`, `i-2: ${x}`, `i-3: ${x}`]);
 });
 
-test('who still suspects a request that was served is told so', () => {
+test('a box that still suspects a completed request is sent the completion', () => {
 	const {clock, ledger} = ledgerAt();
 	const cutOff = ledgerAt();
 	for (const start of ['i-1', 'i-2']) {
@@ -78,7 +78,7 @@
 	assert.equal(cutOff.ledger.isSuspected(a), false);
 });
 
-test('an end lapses, and is not taken from others after that', () => {
+test('a crash expires, and is not accepted from other boxes after that', () => {
 	const {clock, ledger} = ledgerAt();
 	ledger.noteEnd(end('i-1', x), clock.now);
 	clock.now += endLifetime + 1;
@@ -88,7 +88,7 @@
 	assert.equal(ledger.isEmpty, true);
 });
 
-test('a client that invents bodies fills no memory and no datagram', () => {
+test('a client that sends many distinct bodies exhausts neither memory nor datagrams', () => {
 	const {clock, ledger} = ledgerAt();
 	for (let index = 0; index < 2000; index++) {
 		clock.now += 1;
@@ -100,11 +100,11 @@
 	assert.ok(JSON.stringify(ledger.told(true, mostEndsTold.small)).length < 8000);
 });
 
-test('boxes that heard the same, in any order and any number of times, know the same', () => {
+test('boxes that received the same updates, in any order and any number of times, have the same state', () => {
 	const suspects = fc.subarray(['a', 'b', 'c', 'd'].map(letter => Fingerprint(letter.repeat(12))), {minLength: 1});
 	const told = fc.oneof(
 		fc.record({start: fc.constantFrom('i-1', 'i-2', 'i-3'), suspects}).map(({start, suspects: named}): EndNews => ({
-			// An end has one moment, whoever tells it.
+			// A crash has one time, whichever box reports it.
 			ends: [{...end(start, ...named), age: Number(start.slice(2)) * 1000}], completions: [],
 		})),
 		fc.record({fingerprint: fc.constantFrom(x, a, Fingerprint('b'.repeat(12))), age: fc.integer({min: 0, max: 4000})}).map((completion): EndNews => ({ends: [], completions: [completion]})),
--- a/src/quarantine/test/fingerprint.test.ts
+++ b/src/quarantine/test/fingerprint.test.ts
@@ -7,14 +7,14 @@
 	method: 'POST', target: '/a/b?c=1', clientAccount: 'basin', body: Buffer.from('{"question":"one"}'),
 };
 
-test('a request has the same fingerprint whenever it comes, and another one with any part changed', () => {
+test('the fingerprint of a request is stable, and changes with any part of the request', () => {
 	const changed: ReadonlyArray<Partial<RequestIdentity>> = [
 		{method: 'PUT'},
 		{target: '/a/b?c=2'},
 		{clientAccount: 'delta'},
 		{clientAccount: undefined},
 		{body: Buffer.from('{"question":"two"}')},
-		// Parts that run into each other must not make two requests alike.
+		// The boundaries between the parts count: requests that are equal when their parts are concatenated differ.
 		{target: '/a/b?c=1","basin', clientAccount: undefined},
 	];
 	const fingerprints = [usual, ...changed.map(change => ({...usual, ...change}))].map(identity => fingerprintOf(identity));
--- a/src/quarantine/test/quarantine-model.test.ts
+++ b/src/quarantine/test/quarantine-model.test.ts
@@ -10,16 +10,20 @@
 import {Fingerprint} from '../fingerprint.js';
 import {Quarantine} from '../quarantine.js';
 
-/** Milliseconds a step, a round of the exchange, a run where nothing else is said, until a poison request ends its replica, and until that is back. */
+/** Milliseconds of a simulation step, of a gossip round and of a run by default. */
 const step = 20;
 const round = 200;
 const usualRunTime = 400;
+/** Milliseconds from the begin of a poison request to the crash of its replica, and from the crash to the restart. */
 const crashTime = 60;
 const restartTime = 2000;
-/** Milliseconds until a client comes again. */
+/** Milliseconds until a client sends its request again. */
 const clientPause = 300;
+/** Milliseconds after the third crash for each poison request in which further crashes are not counted as late. */
 const contactTime = 3000;
+/** Max. late crashes for each poison request. */
 const runsAllowed = 3;
+/** Share of messages that are lost. */
 const lossShare = 0.2;
 
 type Box = {readonly clock: MovedClock; readonly replicas: ReplicaDirectory; readonly quarantine: Quarantine};
@@ -27,10 +31,10 @@
 type Run = {readonly client: Client; readonly box: Box; readonly start: string; readonly beganAt: number; readonly isRetry: boolean; readonly leave: () => void};
 type Shape = {readonly boxes: number; readonly replicas: number; readonly clients: number; readonly poisons: number; readonly otherEndsEvery: number; readonly runTime?: number};
 
-/** A fleet in virtual time: boxes tell each other what they saw, datagrams are lost, replicas end and start again. */
+/** A fleet in virtual time: boxes exchange updates, datagrams are lost, replicas crash and restart. */
 class Fleet {
 	readonly clients: readonly Client[];
-	/** When each replica ended under a poison request. */
+	/** Times of the crashes by poison requests. */
 	readonly poisonEnds: number[] = [];
 	now = 10_000;
 	hasOtherEnds = true;
@@ -160,7 +164,7 @@
 		this.startedAt[Number(replica.entry.id.slice(2))] = this.now + restartTime;
 		for (const box of this.boxes) {
 			const suspects = cut.filter(run => run.box === box).map(({client, beganAt}) => ({fingerprint: client.fingerprint, ranFor: this.now - beganAt}));
-			// Where nothing was cut nobody looks.
+			// A box without a request at the replica does not notice the crash.
 			if (suspects.length > 0) {
 				box.quarantine.noteEnd(replica, suspects, this.now);
 			}
@@ -193,9 +197,9 @@
 }
 
 const seeds = Array.from({length: 15}, (_, index) => index + 1);
-/** Times that an innocent client may come in vain before its box has heard all of what the others saw. */
+/** Max. refusals of an innocent client, until its box has received the updates of all other boxes. */
 const refusedInPassing = 5;
-/** Innocent clients that may be taken for a poison request until they are tried once more, where two such requests come at once. */
+/** Max. innocent clients that are mistaken for a poison request until their next trial, where two poison requests arrive at once. */
 const mostMistaken = 3;
 
 for (const {mistaken, seedCount, ...shape} of [
@@ -209,18 +213,18 @@
 		boxes: 30, replicas: 40, clients: 150, poisons: 3, otherEndsEvery: 500, mistaken: 0, seedCount: 3,
 	},
 ]) {
-	test(`${shape.poisons} poison requests among ${shape.clients} at ${shape.boxes} boxes end few replicas, and others are served`, () => {
+	test(`${shape.poisons} poison requests among ${shape.clients} at ${shape.boxes} boxes crash few replicas, and the other requests are served`, () => {
 		for (const seed of seeds.slice(0, seedCount)) {
 			const fleet = new Fleet(shape, seed);
 			fleet.pass(40_000);
 			const third = fleet.poisonEnds[(3 * shape.poisons) - 1] ?? Number.POSITIVE_INFINITY;
 			const late = fleet.poisonEnds.filter(at => at > third + contactTime);
-			assert.ok(late.length <= runsAllowed * shape.poisons, `seed ${seed}: ${late.length} late ends`);
-			assert.ok(fleet.poisonEnds.length <= 7 * shape.poisons, `seed ${seed}: ${fleet.poisonEnds.length} ends`);
+			assert.ok(late.length <= runsAllowed * shape.poisons, `seed ${seed}: ${late.length} late crashes`);
+			assert.ok(fleet.poisonEnds.length <= 7 * shape.poisons, `seed ${seed}: ${fleet.poisonEnds.length} crashes`);
 			const innocent = fleet.clients.filter(({isPoison}) => !isPoison);
 			const kept = innocent.filter(({refused}) => refused > refusedInPassing);
-			assert.ok(kept.length <= mistaken, `seed ${seed}: ${kept.length} innocent requests were kept away`);
-			assert.ok(innocent.every(({served}) => served > 0), `seed ${seed}: somebody was never served`);
+			assert.ok(kept.length <= mistaken, `seed ${seed}: ${kept.length} innocent requests were quarantined`);
+			assert.ok(innocent.every(({served}) => served > 0), `seed ${seed}: an innocent request was never served`);
 			assert.ok(fleet.clients.filter(({isPoison}) => isPoison).every(({refused}) => refused > 0), `seed ${seed}: a poison request still runs`);
 		}
 	});
@@ -234,7 +238,7 @@
 		boxes: 4, replicas: 3, clients: 20, poisons: 2, otherEndsEvery: 4000,
 	},
 ]) {
-	test(`where all replicas end on and on, with ${shape.poisons} poison requests, whoever stood beside is served again when that is over`, () => {
+	test(`where all replicas crash repeatedly, with ${shape.poisons} poison requests, innocent requests are served again when the crashes stop`, () => {
 		for (const seed of seeds) {
 			const fleet = new Fleet(shape, seed);
 			fleet.pass(20_000);
@@ -247,7 +251,7 @@
 	});
 }
 
-test('where a replica ends every 0.3 s and runs are short, who stands beside is kept from nothing', () => {
+test('where a replica crashes every 0.3 s and runs are short, innocent requests are never refused', () => {
 	for (const seed of seeds) {
 		const fleet = new Fleet({
 			boxes: 4, replicas: 8, clients: 24, poisons: 0, otherEndsEvery: 300, runTime: 80,
--- a/src/quarantine/test/quarantine.test.ts
+++ b/src/quarantine/test/quarantine.test.ts
@@ -34,7 +34,7 @@
 		return this.quarantine.bounded(fingerprint, this.quarantine.standingOf(fingerprint), candidates);
 	}
 
-	/** A replica that ends; it stays listed. */
+	/** Crashes a new replica, which stays listed. */
 	end(...suspects: readonly Fingerprint[]): Replica {
 		const replica = this.list();
 		this.clock.now += 1000;
@@ -43,7 +43,7 @@
 	}
 }
 
-test('a request stands worse with each replica that ends under it, and those beside it do not', () => {
+test('the status of a request gets worse with each replica that it crashes, and that of bystanders does not', () => {
 	const fixture = new Fixture();
 	const standings = [1, 2, 3, 4].map(count => {
 		fixture.end(x, Fingerprint(`beside-${count}`.padEnd(12, '-')));
@@ -54,7 +54,7 @@
 	assert.deepEqual(fixture.quarantine.kept, [x]);
 });
 
-test('of two that cannot be told apart neither is kept away before they were tried alone', () => {
+test('of two requests that cannot be distinguished neither is quarantined before both had a trial', () => {
 	const fixture = new Fixture();
 	const standings = [1, 2, 3, 4, 5].map(() => {
 		fixture.end(x, a);
@@ -68,7 +68,7 @@
 	assert.deepEqual([other.quarantine.standingOf(x), other.quarantine.standingOf(a)], ['quarantined', 'sound']);
 });
 
-test('a request that was served is sound again', () => {
+test('a request that completed is sound again', () => {
 	const fixture = new Fixture();
 	fixture.end(x);
 	fixture.end(x);
@@ -78,7 +78,7 @@
 	assert.equal(fixture.quarantine.isWatching, false);
 });
 
-test('a replica that is heard after its end was told goes on, and nobody is to blame', () => {
+test('a replica that answers after its crash was reported is alive, and the crash is attributed to no request', () => {
 	const fixture = new Fixture();
 	const replicas = [1, 2, 3].map(() => fixture.end(x));
 	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
@@ -91,7 +91,7 @@
 	assert.equal(fixture.quarantine.standingOf(x), 'sound');
 });
 
-test('the replica that starts again under an id says nothing for the start that ended', () => {
+test('answers of a replica that restarted under the same id do not contradict the crash of its previous start', () => {
 	const fixture = new Fixture();
 	const [first] = [1, 2, 3].map(() => fixture.end(x));
 	fixture.replicas.remove(first!.entry.id, 50);
@@ -102,7 +102,7 @@
 	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
 });
 
-test('software that is new everywhere is tried once, alone; while the old one still serves nothing is', () => {
+test('a quarantined request gets one trial once all replicas run new software, but not while one still runs the old software', () => {
 	const fixture = new Fixture();
 	for (const replica of [1, 2, 3].map(() => fixture.end(x))) {
 		fixture.replicas.remove(replica.entry.id, 50);
@@ -118,7 +118,7 @@
 	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
 });
 
-test('where replicas end for other reasons all the time, three ends under a request say little', () => {
+test('where replicas crash for other reasons all the time, three crashes are not enough for the quarantine', () => {
 	const fixture = new Fixture();
 	for (const index of [1, 2, 3, 4, 5].keys()) {
 		fixture.list();
@@ -129,7 +129,7 @@
 		fixture.end(x);
 	}
 
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined', 'five ends of others at a dozen replicas are no wave');
+	assert.equal(fixture.quarantine.standingOf(x), 'quarantined', 'five other crashes among a dozen replicas do not raise the threshold');
 	for (const replica of fixture.replicas.all.slice(2)) {
 		fixture.replicas.remove(replica.entry.id, 90);
 	}
@@ -141,7 +141,7 @@
 	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
 });
 
-test('ends whose requests were all served since tell all the same that replicas end for other reasons', () => {
+test('crashes whose requests have all completed since still count as crashes for other reasons', () => {
 	const fixture = new Fixture();
 	for (const index of [1, 2, 3, 4, 5, 6].keys()) {
 		const other = Fingerprint(`other-${index}`.padEnd(12, '-'));
@@ -160,7 +160,7 @@
 	assert.deepEqual(standings, ['suspect', 'trial', 'trial', 'trial', 'quarantined']);
 });
 
-test('replicas that end for other reasons later lift nothing', () => {
+test('later crashes for other reasons do not lift the quarantine', () => {
 	const fixture = new Fixture();
 	for (const _ of [1, 2, 3]) {
 		const replica = fixture.end(x);
@@ -177,7 +177,7 @@
 	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
 });
 
-test('what is kept away is tried once more by one box, in pauses that grow', () => {
+test('a quarantined request gets further trials, from one box only, after growing delays', () => {
 	const fixture = new Fixture();
 	for (const _ of [1, 2, 3]) {
 		fixture.end(x);
@@ -202,7 +202,7 @@
 	assert.equal(fixture.quarantine.standingOf(x), 'trial');
 });
 
-test('what an operator releases runs', () => {
+test('a request that an operator released runs', () => {
 	const fixture = new Fixture();
 	for (const _ of [1, 2, 3]) {
 		fixture.end(x);
@@ -212,7 +212,7 @@
 	assert.equal(fixture.quarantine.standingOf(x), 'sound');
 });
 
-test('requests that are not sound stay apart where there is room, and one of them is one run', () => {
+test('requests that are not sound run on different replicas where possible, and a trial runs once at a time', () => {
 	const fixture = new Fixture();
 	for (const _ of [1, 2]) {
 		fixture.end(x, a);
@@ -224,15 +224,15 @@
 	fixture.end(beside);
 	const leave = fixture.quarantine.begin(x, one.start);
 	assert.deepEqual(fixture.bounded(a, [one, two]), [two]);
-	assert.deepEqual(fixture.bounded(a, [one]), [], 'they take turns where there is no other');
-	assert.deepEqual(fixture.bounded(beside, [one]), [one], 'who was at one end alone does not wait');
+	assert.deepEqual(fixture.bounded(a, [one]), [], 'a trial waits where there is no other replica');
+	assert.deepEqual(fixture.bounded(beside, [one]), [one], 'a request with a single crash does not wait');
 	assert.deepEqual(fixture.bounded(Fingerprint('sound-sound-'), [one, two]), [one, two]);
 	assert.equal(fixture.quarantine.isRunning(x), true);
 	leave();
 	assert.equal(fixture.quarantine.isRunning(x), false);
 });
 
-test('a request that is tried goes where little else runs, and most requests to another replica than each other', () => {
+test('a trial runs at a replica with few requests, and trials of different requests are spread over these replicas', () => {
 	const fixture = new Fixture();
 	const names = Array.from({length: 40}, (_, index) => Fingerprint(`tried-${index}`.padEnd(12, '-')));
 	fixture.end(...names);
