--- a/src/quarantine/blame.ts
+++ b/src/quarantine/blame.ts
@@ -17,7 +17,7 @@
 };
 
 /** The part of a crash that attribution needs. */
-export type BlamedEnd = {
+export type SuspectedCrash = {
 	/** Identifies the start (incarnation) of the replica that crashed. */
 	readonly start: string;
 	/** Requests that were running at the replica. */
@@ -25,7 +25,7 @@
 };
 
 /** Crashes that are attributed to one request. */
-export type Blame = {
+export type Attribution = {
 	/** Starts of the replicas whose crashes the request explains. */
 	readonly starts: readonly string[];
 	/** Whether another request with as many crashes was running at all but at most one of these, so that either may be the cause. */
@@ -33,57 +33,57 @@
 };
 
 /** Min. crashes at which a request explains a crash for the other requests there: a request at a single crash may be a bystander. */
-const leastExplaining = 2;
+const minExplainingCrashes = 2;
 /** Max. crashes by which two indistinguishable requests differ: a single crash may have an unrelated cause. */
-const mostApart = 1;
+const maxDifferingCrashes = 1;
 /** How many times longer every other request must have run before one of its crashes, for the request with the shortest runs to be the cause. */
-const quickness = 2;
+const minRunTimeRatio = 2;
 
 /** The crashes at which a request was running, and its longest run before one of them in milliseconds. */
-type Presence = {readonly fingerprint: Fingerprint; readonly starts: string[]; longest: number};
+type Presence = {readonly fingerprint: Fingerprint; readonly starts: string[]; longestRun: number};
 
 /**
- * @param ends - All crashes.
+ * @param crashes - All crashes.
  * @returns The crashes attributed to each request, in descending order of their number; a request that is absent was only a bystander.
  */
-export function blameFor(ends: readonly BlamedEnd[]): ReadonlyMap<Fingerprint, Blame> {
-	const blames = new Map<Fingerprint, Blame>();
-	let open = ends;
+export function attributeCrashes(crashes: readonly SuspectedCrash[]): ReadonlyMap<Fingerprint, Attribution> {
+	const attributions = new Map<Fingerprint, Attribution>();
+	let unexplained = crashes;
 	for (;;) {
-		const presences = presencesAt(open);
-		const most = Math.max(0, ...presences.map(({starts}) => starts.length));
-		const top = presences.filter(({starts}) => starts.length === most);
-		const quickest = most < leastExplaining ? undefined : quickestOf(top);
-		for (const {fingerprint, starts} of quickest ? [quickest] : top) {
-			blames.set(fingerprint, {starts, isShared: !quickest && isShared(fingerprint, starts, top)});
+		const presences = presencesAt(unexplained);
+		const highestCount = Math.max(0, ...presences.map(({starts}) => starts.length));
+		const candidates = presences.filter(({starts}) => starts.length === highestCount);
+		const shortest = highestCount < minExplainingCrashes ? undefined : shortestRunOf(candidates);
+		for (const {fingerprint, starts} of shortest ? [shortest] : candidates) {
+			attributions.set(fingerprint, {starts, isShared: !shortest && isShared(fingerprint, starts, candidates)});
 		}
 
-		if (most < leastExplaining) {
-			return blames;
+		if (highestCount < minExplainingCrashes) {
+			return attributions;
 		}
 
-		const explained = new Set((quickest ? [quickest] : top).flatMap(({starts}) => starts));
-		open = open.filter(({start}) => !explained.has(start));
+		const explained = new Set((shortest ? [shortest] : candidates).flatMap(({starts}) => starts));
+		unexplained = unexplained.filter(({start}) => !explained.has(start));
 	}
 }
 
 /** A request that crashes replicas does so soon after it begins; a bystander has run for an arbitrary time. */
-function quickestOf(presences: readonly Presence[]): Presence | undefined {
-	const [first, second] = [...presences].sort((left, right) => left.longest - right.longest);
-	return first && (!second || first.longest * quickness <= second.longest) ? first : undefined;
+function shortestRunOf(presences: readonly Presence[]): Presence | undefined {
+	const [first, second] = [...presences].sort((left, right) => left.longestRun - right.longestRun);
+	return first && (!second || first.longestRun * minRunTimeRatio <= second.longestRun) ? first : undefined;
 }
 
-function isShared(fingerprint: Fingerprint, starts: readonly string[], top: readonly Presence[]): boolean {
-	return top.some(other => other.fingerprint !== fingerprint && starts.filter(start => !other.starts.includes(start)).length <= mostApart);
+function isShared(fingerprint: Fingerprint, starts: readonly string[], candidates: readonly Presence[]): boolean {
+	return candidates.some(other => other.fingerprint !== fingerprint && starts.filter(start => !other.starts.includes(start)).length <= maxDifferingCrashes);
 }
 
-function presencesAt(ends: readonly BlamedEnd[]): readonly Presence[] {
+function presencesAt(crashes: readonly SuspectedCrash[]): readonly Presence[] {
 	const presences = new Map<Fingerprint, Presence>();
-	for (const {start, suspects} of ends) {
+	for (const {start, suspects} of crashes) {
 		for (const {fingerprint, ranFor} of suspects) {
-			const presence = getOrCreate(presences, fingerprint, () => ({fingerprint, starts: [], longest: 0}));
+			const presence = getOrCreate(presences, fingerprint, () => ({fingerprint, starts: [], longestRun: 0}));
 			presence.starts.push(start);
-			presence.longest = Math.max(presence.longest, ranFor);
+			presence.longestRun = Math.max(presence.longestRun, ranFor);
 		}
 	}
 
--- a/src/quarantine/end-ledger.ts
+++ b/src/quarantine/end-ledger.ts
@@ -9,7 +9,7 @@
 import type {Fingerprint} from './fingerprint.js';
 
 /** A replica that crashed while it ran requests. */
-export type ReplicaEnd = {
+export type ReplicaCrash = {
 	/** Identifies the start (incarnation) of the replica. */
 	readonly start: string;
 	readonly service: string;
@@ -19,43 +19,45 @@
 };
 
 /** A crash as it is sent to other boxes; its age is in milliseconds. */
-export type ToldEnd = ReplicaEnd & {readonly age: number};
+export type CrashUpdate = ReplicaCrash & {readonly age: number};
 
 /** A request that a replica ran without a crash, and the milliseconds since. */
-export type ToldCompletion = {readonly fingerprint: Fingerprint; readonly age: number};
+export type CompletionUpdate = {readonly fingerprint: Fingerprint; readonly age: number};
 
 /** An update that boxes send to each other. */
 export type EndNews = {
-	readonly ends: readonly ToldEnd[];
-	readonly completions: readonly ToldCompletion[];
+	readonly ends: readonly CrashUpdate[];
+	readonly completions: readonly CompletionUpdate[];
 };
 
 /** A known crash, with its time by this box's monotonic clock. */
-export type KnownEnd = ReplicaEnd & {readonly at: number};
+export type KnownCrash = ReplicaCrash & {readonly crashedAt: number};
 
 /** Milliseconds for which a crash counts. After that a request is quarantined only once it has crashed as many replicas again. */
-export const endLifetime = 1_800_000;
+export const crashLifetime = 1_800_000;
 /** Milliseconds for which a box sends its own observations: several gossip rounds, since datagrams are lost. */
-const newsTime = 5000;
+const resendDuration = 5000;
 /** Bounds on memory (5.2 MB of heap when all are reached), since clients may send any number of distinct bodies. Past it the oldest crash is dropped. */
-const mostEnds = 256;
-const mostSuspects = 64;
-const mostCompletions = 1024;
+const maxCrashes = 256;
+const maxSuspects = 64;
+const maxCompletions = 1024;
 /**
  * Max. crashes of either sort (own and needed) in one message. With all their requests these take 3.5 KB in a small fleet, where each box
  * sends to all boxes, and 1.2 KB in a large fleet, where an aggregator answers hundreds of messages a second.
  */
 export const mostEndsTold = {small: 12, large: 4} as const;
-const mostSuspectsTold = 12;
-const mostCompletionsTold = 16;
+const maxSuspectsSent = 12;
+const maxCompletionsSent = 16;
 /** Max. crashes sent for one request: as many as other boxes need to quarantine it. */
-const mostEndsOfOne = 5;
+const maxCrashesPerRequest = 5;
 /** Min. crashes of a request from which all boxes must know of it. */
-const leastTelling = 2;
+const minCrashesToShare = 2;
 
-type Sighting = {readonly ownUntil: number; readonly ranFor: number};
-type Completion = {readonly at: number; readonly ownUntil: number};
-type End = Omit<ReplicaEnd, 'suspects'> & {readonly at: number; readonly suspects: Map<Fingerprint, Sighting>};
+/** A request at a crash. Until `sentUntil` (monotonic milliseconds) this box sends it as its own observation. */
+type Sighting = {readonly sentUntil: number; readonly ranFor: number};
+/** The last completion of a request; both times in monotonic milliseconds. */
+type Completion = {readonly at: number; readonly sentUntil: number};
+type CrashEntry = Omit<ReplicaCrash, 'suspects'> & {readonly crashedAt: number; readonly suspects: Map<Fingerprint, Sighting>};
 
 /** The crash ledger of one box. */
 export class EndLedger {
@@ -67,12 +69,12 @@
 		return new EndLedger(clock);
 	}
 
-	private readonly ends = new Map<string, End>();
+	private readonly crashesByStart = new Map<string, CrashEntry>();
 	private readonly completions = new Map<Fingerprint, Completion>();
 	/** Starts of the replicas that crashed while they ran a request. */
 	private readonly startsOf = new Map<Fingerprint, Set<string>>();
 	private changeCount = 0;
-	private tellings = 0;
+	private partsSent = 0;
 
 	private constructor(private readonly clock: Clock) {}
 
@@ -87,10 +89,10 @@
 	}
 
 	/** All crashes, each with the requests that have not completed since; a crash without any had another cause. */
-	get known(): readonly KnownEnd[] {
-		this.dropLapsed();
-		return [...this.ends.values()].map(({start, service, software, at, suspects}) => ({
-			start, service, software, at, suspects: suspectsOf(suspects),
+	get crashes(): readonly KnownCrash[] {
+		this.dropExpired();
+		return [...this.crashesByStart.values()].map(({start, service, software, crashedAt, suspects}) => ({
+			start, service, software, crashedAt, suspects: suspectsOf(suspects),
 		}));
 	}
 
@@ -105,11 +107,11 @@
 	/**
 	 * Records a crash that this box observed.
 	 *
-	 * @param end - The crash; more requests may be added to it later.
-	 * @param at - Time of the crash, in monotonic milliseconds.
+	 * @param crash - The crash; more requests may be added to it later.
+	 * @param crashedAt - Time of the crash, in monotonic milliseconds.
 	 */
-	noteEnd(end: ReplicaEnd, at: number): void {
-		this.addEnd(end, at, this.clock.monotonic() + newsTime);
+	recordCrash(crash: ReplicaCrash, crashedAt: number): void {
+		this.addCrash(crash, crashedAt, this.clock.monotonic() + resendDuration);
 	}
 
 	/**
@@ -117,92 +119,92 @@
 	 *
 	 * @param fingerprint - The request.
 	 */
-	noteCompletion(fingerprint: Fingerprint): void {
+	recordCompletion(fingerprint: Fingerprint): void {
 		const now = this.clock.monotonic();
-		this.addCompletion(fingerprint, now, now + newsTime);
+		this.addCompletion(fingerprint, now, now + resendDuration);
 	}
 
-	/** @param news - The update that another box sent. */
+	/** @param update - The update that another box sent. */
 	take({ends, completions}: EndNews): void {
 		const now = this.clock.monotonic();
 		for (const {fingerprint, age} of completions) {
 			this.addCompletion(fingerprint, now - age, now);
 		}
 
-		for (const {age, ...end} of ends) {
-			this.addEnd(end, now - age, now);
+		for (const {age, ...crash} of ends) {
+			this.addCrash(crash, now - age, now);
 		}
 	}
 
 	/**
 	 * @param isWhole - Whether to include all that other boxes must know, not only recent crashes.
-	 * @param most - Max. crashes of either sort (own and needed).
+	 * @param maxPerSort - Max. crashes of either sort (own and needed).
 	 * @returns The update to send; `undefined` where there is nothing to send.
 	 */
-	told(isWhole: boolean, most: number): EndNews | undefined {
-		if (this.ends.size === 0) {
+	told(isWhole: boolean, maxPerSort: number): EndNews | undefined {
+		if (this.crashesByStart.size === 0) {
 			return undefined;
 		}
 
-		this.dropLapsed();
+		this.dropExpired();
 		const now = this.clock.monotonic();
-		const ends = this.endsToTell(now, isWhole, most);
+		const ends = this.crashesToSend(now, isWhole, maxPerSort);
 		const completions = [...this.completions]
-			.filter(([, {ownUntil}]) => ownUntil > now)
-			.slice(-mostCompletionsTold)
+			.filter(([, {sentUntil}]) => sentUntil > now)
+			.slice(-maxCompletionsSent)
 			.map(([fingerprint, {at}]) => ({fingerprint, age: Math.round(now - at)}));
 		return ends.length + completions.length > 0 ? {ends, completions} : undefined;
 	}
 
 	/** Each message carries the next part of the own observations and of the crashes that all boxes must know, to keep it small. */
-	private endsToTell(now: number, isWhole: boolean, most: number): readonly ToldEnd[] {
-		const newest = [...this.ends.values()].reverse();
-		const own = newest.flatMap(end => this.toldOf(end, now, (_, {ownUntil}) => ownUntil > now));
+	private crashesToSend(now: number, isWhole: boolean, maxPerSort: number): readonly CrashUpdate[] {
+		const newest = [...this.crashesByStart.values()].reverse();
+		const own = newest.flatMap(crash => this.updateOf(crash, now, (_, {sentUntil}) => sentUntil > now));
 		const needed = newest
-			.filter(({at}) => isWhole || now - at < newsTime)
-			.flatMap(end => this.toldOf(end, now, (fingerprint, {ownUntil}) => ownUntil <= now && this.isNeeded(end.start, fingerprint)));
-		const part = this.tellings;
-		this.tellings++;
-		return [...partOf(own, part, most), ...partOf(needed, part, most)];
+			.filter(({crashedAt}) => isWhole || now - crashedAt < resendDuration)
+			.flatMap(crash => this.updateOf(crash, now, (fingerprint, {sentUntil}) => sentUntil <= now && this.isNeeded(crash.start, fingerprint)));
+		const part = this.partsSent;
+		this.partsSent++;
+		return [...partAt(own, part, maxPerSort), ...partAt(needed, part, maxPerSort)];
 	}
 
 	/** Whether other boxes must know of this crash, to know that the request is quarantined. */
 	private isNeeded(start: string, fingerprint: Fingerprint): boolean {
 		const starts = [...this.startsOf.get(fingerprint) ?? []];
-		return starts.length >= leastTelling && starts.slice(-mostEndsOfOne).includes(start);
+		return starts.length >= minCrashesToShare && starts.slice(-maxCrashesPerRequest).includes(start);
 	}
 
-	private toldOf({suspects, at, ...end}: End, now: number, isTold: (fingerprint: Fingerprint, sighting: Sighting) => boolean): readonly ToldEnd[] {
-		const told = [...suspects]
-			.filter(([fingerprint, sighting]) => isTold(fingerprint, sighting))
+	private updateOf({suspects, crashedAt, ...crash}: CrashEntry, now: number, isIncluded: (fingerprint: Fingerprint, sighting: Sighting) => boolean): readonly CrashUpdate[] {
+		const included = [...suspects]
+			.filter(([fingerprint, sighting]) => isIncluded(fingerprint, sighting))
 			.sort(([left], [right]) => this.startsOf.get(right)!.size - this.startsOf.get(left)!.size)
-			.slice(0, mostSuspectsTold);
-		return told.length > 0 ? [{...end, suspects: suspectsOf(told), age: Math.round(now - at)}] : [];
+			.slice(0, maxSuspectsSent);
+		return included.length > 0 ? [{...crash, suspects: suspectsOf(included), age: Math.round(now - crashedAt)}] : [];
 	}
 
-	private addEnd({suspects, ...end}: ReplicaEnd, at: number, ownUntil: number): void {
-		if (this.clock.monotonic() - at > endLifetime) {
+	private addCrash({suspects, ...crash}: ReplicaCrash, crashedAt: number, sentUntil: number): void {
+		if (this.clock.monotonic() - crashedAt > crashLifetime) {
 			return;
 		}
 
-		const known = getOrCreate(this.ends, end.start, () => ({...end, at, suspects: new Map<Fingerprint, Sighting>()}));
+		const known = getOrCreate(this.crashesByStart, crash.start, () => ({...crash, crashedAt, suspects: new Map<Fingerprint, Sighting>()}));
 		for (const suspect of suspects) {
-			this.addSuspect(known, suspect.fingerprint, {ownUntil, ranFor: Math.round(suspect.ranFor)});
+			this.addSuspect(known, suspect.fingerprint, {sentUntil, ranFor: Math.round(suspect.ranFor)});
 		}
 
-		this.boundEnds();
+		this.dropExcess();
 	}
 
-	private addSuspect({start, at, suspects}: End, suspect: Fingerprint, sighting: Sighting): void {
+	private addSuspect({start, crashedAt, suspects}: CrashEntry, suspect: Fingerprint, sighting: Sighting): void {
 		const completion = this.completions.get(suspect);
-		if (completion && completion.at >= at) {
+		if (completion && completion.at >= crashedAt) {
 			// The box that still suspects the request has not received its completion: send it again.
-			this.completions.set(suspect, {...completion, ownUntil: this.clock.monotonic() + newsTime});
+			this.completions.set(suspect, {...completion, sentUntil: this.clock.monotonic() + resendDuration});
 			return;
 		}
 
 		const known = suspects.get(suspect);
-		if (known ? known.ranFor <= sighting.ranFor : suspects.size >= mostSuspects) {
+		if (known ? known.ranFor <= sighting.ranFor : suspects.size >= maxSuspects) {
 			return;
 		}
 
@@ -211,7 +213,7 @@
 		this.changeCount++;
 	}
 
-	private addCompletion(fingerprint: Fingerprint, at: number, ownUntil: number): void {
+	private addCompletion(fingerprint: Fingerprint, at: number, sentUntil: number): void {
 		const known = this.completions.get(fingerprint);
 		if (known && known.at >= at) {
 			return;
@@ -219,21 +221,21 @@
 
 		// Inserted again, so that the newest are last.
 		this.completions.delete(fingerprint);
-		this.completions.set(fingerprint, {at, ownUntil: Math.max(ownUntil, known?.ownUntil ?? 0)});
+		this.completions.set(fingerprint, {at, sentUntil: Math.max(sentUntil, known?.sentUntil ?? 0)});
 		const [oldest] = this.completions.keys();
-		if (this.completions.size > mostCompletions && oldest !== undefined) {
+		if (this.completions.size > maxCompletions && oldest !== undefined) {
 			this.completions.delete(oldest);
 		}
 
 		for (const start of this.startsOf.get(fingerprint) ?? []) {
-			if (this.ends.get(start)!.at <= at) {
+			if (this.crashesByStart.get(start)!.crashedAt <= at) {
 				this.forget(start, fingerprint);
 			}
 		}
 	}
 
 	private forget(start: string, suspect: Fingerprint): void {
-		this.ends.get(start)?.suspects.delete(suspect);
+		this.crashesByStart.get(start)?.suspects.delete(suspect);
 		const starts = this.startsOf.get(suspect);
 		starts?.delete(start);
 		if (starts?.size === 0) {
@@ -243,28 +245,28 @@
 		this.changeCount++;
 	}
 
-	private boundEnds(): void {
-		const [oldest] = this.ends.keys();
-		if (this.ends.size > mostEnds && oldest !== undefined) {
+	private dropExcess(): void {
+		const [oldest] = this.crashesByStart.keys();
+		if (this.crashesByStart.size > maxCrashes && oldest !== undefined) {
 			this.drop(oldest);
 		}
 	}
 
-	private dropLapsed(): void {
-		const since = this.clock.monotonic() - endLifetime;
-		for (const [start, {at}] of this.ends) {
-			if (at < since) {
+	private dropExpired(): void {
+		const since = this.clock.monotonic() - crashLifetime;
+		for (const [start, {crashedAt}] of this.crashesByStart) {
+			if (crashedAt < since) {
 				this.drop(start);
 			}
 		}
 	}
 
 	private drop(start: string): void {
-		for (const suspect of this.ends.get(start)!.suspects.keys()) {
+		for (const suspect of this.crashesByStart.get(start)!.suspects.keys()) {
 			this.forget(start, suspect);
 		}
 
-		this.ends.delete(start);
+		this.crashesByStart.delete(start);
 	}
 }
 
@@ -272,8 +274,8 @@
 	return [...sightings].map(([fingerprint, {ranFor}]) => ({fingerprint, ranFor}));
 }
 
-/** The given part of a list, of at most `most` entries; the number wraps round at the end of the list. */
-function partOf(ends: readonly ToldEnd[], part: number, most: number): readonly ToldEnd[] {
-	const first = (part * most) % Math.max(1, Math.ceil(ends.length / most) * most);
-	return ends.slice(first, first + most);
+/** The given part of a list, of at most `maxPerSort` entries; the number wraps round at the end of the list. */
+function partAt(crashes: readonly CrashUpdate[], part: number, maxPerSort: number): readonly CrashUpdate[] {
+	const first = (part * maxPerSort) % Math.max(1, Math.ceil(crashes.length / maxPerSort) * maxPerSort);
+	return crashes.slice(first, first + maxPerSort);
 }
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -9,9 +9,9 @@
 import {rankOwners, shareOf} from '../base/rendezvous.js';
 import type {Replica} from '../replicas/replica.js';
 import type {ReplicaDirectory} from '../replicas/replica-directory.js';
-import {blameFor, type Blame, type Suspect} from './blame.js';
+import {attributeCrashes, type Attribution, type Suspect} from './blame.js';
 import {
-	EndLedger, type EndNews, type KnownEnd, endLifetime,
+	EndLedger, type EndNews, type KnownCrash, crashLifetime,
 } from './end-ledger.js';
 import type {Fingerprint} from './fingerprint.js';
 
@@ -26,27 +26,27 @@
 export type Standing = 'sound' | 'suspect' | 'trial' | 'quarantined';
 
 /** Min. crashes attributed to a request for a trial. */
-const trialEnds = 2;
+const minTrialCrashes = 2;
 /** Min. crashes for the quarantine, where replicas crash for no other cause. */
-const quarantineEnds = 3;
+const minQuarantineCrashes = 3;
 /**
  * Min. crashes for the quarantine where replicas crash all the time, since an innocent request may then have been at three crashes by
  * chance, and where another request was at all of the crashes.
  */
-const mostQuarantineEnds = 5;
+const maxQuarantineThreshold = 5;
 /** Milliseconds before the last crash of a request in which crashes without it count towards the probability of a coincidence. */
-const chanceWindow = 10_000;
+const coincidenceWindow = 10_000;
 /**
  * Milliseconds until a quarantined request gets another trial, since it may be innocent. Spread by fingerprint up to twice the value, so
  * that requests that were quarantined together are not tried together.
  */
-const firstRelease = 20_000;
+const firstTrialDelay = 20_000;
 /** Factor by which the delay grows with each further trial. */
-const releaseGrowth = 10;
+const trialDelayGrowth = 10;
 /** Milliseconds after a reported crash from which bytes of the same start prove that the replica is alive: earlier bytes may have been buffered. */
-const contradictedAfter = 500;
+const livenessMargin = 500;
 /** Milliseconds for which an assessment is cached while the ledger does not change; answers of replicas change it too. */
-const judgementLifetime = 100;
+const assessmentLifetime = 100;
 
 /** Dependencies of the quarantine. */
 export type QuarantineServices = {
@@ -59,9 +59,9 @@
 	readonly released: () => readonly string[];
 };
 
-type Judgement = {
-	readonly blames: ReadonlyMap<Fingerprint, Blame>;
-	readonly ends: ReadonlyMap<string, KnownEnd>;
+type Assessment = {
+	readonly attributions: ReadonlyMap<Fingerprint, Attribution>;
+	readonly crashes: ReadonlyMap<string, KnownCrash>;
 	readonly quarantined: ReadonlySet<Fingerprint>;
 	readonly changes: number;
 	readonly at: number;
@@ -82,7 +82,7 @@
 	private readonly running = new Map<Fingerprint, string[]>();
 	/** Requests whose quarantine has been logged. */
 	private logged: ReadonlySet<Fingerprint> = new Set();
-	private judgement: Judgement | undefined;
+	private assessment: Assessment | undefined;
 
 	private constructor(private readonly services: QuarantineServices) {
 		this.ledger = EndLedger.create(services.clock);
@@ -103,7 +103,7 @@
 
 	/** Fingerprints of the requests that are quarantined now. */
 	get kept(): readonly Fingerprint[] {
-		return this.isWatching ? [...this.judge().blames.keys()].filter(fingerprint => this.standingOf(fingerprint) === 'quarantined') : [];
+		return this.isWatching ? [...this.assess().attributions.keys()].filter(fingerprint => this.standingOf(fingerprint) === 'quarantined') : [];
 	}
 
 	/**
@@ -115,22 +115,22 @@
 			return 'sound';
 		}
 
-		const {blames, ends, quarantined} = this.judge();
-		const blame = blames.get(fingerprint);
-		if (!blame) {
+		const {attributions, crashes, quarantined} = this.assess();
+		const attribution = attributions.get(fingerprint);
+		if (!attribution) {
 			return 'sound';
 		}
 
-		if (blame.starts.length < trialEnds) {
+		if (attribution.starts.length < minTrialCrashes) {
 			return 'suspect';
 		}
 
-		const isOutdated = blame.starts.every(start => this.isReplaced(ends.get(start)!));
-		if (isOutdated || !quarantined.has(fingerprint) || this.isReleased(fingerprint)) {
+		const isOutdated = attribution.starts.every(start => this.isSoftwareReplaced(crashes.get(start)!));
+		if (isOutdated || !quarantined.has(fingerprint) || this.isTrialDue(fingerprint)) {
 			return 'trial';
 		}
 
-		this.logOnce(fingerprint, blame);
+		this.logOnce(fingerprint, attribution);
 		return 'quarantined';
 	}
 
@@ -139,13 +139,13 @@
 	 * @returns Milliseconds until its next trial.
 	 */
 	keptFor(fingerprint: Fingerprint): number {
-		const {blames, ends} = this.judge();
-		const moments = (blames.get(fingerprint)?.starts ?? []).map(start => ends.get(start)!.at).sort((left, right) => right - left);
-		const [last = 0, before = last] = moments;
+		const {attributions, crashes} = this.assess();
+		const crashTimes = (attributions.get(fingerprint)?.starts ?? []).map(start => crashes.get(start)!.crashedAt).sort((left, right) => right - left);
+		const [last = 0, before = last] = crashTimes;
 		const gap = last - before;
 		// After a shorter gap the last crash was not that of a trial after quarantine.
-		const pause = gap < firstRelease ? firstRelease : gap * releaseGrowth;
-		return Math.max(0, last + Math.min(pause * (1 + shareOf(fingerprint)), endLifetime) - this.services.clock.monotonic());
+		const delay = gap < firstTrialDelay ? firstTrialDelay : gap * trialDelayGrowth;
+		return Math.max(0, last + Math.min(delay * (1 + shareOf(fingerprint)), crashLifetime) - this.services.clock.monotonic());
 	}
 
 	/**
@@ -158,23 +158,23 @@
 
 	/**
 	 * @param fingerprint - A request.
-	 * @param standing - Its status.
+	 * @param status - Its status.
 	 * @param candidates - Replicas that could run it; at least one.
 	 * @returns The replicas that its status permits: a single one for a trial, none where all are running other requests that are not sound.
 	 * Boxes that run trials of different requests at once choose different replicas without communication, so that the next crash
 	 * distinguishes them.
 	 */
-	bounded(fingerprint: Fingerprint, standing: Standing, candidates: readonly Replica[]): readonly Replica[] {
-		if (standing === 'sound') {
+	bounded(fingerprint: Fingerprint, status: Standing, candidates: readonly Replica[]): readonly Replica[] {
+		if (status === 'sound') {
 			return candidates;
 		}
 
-		const apart = this.apart(candidates);
-		if (standing === 'suspect') {
-			return apart.length > 0 ? apart : candidates;
+		const withoutSuspects = this.withoutSuspects(candidates);
+		if (status === 'suspect') {
+			return withoutSuspects.length > 0 ? withoutSuspects : candidates;
 		}
 
-		return apart.length > 0 ? [trialReplica(fingerprint, apart)] : [];
+		return withoutSuspects.length > 0 ? [trialReplica(fingerprint, withoutSuspects)] : [];
 	}
 
 	/**
@@ -202,13 +202,13 @@
 	 *
 	 * @param replica - The replica.
 	 * @param suspects - Requests that the crash cut off.
-	 * @param at - Time at which the first request was cut off, in monotonic milliseconds.
+	 * @param crashedAt - Time at which the first request was cut off, in monotonic milliseconds.
 	 */
-	noteEnd(replica: Replica, suspects: readonly Suspect[], at: number): void {
+	noteEnd(replica: Replica, suspects: readonly Suspect[], crashedAt: number): void {
 		const {start, entry: {service, software}} = replica;
-		this.ledger.noteEnd({
+		this.ledger.recordCrash({
 			start, service, software, suspects,
-		}, at);
+		}, crashedAt);
 	}
 
 	/**
@@ -217,56 +217,56 @@
 	 * @param fingerprint - The request.
 	 */
 	noteCompletion(fingerprint: Fingerprint): void {
-		this.ledger.noteCompletion(fingerprint);
+		this.ledger.recordCompletion(fingerprint);
 	}
 
-	/** @param news - The update that another box sent. */
-	take(news: EndNews): void {
-		this.ledger.take(news);
+	/** @param update - The update that another box sent. */
+	take(update: EndNews): void {
+		this.ledger.take(update);
 	}
 
 	/**
 	 * @param isWhole - Whether to include all that other boxes must know, not only recent crashes.
-	 * @param most - Max. crashes of either sort (own and needed).
+	 * @param maxPerSort - Max. crashes of either sort (own and needed).
 	 * @returns The update to send to other boxes; `undefined` where there is nothing to send.
 	 */
-	told(isWhole: boolean, most: number): EndNews | undefined {
-		return this.ledger.told(isWhole, most);
+	told(isWhole: boolean, maxPerSort: number): EndNews | undefined {
+		return this.ledger.told(isWhole, maxPerSort);
 	}
 
 	/** Only one box runs the trial, so that it crashes at most one replica. */
-	private isReleased(fingerprint: Fingerprint): boolean {
+	private isTrialDue(fingerprint: Fingerprint): boolean {
 		return this.keptFor(fingerprint) === 0 && this.services.isOwner(fingerprint);
 	}
 
 	/** Filters out replicas at which this box runs a request that is not sound. */
-	private apart(candidates: readonly Replica[]): readonly Replica[] {
-		const taken = new Set([...this.running.values()].flat());
-		return candidates.filter(({start}) => !taken.has(start));
+	private withoutSuspects(candidates: readonly Replica[]): readonly Replica[] {
+		const occupied = new Set([...this.running.values()].flat());
+		return candidates.filter(({start}) => !occupied.has(start));
 	}
 
-	private judge(): Judgement {
+	private assess(): Assessment {
 		const now = this.services.clock.monotonic();
 		const {changes} = this.ledger;
-		if (this.judgement?.changes !== changes || now - this.judgement.at > judgementLifetime) {
-			const ends = this.uncontradicted();
-			const blames = blameFor(ends);
-			this.judgement = {
-				blames, ends: new Map(ends.map(end => [end.start, end])), quarantined: this.quarantinedOf(blames, ends), changes, at: now,
+		if (this.assessment?.changes !== changes || now - this.assessment.at > assessmentLifetime) {
+			const crashes = this.confirmedCrashes();
+			const attributions = attributeCrashes(crashes);
+			this.assessment = {
+				attributions, crashes: new Map(crashes.map(crash => [crash.start, crash])), quarantined: this.quarantinedOf(attributions, crashes), changes, at: now,
 			};
 		}
 
-		return this.judgement;
+		return this.assessment;
 	}
 
 	/** Requests with the most crashes come first; the crashes of a quarantined request no longer raise the threshold of the next ones. */
-	private quarantinedOf(blames: ReadonlyMap<Fingerprint, Blame>, ends: readonly KnownEnd[]): ReadonlySet<Fingerprint> {
+	private quarantinedOf(attributions: ReadonlyMap<Fingerprint, Attribution>, crashes: readonly KnownCrash[]): ReadonlySet<Fingerprint> {
 		const quarantined = new Set<Fingerprint>();
-		let open = ends;
-		for (const [fingerprint, {starts, isShared}] of blames) {
-			if (starts.length >= (isShared ? mostQuarantineEnds : this.neededEnds(starts, open))) {
+		let unexplained = crashes;
+		for (const [fingerprint, {starts, isShared}] of attributions) {
+			if (starts.length >= (isShared ? maxQuarantineThreshold : this.crashThreshold(starts, unexplained))) {
 				quarantined.add(fingerprint);
-				open = open.filter(({start}) => !starts.includes(start));
+				unexplained = unexplained.filter(({start}) => !starts.includes(start));
 			}
 		}
 
@@ -278,27 +278,27 @@
 	 * completed since count too. Crashes after the last one of the request do not count: otherwise a quarantined request would run again
 	 * as soon as replicas crash for another reason.
 	 */
-	private neededEnds(starts: readonly string[], ends: readonly KnownEnd[]): number {
-		const own = ends.filter(({start}) => starts.includes(start));
-		const last = Math.max(...own.map(({at}) => at));
-		const others = ends.filter(({start, service, at}) => !starts.includes(start) && service === own[0]?.service && at <= last && last - at < chanceWindow);
+	private crashThreshold(starts: readonly string[], crashes: readonly KnownCrash[]): number {
+		const own = crashes.filter(({start}) => starts.includes(start));
+		const last = Math.max(...own.map(({crashedAt}) => crashedAt));
+		const others = crashes.filter(({start, service, crashedAt}) => !starts.includes(start) && service === own[0]?.service && crashedAt <= last && last - crashedAt < coincidenceWindow);
 		const replicas = Math.max(1, this.services.replicas.ready(own[0]?.service ?? '').length);
-		return Math.min(mostQuarantineEnds, quarantineEnds + Math.round(others.length / replicas));
+		return Math.min(maxQuarantineThreshold, minQuarantineCrashes + Math.round(others.length / replicas));
 	}
 
 	/** Drops crashes of replicas that have answered since: a box that is partitioned reports live replicas as crashed. */
-	private uncontradicted(): readonly KnownEnd[] {
+	private confirmedCrashes(): readonly KnownCrash[] {
 		const answeredAt = new Map(this.services.replicas.all.map(replica => [replica.start, replica.lastAnsweredAt]));
-		return this.ledger.known.filter(({start, at}) => (answeredAt.get(start) ?? Number.NEGATIVE_INFINITY) <= at + contradictedAfter);
+		return this.ledger.crashes.filter(({start, crashedAt}) => (answeredAt.get(start) ?? Number.NEGATIVE_INFINITY) <= crashedAt + livenessMargin);
 	}
 
 	/** Whether all ready replicas of the service run other software by now, which may handle the request without a crash. */
-	private isReplaced({service, software}: KnownEnd): boolean {
+	private isSoftwareReplaced({service, software}: KnownCrash): boolean {
 		const ready = this.services.replicas.ready(service);
 		return ready.length > 0 && ready.every(({entry}) => entry.software !== software);
 	}
 
-	private logOnce(fingerprint: Fingerprint, {starts}: Blame): void {
+	private logOnce(fingerprint: Fingerprint, {starts}: Attribution): void {
 		if (!this.logged.has(fingerprint)) {
 			this.logged = new Set([...this.logged, fingerprint].filter(known => this.ledger.isSuspected(known)));
 			this.services.log.write('requestQuarantined', {fingerprint, starts: starts.join(' ')});
--- a/src/quarantine/test/blame.test.ts
+++ b/src/quarantine/test/blame.test.ts
@@ -1,39 +1,39 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {blameFor, type BlamedEnd} from '../blame.js';
+import {attributeCrashes, type SuspectedCrash} from '../blame.js';
 import {Fingerprint} from '../fingerprint.js';
 
-const ends = (...suspects: readonly string[]): readonly BlamedEnd[] => suspects.map((text, index) => ({
+const crashes = (...suspects: readonly string[]): readonly SuspectedCrash[] => suspects.map((text, index) => ({
 	start: `i-${index}`, suspects: text.split(' ').map(name => {
 		const [letter, ranFor] = name.split(':');
 		return {fingerprint: Fingerprint(letter!), ranFor: Number(ranFor ?? 100)};
 	}),
 }));
 
-const told = (list: readonly BlamedEnd[]) => Object.fromEntries([...blameFor(list)].map(([name, {starts, isShared}]) => [name, `${starts.length}${isShared ? ' shared' : ''}`]));
+const attributed = (list: readonly SuspectedCrash[]) => Object.fromEntries([...attributeCrashes(list)].map(([name, {starts, isShared}]) => [name, `${starts.length}${isShared ? ' shared' : ''}`]));
 
 test('crashes are attributed to the request that is common to all of them, and not to bystanders', () => {
-	assert.deepEqual(told(ends('x a b', 'x c', 'x a d')), {x: '3'});
+	assert.deepEqual(attributed(crashes('x a b', 'x c', 'x a d')), {x: '3'});
 });
 
 test('a request that was at fewer crashes than another is counted only in those that remain unexplained', () => {
-	assert.deepEqual(told(ends('x a', 'x a', 'x', 'x', 'a')), {x: '4', a: '1'});
+	assert.deepEqual(attributed(crashes('x a', 'x a', 'x', 'x', 'a')), {x: '4', a: '1'});
 });
 
 test('two requests that were at the same crashes cannot be distinguished until one runs without the other', () => {
-	assert.deepEqual(told(ends('x a', 'x a', 'x a')), {x: '3 shared', a: '3 shared'});
-	assert.deepEqual(told(ends('x a', 'x a', 'x', 'a')), {x: '3 shared', a: '3 shared'}, 'each may have been at one crash with another cause');
-	assert.deepEqual(told(ends('x a', 'x a', 'x a', 'x')), {x: '4'});
+	assert.deepEqual(attributed(crashes('x a', 'x a', 'x a')), {x: '3 shared', a: '3 shared'});
+	assert.deepEqual(attributed(crashes('x a', 'x a', 'x', 'a')), {x: '3 shared', a: '3 shared'}, 'each may have been at one crash with another cause');
+	assert.deepEqual(attributed(crashes('x a', 'x a', 'x a', 'x')), {x: '4'});
 });
 
 test('of crashes without a common request, such as those of a whole rack, at most one is attributed to each request', () => {
-	assert.deepEqual(told(ends('a b', 'c', 'd e f')), {
+	assert.deepEqual(attributed(crashes('a b', 'c', 'd e f')), {
 		a: '1 shared', b: '1 shared', c: '1 shared', d: '1 shared', e: '1 shared', f: '1 shared',
 	});
-	assert.deepEqual(told([]), {});
+	assert.deepEqual(attributed([]), {});
 });
 
 test('of two requests that were at the same crashes, the one that had run for a short time at each is the cause', () => {
-	assert.deepEqual(told(ends('x:60 a:30', 'x:70 a:300', 'x:60 a:140')), {x: '3'});
-	assert.deepEqual(told(ends('x:60 a:30', 'x:70 a:90', 'x:60 a:100')), {x: '3 shared', a: '3 shared'});
+	assert.deepEqual(attributed(crashes('x:60 a:30', 'x:70 a:300', 'x:60 a:140')), {x: '3'});
+	assert.deepEqual(attributed(crashes('x:60 a:30', 'x:70 a:90', 'x:60 a:100')), {x: '3 shared', a: '3 shared'});
 });
--- a/src/quarantine/test/end-ledger.test.ts
+++ b/src/quarantine/test/end-ledger.test.ts
@@ -3,12 +3,12 @@
 import * as fc from 'fast-check';
 import {MovedClock} from '../../../development/harness/moved-clock.js';
 import {
-	EndLedger, endLifetime, mostEndsTold, type EndNews,
+	EndLedger, crashLifetime, mostEndsTold, type EndNews,
 } from '../end-ledger.js';
 import {Fingerprint} from '../fingerprint.js';
 
 const [x, a] = ['x', 'a'].map(letter => Fingerprint(letter.repeat(12))) as [Fingerprint, Fingerprint];
-const end = (start: string, ...suspects: readonly Fingerprint[]) => ({
+const crash = (start: string, ...suspects: readonly Fingerprint[]) => ({
 	start, service: 's', software: '1', suspects: suspects.map(fingerprint => ({fingerprint, ranFor: 60})),
 });
 
@@ -17,21 +17,21 @@
 	return {clock, ledger: EndLedger.create(clock)};
 }
 
-const knownOf = (ledger: EndLedger) => ledger.known.map(({start, suspects}) => `${start}: ${suspects.map(({fingerprint}) => fingerprint).sort().join(' ')}`).sort();
+const knownOf = (ledger: EndLedger) => ledger.crashes.map(({start, suspects}) => `${start}: ${suspects.map(({fingerprint}) => fingerprint).sort().join(' ')}`).sort();
 
 test('reports of several boxes about one crash are merged into one crash', () => {
 	const {ledger} = ledgerAt();
-	ledger.noteEnd(end('i-1', x), 10_000);
-	ledger.take({ends: [{...end('i-1', a), age: 40}], completions: []});
+	ledger.recordCrash(crash('i-1', x), 10_000);
+	ledger.take({ends: [{...crash('i-1', a), age: 40}], completions: []});
 	assert.deepEqual(knownOf(ledger), [`i-1: ${a} ${x}`]);
 });
 
 test('a request that completed after a crash is not suspected of it, whichever of the two updates is received first', () => {
-	const news: readonly EndNews[] = [{ends: [{...end('i-1', x, a), age: 500}], completions: []}, {ends: [], completions: [{fingerprint: a, age: 200}]}];
-	for (const order of [news, [...news].reverse()]) {
+	const updates: readonly EndNews[] = [{ends: [{...crash('i-1', x, a), age: 500}], completions: []}, {ends: [], completions: [{fingerprint: a, age: 200}]}];
+	for (const order of [updates, [...updates].reverse()]) {
 		const {ledger} = ledgerAt();
-		for (const part of order) {
-			ledger.take(part);
+		for (const update of order) {
+			ledger.take(update);
 		}
 
 		assert.deepEqual(knownOf(ledger), [`i-1: ${x}`]);
@@ -41,17 +41,17 @@
 
 test('a request that completed before a crash is suspected of it', () => {
 	const {clock, ledger} = ledgerAt();
-	ledger.noteCompletion(x);
+	ledger.recordCompletion(x);
 	clock.now += 10;
-	ledger.noteEnd(end('i-1', x), clock.now);
+	ledger.recordCrash(crash('i-1', x), clock.now);
 	assert.equal(ledger.isSuspected(x), true);
 });
 
 test('a box that starts later or was partitioned is sent what all boxes must know, without bystanders', () => {
 	const {clock, ledger} = ledgerAt();
-	ledger.noteEnd(end('i-1', x, a), clock.now);
-	ledger.noteEnd(end('i-2', x), clock.now);
-	ledger.noteEnd(end('i-3', x), clock.now);
+	ledger.recordCrash(crash('i-1', x, a), clock.now);
+	ledger.recordCrash(crash('i-2', x), clock.now);
+	ledger.recordCrash(crash('i-3', x), clock.now);
 	assert.equal(ledger.told(false, mostEndsTold.small)?.ends.length, 3, 'all crashes are recent');
 	clock.now += 60_000;
 	assert.equal(ledger.told(false, mostEndsTold.small), undefined);
@@ -62,29 +62,29 @@
 
 test('a box that still suspects a completed request is sent the completion', () => {
 	const {clock, ledger} = ledgerAt();
-	const cutOff = ledgerAt();
+	const partitioned = ledgerAt();
 	for (const start of ['i-1', 'i-2']) {
-		ledger.noteEnd(end(start, a), clock.now);
-		cutOff.ledger.noteEnd(end(start, a), clock.now);
+		ledger.recordCrash(crash(start, a), clock.now);
+		partitioned.ledger.recordCrash(crash(start, a), clock.now);
 	}
 
 	clock.now += 1000;
-	ledger.noteCompletion(a);
+	ledger.recordCompletion(a);
 	clock.now += 60_000;
-	cutOff.clock.now = clock.now;
+	partitioned.clock.now = clock.now;
 	assert.equal(ledger.told(true, mostEndsTold.small), undefined);
-	ledger.take(cutOff.ledger.told(true, mostEndsTold.small)!);
-	cutOff.ledger.take(ledger.told(true, mostEndsTold.small)!);
-	assert.equal(cutOff.ledger.isSuspected(a), false);
+	ledger.take(partitioned.ledger.told(true, mostEndsTold.small)!);
+	partitioned.ledger.take(ledger.told(true, mostEndsTold.small)!);
+	assert.equal(partitioned.ledger.isSuspected(a), false);
 });
 
 test('a crash expires, and is not accepted from other boxes after that', () => {
 	const {clock, ledger} = ledgerAt();
-	ledger.noteEnd(end('i-1', x), clock.now);
-	clock.now += endLifetime + 1;
-	assert.deepEqual(ledger.known, []);
+	ledger.recordCrash(crash('i-1', x), clock.now);
+	clock.now += crashLifetime + 1;
+	assert.deepEqual(ledger.crashes, []);
 	assert.equal(ledger.isEmpty, true);
-	ledger.take({ends: [{...end('i-2', x), age: endLifetime + 1}], completions: []});
+	ledger.take({ends: [{...crash('i-2', x), age: crashLifetime + 1}], completions: []});
 	assert.equal(ledger.isEmpty, true);
 });
 
@@ -92,35 +92,35 @@
 	const {clock, ledger} = ledgerAt();
 	for (let index = 0; index < 2000; index++) {
 		clock.now += 1;
-		ledger.noteEnd(end(`i-${index}`, ...Array.from({length: 100}, (_, other) => Fingerprint(`${index}-${other}`.padEnd(12, '-')))), clock.now);
+		ledger.recordCrash(crash(`i-${index}`, ...Array.from({length: 100}, (_, other) => Fingerprint(`${index}-${other}`.padEnd(12, '-')))), clock.now);
 	}
 
-	assert.equal(ledger.known.length, 256);
-	assert.ok(ledger.known.every(({suspects}) => suspects.length <= 64));
+	assert.equal(ledger.crashes.length, 256);
+	assert.ok(ledger.crashes.every(({suspects}) => suspects.length <= 64));
 	assert.ok(JSON.stringify(ledger.told(true, mostEndsTold.small)).length < 8000);
 });
 
 test('boxes that received the same updates, in any order and any number of times, have the same state', () => {
 	const suspects = fc.subarray(['a', 'b', 'c', 'd'].map(letter => Fingerprint(letter.repeat(12))), {minLength: 1});
-	const told = fc.oneof(
+	const anyUpdate = fc.oneof(
 		fc.record({start: fc.constantFrom('i-1', 'i-2', 'i-3'), suspects}).map(({start, suspects: named}): EndNews => ({
 			// A crash has one time, whichever box reports it.
-			ends: [{...end(start, ...named), age: Number(start.slice(2)) * 1000}], completions: [],
+			ends: [{...crash(start, ...named), age: Number(start.slice(2)) * 1000}], completions: [],
 		})),
 		fc.record({fingerprint: fc.constantFrom(x, a, Fingerprint('b'.repeat(12))), age: fc.integer({min: 0, max: 4000})}).map((completion): EndNews => ({ends: [], completions: [completion]})),
 	);
-	fc.assert(fc.property(fc.array(told, {maxLength: 12}), fc.array(fc.nat(), {minLength: 12, maxLength: 12}), (news, orders) => {
-		const straight = ledgerAt().ledger;
-		const mixed = ledgerAt().ledger;
-		for (const part of news) {
-			straight.take(part);
+	fc.assert(fc.property(fc.array(anyUpdate, {maxLength: 12}), fc.array(fc.nat(), {minLength: 12, maxLength: 12}), (updates, orders) => {
+		const inOrder = ledgerAt().ledger;
+		const reordered = ledgerAt().ledger;
+		for (const update of updates) {
+			inOrder.take(update);
 		}
 
-		const shuffled = news.map((part, index) => ({part, rank: orders[index]!})).sort((left, right) => left.rank - right.rank).map(({part}) => part);
-		for (const part of [...shuffled, ...news]) {
-			mixed.take(part);
+		const shuffled = updates.map((update, index) => ({update, rank: orders[index]!})).sort((left, right) => left.rank - right.rank).map(({update}) => update);
+		for (const update of [...shuffled, ...updates]) {
+			reordered.take(update);
 		}
 
-		assert.deepEqual(knownOf(mixed), knownOf(straight));
+		assert.deepEqual(knownOf(reordered), knownOf(inOrder));
 	}), {seed: 29, numRuns: 300});
 });
--- a/src/quarantine/test/quarantine-model.test.ts
+++ b/src/quarantine/test/quarantine-model.test.ts
@@ -12,32 +12,32 @@
 
 /** Milliseconds of a simulation step, of a gossip round and of a run by default. */
 const step = 20;
-const round = 200;
-const usualRunTime = 400;
+const exchangeInterval = 200;
+const defaultRunTime = 400;
 /** Milliseconds from the begin of a poison request to the crash of its replica, and from the crash to the restart. */
 const crashTime = 60;
 const restartTime = 2000;
 /** Milliseconds until a client sends its request again. */
 const clientPause = 300;
 /** Milliseconds after the third crash for each poison request in which further crashes are not counted as late. */
-const contactTime = 3000;
+const detectionTime = 3000;
 /** Max. late crashes for each poison request. */
-const runsAllowed = 3;
+const maxLateCrashes = 3;
 /** Share of messages that are lost. */
 const lossShare = 0.2;
 
 type Box = {readonly clock: MovedClock; readonly replicas: ReplicaDirectory; readonly quarantine: Quarantine};
-type Client = {readonly fingerprint: Fingerprint; readonly isPoison: boolean; dueAt: number; served: number; refused: number; turnedAway: number};
-type Run = {readonly client: Client; readonly box: Box; readonly start: string; readonly beganAt: number; readonly isRetry: boolean; readonly leave: () => void};
-type Shape = {readonly boxes: number; readonly replicas: number; readonly clients: number; readonly poisons: number; readonly otherEndsEvery: number; readonly runTime?: number};
+type Client = {readonly fingerprint: Fingerprint; readonly isPoison: boolean; dueAt: number; served: number; refused: number; deferred: number};
+type Run = {readonly client: Client; readonly box: Box; readonly start: string; readonly beganAt: number; readonly isRetry: boolean; readonly endRun: () => void};
+type Shape = {readonly boxes: number; readonly replicas: number; readonly clients: number; readonly poisons: number; readonly otherCrashInterval: number; readonly runTime?: number};
 
 /** A fleet in virtual time: boxes exchange updates, datagrams are lost, replicas crash and restart. */
 class Fleet {
 	readonly clients: readonly Client[];
 	/** Times of the crashes by poison requests. */
-	readonly poisonEnds: number[] = [];
+	readonly poisonCrashes: number[] = [];
 	now = 10_000;
-	hasOtherEnds = true;
+	hasOtherCrashes = true;
 	private readonly random: () => number;
 	private readonly boxes: readonly Box[];
 	private readonly startedAt: number[];
@@ -46,7 +46,7 @@
 
 	constructor(private readonly shape: Shape, seed: number) {
 		this.random = randomOf(seed);
-		this.runTime = shape.runTime ?? usualRunTime;
+		this.runTime = shape.runTime ?? defaultRunTime;
 		this.startedAt = Array.from({length: shape.replicas}, () => 0);
 		this.boxes = Array.from({length: shape.boxes}, (_, index) => {
 			const clock = new MovedClock(this.now);
@@ -59,16 +59,16 @@
 			};
 		});
 		this.clients = Array.from({length: shape.clients}, (_, index) => ({
-			fingerprint: Fingerprint(`client-${index}`.padEnd(12, '-')), isPoison: index < shape.poisons, dueAt: this.now + (this.random() * clientPause), served: 0, refused: 0, turnedAway: 0,
+			fingerprint: Fingerprint(`client-${index}`.padEnd(12, '-')), isPoison: index < shape.poisons, dueAt: this.now + (this.random() * clientPause), served: 0, refused: 0, deferred: 0,
 		}));
 		for (const index of this.startedAt.keys()) {
 			this.start(index);
 		}
 	}
 
-	pass(time: number): void {
-		const end = this.now + time;
-		while (this.now < end) {
+	advance(time: number): void {
+		const until = this.now + time;
+		while (this.now < until) {
 			this.now += step;
 			for (const {clock} of this.boxes) {
 				clock.now = this.now;
@@ -93,13 +93,13 @@
 
 		for (const {start} of this.runs.filter(({beganAt, client}) => client.isPoison && this.now - beganAt >= crashTime)) {
 			if (this.runs.some(run => run.start === start)) {
-				this.poisonEnds.push(this.now);
+				this.poisonCrashes.push(this.now);
 				this.crash(start);
 			}
 		}
 
 		const {all} = this.boxes[0]!.replicas;
-		if (this.hasOtherEnds && all.length > 0 && this.now % this.shape.otherEndsEvery < step) {
+		if (this.hasOtherCrashes && all.length > 0 && this.now % this.shape.otherCrashInterval < step) {
 			this.crash(this.pick(all).start);
 		}
 
@@ -109,16 +109,16 @@
 			}
 		}
 
-		if (this.now % round < step) {
+		if (this.now % exchangeInterval < step) {
 			this.exchange();
 		}
 	}
 
 	private exchange(): void {
 		for (const sender of this.boxes) {
-			const news = sender.quarantine.told(true, mostEndsTold.small);
-			for (const receiver of this.boxes.filter(box => news && box !== sender && this.random() > lossShare)) {
-				receiver.quarantine.take(news!);
+			const update = sender.quarantine.told(true, mostEndsTold.small);
+			for (const receiver of this.boxes.filter(box => update && box !== sender && this.random() > lossShare)) {
+				receiver.quarantine.take(update!);
 			}
 		}
 	}
@@ -136,21 +136,21 @@
 		const mustWait = standing === 'trial' && quarantine.isRunning(client.fingerprint);
 		const bounded = mustWait ? [] : quarantine.bounded(client.fingerprint, standing, ready);
 		if (bounded.length === 0) {
-			client.turnedAway++;
+			client.deferred++;
 			client.dueAt = this.now + clientPause;
 			return;
 		}
 
 		const replica: Replica = this.pick(bounded);
-		const leave = standing === 'sound' ? () => undefined : quarantine.begin(client.fingerprint, replica.start);
+		const endRun = standing === 'sound' ? () => undefined : quarantine.begin(client.fingerprint, replica.start);
 		this.runs = [...this.runs, {
-			client, box, start: replica.start, beganAt: this.now, isRetry, leave,
+			client, box, start: replica.start, beganAt: this.now, isRetry, endRun,
 		}];
 	}
 
 	private finish(run: Run): void {
 		this.runs = this.runs.filter(other => other !== run);
-		run.leave();
+		run.endRun();
 		run.client.dueAt = this.now + clientPause;
 	}
 
@@ -198,32 +198,32 @@
 
 const seeds = Array.from({length: 15}, (_, index) => index + 1);
 /** Max. refusals of an innocent client, until its box has received the updates of all other boxes. */
-const refusedInPassing = 5;
+const maxTransientRefusals = 5;
 /** Max. innocent clients that are mistaken for a poison request until their next trial, where two poison requests arrive at once. */
-const mostMistaken = 3;
+const maxMistaken = 3;
 
 for (const {mistaken, seedCount, ...shape} of [
 	{
-		boxes: 8, replicas: 8, clients: 40, poisons: 1, otherEndsEvery: 1500, mistaken: 0, seedCount: 15,
+		boxes: 8, replicas: 8, clients: 40, poisons: 1, otherCrashInterval: 1500, mistaken: 0, seedCount: 15,
 	},
 	{
-		boxes: 8, replicas: 9, clients: 60, poisons: 2, otherEndsEvery: 20_000, mistaken: mostMistaken, seedCount: 15,
+		boxes: 8, replicas: 9, clients: 60, poisons: 2, otherCrashInterval: 20_000, mistaken: maxMistaken, seedCount: 15,
 	},
 	{
-		boxes: 30, replicas: 40, clients: 150, poisons: 3, otherEndsEvery: 500, mistaken: 0, seedCount: 3,
+		boxes: 30, replicas: 40, clients: 150, poisons: 3, otherCrashInterval: 500, mistaken: 0, seedCount: 3,
 	},
 ]) {
 	test(`${shape.poisons} poison requests among ${shape.clients} at ${shape.boxes} boxes crash few replicas, and the other requests are served`, () => {
 		for (const seed of seeds.slice(0, seedCount)) {
 			const fleet = new Fleet(shape, seed);
-			fleet.pass(40_000);
-			const third = fleet.poisonEnds[(3 * shape.poisons) - 1] ?? Number.POSITIVE_INFINITY;
-			const late = fleet.poisonEnds.filter(at => at > third + contactTime);
-			assert.ok(late.length <= runsAllowed * shape.poisons, `seed ${seed}: ${late.length} late crashes`);
-			assert.ok(fleet.poisonEnds.length <= 7 * shape.poisons, `seed ${seed}: ${fleet.poisonEnds.length} crashes`);
+			fleet.advance(40_000);
+			const third = fleet.poisonCrashes[(3 * shape.poisons) - 1] ?? Number.POSITIVE_INFINITY;
+			const lateCrashes = fleet.poisonCrashes.filter(at => at > third + detectionTime);
+			assert.ok(lateCrashes.length <= maxLateCrashes * shape.poisons, `seed ${seed}: ${lateCrashes.length} late crashes`);
+			assert.ok(fleet.poisonCrashes.length <= 7 * shape.poisons, `seed ${seed}: ${fleet.poisonCrashes.length} crashes`);
 			const innocent = fleet.clients.filter(({isPoison}) => !isPoison);
-			const kept = innocent.filter(({refused}) => refused > refusedInPassing);
-			assert.ok(kept.length <= mistaken, `seed ${seed}: ${kept.length} innocent requests were quarantined`);
+			const quarantined = innocent.filter(({refused}) => refused > maxTransientRefusals);
+			assert.ok(quarantined.length <= mistaken, `seed ${seed}: ${quarantined.length} innocent requests were quarantined`);
 			assert.ok(innocent.every(({served}) => served > 0), `seed ${seed}: an innocent request was never served`);
 			assert.ok(fleet.clients.filter(({isPoison}) => isPoison).every(({refused}) => refused > 0), `seed ${seed}: a poison request still runs`);
 		}
@@ -232,20 +232,20 @@
 
 for (const shape of [
 	{
-		boxes: 6, replicas: 6, clients: 60, poisons: 0, otherEndsEvery: 400,
+		boxes: 6, replicas: 6, clients: 60, poisons: 0, otherCrashInterval: 400,
 	},
 	{
-		boxes: 4, replicas: 3, clients: 20, poisons: 2, otherEndsEvery: 4000,
+		boxes: 4, replicas: 3, clients: 20, poisons: 2, otherCrashInterval: 4000,
 	},
 ]) {
 	test(`where all replicas crash repeatedly, with ${shape.poisons} poison requests, innocent requests are served again when the crashes stop`, () => {
 		for (const seed of seeds) {
 			const fleet = new Fleet(shape, seed);
-			fleet.pass(20_000);
-			fleet.hasOtherEnds = false;
-			fleet.pass(50_000);
+			fleet.advance(20_000);
+			fleet.hasOtherCrashes = false;
+			fleet.advance(50_000);
 			const served = fleet.clients.map(client => client.served);
-			fleet.pass(5000);
+			fleet.advance(5000);
 			assert.ok(fleet.clients.every((client, index) => client.isPoison || client.served > served[index]!), `seed ${seed}`);
 		}
 	});
@@ -254,9 +254,9 @@
 test('where a replica crashes every 0.3 s and runs are short, innocent requests are never refused', () => {
 	for (const seed of seeds) {
 		const fleet = new Fleet({
-			boxes: 4, replicas: 8, clients: 24, poisons: 0, otherEndsEvery: 300, runTime: 80,
+			boxes: 4, replicas: 8, clients: 24, poisons: 0, otherCrashInterval: 300, runTime: 80,
 		}, seed);
-		fleet.pass(40_000);
-		assert.ok(fleet.clients.every(({refused, turnedAway}) => refused === 0 && turnedAway === 0), `seed ${seed}`);
+		fleet.advance(40_000);
+		assert.ok(fleet.clients.every(({refused, deferred}) => refused === 0 && deferred === 0), `seed ${seed}`);
 	}
 });
--- a/src/quarantine/test/quarantine.test.ts
+++ b/src/quarantine/test/quarantine.test.ts
@@ -35,7 +35,7 @@
 	}
 
 	/** Crashes a new replica, which stays listed. */
-	end(...suspects: readonly Fingerprint[]): Replica {
+	crash(...suspects: readonly Fingerprint[]): Replica {
 		const replica = this.list();
 		this.clock.now += 1000;
 		this.quarantine.noteEnd(replica, suspects.map(fingerprint => ({fingerprint, ranFor: 60})), this.clock.now);
@@ -45,33 +45,33 @@
 
 test('the status of a request gets worse with each replica that it crashes, and that of bystanders does not', () => {
 	const fixture = new Fixture();
-	const standings = [1, 2, 3, 4].map(count => {
-		fixture.end(x, Fingerprint(`beside-${count}`.padEnd(12, '-')));
+	const statuses = [1, 2, 3, 4].map(count => {
+		fixture.crash(x, Fingerprint(`bystander-${count}`.padEnd(12, '-')));
 		return fixture.quarantine.standingOf(x);
 	});
-	assert.deepEqual(standings, ['suspect', 'trial', 'quarantined', 'quarantined']);
-	assert.equal(fixture.quarantine.standingOf(Fingerprint('beside-3----')), 'sound');
+	assert.deepEqual(statuses, ['suspect', 'trial', 'quarantined', 'quarantined']);
+	assert.equal(fixture.quarantine.standingOf(Fingerprint('bystander-3-')), 'sound');
 	assert.deepEqual(fixture.quarantine.kept, [x]);
 });
 
 test('of two requests that cannot be distinguished neither is quarantined before both had a trial', () => {
 	const fixture = new Fixture();
-	const standings = [1, 2, 3, 4, 5].map(() => {
-		fixture.end(x, a);
+	const statuses = [1, 2, 3, 4, 5].map(() => {
+		fixture.crash(x, a);
 		return [fixture.quarantine.standingOf(x), fixture.quarantine.standingOf(a)];
 	});
-	assert.deepEqual(standings.slice(2), [['trial', 'trial'], ['trial', 'trial'], ['quarantined', 'quarantined']]);
+	assert.deepEqual(statuses.slice(2), [['trial', 'trial'], ['trial', 'trial'], ['quarantined', 'quarantined']]);
 	const other = new Fixture();
-	other.end(x, a);
-	other.end(x, a);
-	other.end(x);
+	other.crash(x, a);
+	other.crash(x, a);
+	other.crash(x);
 	assert.deepEqual([other.quarantine.standingOf(x), other.quarantine.standingOf(a)], ['quarantined', 'sound']);
 });
 
 test('a request that completed is sound again', () => {
 	const fixture = new Fixture();
-	fixture.end(x);
-	fixture.end(x);
+	fixture.crash(x);
+	fixture.crash(x);
 	fixture.clock.now += 100;
 	fixture.quarantine.noteCompletion(x);
 	assert.equal(fixture.quarantine.standingOf(x), 'sound');
@@ -80,7 +80,7 @@
 
 test('a replica that answers after its crash was reported is alive, and the crash is attributed to no request', () => {
 	const fixture = new Fixture();
-	const replicas = [1, 2, 3].map(() => fixture.end(x));
+	const replicas = [1, 2, 3].map(() => fixture.crash(x));
 	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
 	fixture.clock.now += 1000;
 	for (const replica of replicas) {
@@ -93,18 +93,18 @@
 
 test('answers of a replica that restarted under the same id do not contradict the crash of its previous start', () => {
 	const fixture = new Fixture();
-	const [first] = [1, 2, 3].map(() => fixture.end(x));
+	const [first] = [1, 2, 3].map(() => fixture.crash(x));
 	fixture.replicas.remove(first!.entry.id, 50);
-	const anew = fixture.list({id: first!.entry.id, bornAt: 99, revision: 60});
+	const restarted = fixture.list({id: first!.entry.id, bornAt: 99, revision: 60});
 	fixture.clock.now += 1000;
-	anew.noteHeard();
+	restarted.noteHeard();
 	fixture.clock.now += 200;
 	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
 });
 
 test('a quarantined request gets one trial once all replicas run new software, but not while one still runs the old software', () => {
 	const fixture = new Fixture();
-	for (const replica of [1, 2, 3].map(() => fixture.end(x))) {
+	for (const replica of [1, 2, 3].map(() => fixture.crash(x))) {
 		fixture.replicas.remove(replica.entry.id, 50);
 	}
 
@@ -122,11 +122,11 @@
 	const fixture = new Fixture();
 	for (const index of [1, 2, 3, 4, 5].keys()) {
 		fixture.list();
-		fixture.end(Fingerprint(`other-${index}`.padEnd(12, '-')));
+		fixture.crash(Fingerprint(`other-${index}`.padEnd(12, '-')));
 	}
 
 	for (const _ of [1, 2, 3]) {
-		fixture.end(x);
+		fixture.crash(x);
 	}
 
 	assert.equal(fixture.quarantine.standingOf(x), 'quarantined', 'five other crashes among a dozen replicas do not raise the threshold');
@@ -136,8 +136,8 @@
 
 	fixture.clock.now += 200;
 	assert.equal(fixture.quarantine.standingOf(x), 'trial');
-	fixture.end(x);
-	fixture.end(x);
+	fixture.crash(x);
+	fixture.crash(x);
 	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
 });
 
@@ -145,32 +145,32 @@
 	const fixture = new Fixture();
 	for (const index of [1, 2, 3, 4, 5, 6].keys()) {
 		const other = Fingerprint(`other-${index}`.padEnd(12, '-'));
-		const replica = fixture.end(other);
+		const replica = fixture.crash(other);
 		fixture.clock.now += 100;
 		fixture.quarantine.noteCompletion(other);
 		fixture.replicas.remove(replica.entry.id, 90);
 	}
 
 	fixture.list();
-	const standings = [1, 2, 3, 4, 5].map(() => {
-		const replica = fixture.end(x);
+	const statuses = [1, 2, 3, 4, 5].map(() => {
+		const replica = fixture.crash(x);
 		fixture.replicas.remove(replica.entry.id, 90);
 		return fixture.quarantine.standingOf(x);
 	});
-	assert.deepEqual(standings, ['suspect', 'trial', 'trial', 'trial', 'quarantined']);
+	assert.deepEqual(statuses, ['suspect', 'trial', 'trial', 'trial', 'quarantined']);
 });
 
 test('later crashes for other reasons do not lift the quarantine', () => {
 	const fixture = new Fixture();
 	for (const _ of [1, 2, 3]) {
-		const replica = fixture.end(x);
+		const replica = fixture.crash(x);
 		fixture.replicas.remove(replica.entry.id, 90);
 	}
 
 	fixture.list();
 	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
 	for (const index of [1, 2, 3, 4, 5].keys()) {
-		const replica = fixture.end(Fingerprint(`other-${index}`.padEnd(12, '-')));
+		const replica = fixture.crash(Fingerprint(`other-${index}`.padEnd(12, '-')));
 		fixture.replicas.remove(replica.entry.id, 90);
 	}
 
@@ -180,7 +180,7 @@
 test('a quarantined request gets further trials, from one box only, after growing delays', () => {
 	const fixture = new Fixture();
 	for (const _ of [1, 2, 3]) {
-		fixture.end(x);
+		fixture.crash(x);
 	}
 
 	const first = fixture.quarantine.keptFor(x);
@@ -192,7 +192,7 @@
 	fixture.isOwner = false;
 	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
 	fixture.isOwner = true;
-	fixture.end(x);
+	fixture.crash(x);
 	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
 	const second = fixture.quarantine.keptFor(x);
 	assert.ok(second >= 10 * first);
@@ -205,7 +205,7 @@
 test('a request that an operator released runs', () => {
 	const fixture = new Fixture();
 	for (const _ of [1, 2, 3]) {
-		fixture.end(x);
+		fixture.crash(x);
 	}
 
 	fixture.released.push(x);
@@ -215,28 +215,28 @@
 test('requests that are not sound run on different replicas where possible, and a trial runs once at a time', () => {
 	const fixture = new Fixture();
 	for (const _ of [1, 2]) {
-		fixture.end(x, a);
-		fixture.end(a);
+		fixture.crash(x, a);
+		fixture.crash(a);
 	}
 
 	const [one, two] = [fixture.list(), fixture.list()];
-	const beside = Fingerprint('beside-besid');
-	fixture.end(beside);
-	const leave = fixture.quarantine.begin(x, one.start);
+	const bystander = Fingerprint('bystander---');
+	fixture.crash(bystander);
+	const endRun = fixture.quarantine.begin(x, one.start);
 	assert.deepEqual(fixture.bounded(a, [one, two]), [two]);
 	assert.deepEqual(fixture.bounded(a, [one]), [], 'a trial waits where there is no other replica');
-	assert.deepEqual(fixture.bounded(beside, [one]), [one], 'a request with a single crash does not wait');
+	assert.deepEqual(fixture.bounded(bystander, [one]), [one], 'a request with a single crash does not wait');
 	assert.deepEqual(fixture.bounded(Fingerprint('sound-sound-'), [one, two]), [one, two]);
 	assert.equal(fixture.quarantine.isRunning(x), true);
-	leave();
+	endRun();
 	assert.equal(fixture.quarantine.isRunning(x), false);
 });
 
 test('a trial runs at a replica with few requests, and trials of different requests are spread over these replicas', () => {
 	const fixture = new Fixture();
 	const names = Array.from({length: 40}, (_, index) => Fingerprint(`tried-${index}`.padEnd(12, '-')));
-	fixture.end(...names);
-	fixture.end(...names);
+	fixture.crash(...names);
+	fixture.crash(...names);
 	const replicas = Array.from({length: 8}, () => fixture.list());
 	for (const replica of replicas.slice(4)) {
 		replica.begin(0);
