--- a/src/quota/quota-ledger.ts
+++ b/src/quota/quota-ledger.ts
@@ -1,54 +1,54 @@
 /**
- * One bucket for each client account over all boxes: every box counts what it lets pass, tells the others, and takes
- * what they tell from its own copy of the bucket.
+ * One token bucket for each client account, shared by all boxes: every box counts the units that it admits, sends its counters to the
+ * other boxes, and subtracts the units that they admitted from its own copy of the bucket.
  *
  * @remarks
- * What two boxes let pass at the same moment neither knows of; that excess is at most demand times the time
- * between two exchanges, and it is paid back, since the bucket goes below zero. Boxes that cannot hear each other
- * leave each other a fair part. In a large fleet a few boxes hear all counters and tell the others how full the bucket
- * is and how fast it is used, and those go on from there until they are told again. Source: docs/PLATFORM.md, "QUOTA".
+ * Boxes that admit requests at the same time do not know of each other's yet. The excess is at most the demand times the interval
+ * between two exchanges, and it is paid back, since the bucket goes below zero. Boxes that cannot reach each other leave a fair part
+ * to each other. In a large fleet a few aggregators receive all counters and send the level of the bucket and its rate of use to
+ * the other boxes, which extrapolate from there until the next message. Source: docs/PLATFORM.md, "QUOTA".
  */
 import type {Clock} from '../base/clock.js';
 import {RateMeter} from '../base/rate-meter.js';
 import type {QuotaCount, QuotaLevel} from '../gossip/gossip-message.js';
 import type {Meeting} from '../gossip/peer-table.js';
 
-/** A client account's bound for all boxes together. */
+/** The limit of a client account for all boxes together. */
 export type QuotaBound = {
-	/** Units a second; zero stands for no bound. */
+	/** Units a second; zero means no limit. */
 	readonly rate: number;
-	/** Units. */
+	/** Capacity of the bucket, in units. */
 	readonly burst: number;
 };
 
-/** What is known of the other boxes. */
+/** Facts about client accounts and the other boxes. */
 export type QuotaFacts = {
-	/** @returns The client account's bound; `undefined` where there is no such client account. */
+	/** @returns The limit of the client account; `undefined` where there is no such client account. */
 	readonly bound: (clientAccount: string) => QuotaBound | undefined;
-	/** @returns Part of all boxes that are heard of, this one too; above 0, at most 1. */
+	/** @returns Fraction of all boxes that are reachable, including this one; above 0, at most 1. */
 	readonly heardPart: () => number;
-	/** @returns Part of the burst that is spent; the rest is left for what boxes do not know of each other yet. */
+	/** @returns Fraction of the burst that may be used; the rest is a reserve for units that other boxes admitted and have not reported yet. */
 	readonly burstPart?: () => number;
 	/** @returns A number from 0 to 1. */
 	readonly random?: () => number;
 };
 
-/** What the last decision on a client account rested on, for the log. */
+/** The state behind the last decision on a client account, for the log. */
 export type QuotaBasis = {
-	/** How full this box's copy of the bucket is. */
+	/** Level of this box's copy of the bucket, in units. */
 	readonly level: number;
-	/** Part of the rate that is this box's; absent where there is plenty for all, or where nobody told. */
+	/** Fraction of the rate that this box may use; absent where there are enough units for all, or where no aggregator sent a level. */
 	readonly share: number | undefined;
-	/** Milliseconds since an aggregator told the level; absent where none did lately. */
+	/** Milliseconds since an aggregator sent the level; absent where the last one has expired. */
 	readonly toldAge: number | undefined;
-	/** Part of all boxes that are heard of. */
+	/** Fraction of all boxes that are reachable. */
 	readonly heardPart: number;
 };
 
-/** What one start of another box let pass, as far as it was told. */
+/** Units that one start (incarnation) of another box has admitted, as last reported. */
 type PeerCounts = {
 	readonly passed: Map<string, number>;
-	/** Whether it told all its counters once: one that was not among them stood at zero. */
+	/** Whether the box has sent all its counters once: a counter that was not among them was zero. */
 	isWhole: boolean;
 };
 
@@ -56,60 +56,64 @@
 	level: number;
 	refilledAt: number;
 	passed: number;
-	/** Monotonic milliseconds at which this box was last asked for some, or took some back. */
+	/** Monotonic milliseconds at which units were last requested from this box, or returned. */
 	changedAt: number;
-	/** Units a second that the others let pass, as it was last told, and when. */
+	/** Units a second that the other boxes admit, by the last level received. */
 	othersRate: number;
-	/** Units a second that the bucket is refilled with, as it was told. */
+	/** Units a second that refill the bucket, by the last level received. */
 	refillRate: number;
+	/** Monotonic milliseconds at which the last level was received. */
 	toldAt: number;
-	/** Part of the rate that is this box's where little is left; `undefined` where there is plenty for all. */
+	/** Fraction of the rate that this box may use where few units are left; `undefined` where there are enough for all. */
 	share: number | undefined;
-	/** How much faster or slower than the rate the share is spent, so that the whole bucket is led back to zero. */
+	/** Factor on the rate at which the share is spent, so that the level of the shared bucket returns to zero. */
 	pace: number;
-	/** Mean units of a request. */
+	/** Moving average of the units of a request. */
 	meanUnits: number;
 	readonly askMeter: RateMeter;
 	readonly ownMeter: RateMeter;
 	readonly othersMeter: RateMeter;
 };
 
-/** Milliseconds for which a level that was told is gone on from. */
+/** Milliseconds for which a received level is extrapolated. */
 const toldLifetime = 1500;
-/** Milliseconds by which what others let pass is behind in a level that is told: half a round on average. */
+/** Milliseconds by which a received level lags behind the other boxes: half an exchange interval on average. */
 const inFlight = 200;
-/** Part of the burst that is set aside at most for what is in flight. */
+/** Max. fraction of the burst that is reserved for units in flight. */
 const mostInFlight = 0.5;
-/** Milliseconds for which what is asked for must be there to count as plenty: a round. */
+/** Milliseconds of demand that the bucket must hold to count as enough for all: one exchange interval. */
 const plentyTime = 400;
-/** What is asked for, as a part of the rate, up to which it is no rush: the measure wavers by so much. */
+/** Demand as a factor of the rate up to which it does not count as overload: the measured demand fluctuates by this much. */
 const calmPart = 1.15;
-/** Milliseconds in which a bucket below zero is led back to it. */
+/** Milliseconds in which a bucket below zero returns to zero. */
 const recoveryTime = 2000;
+/** Min. factor on the rate. */
 const slowestPace = 0.3;
-/** Where more is asked for than there is, a little is left for what boxes do not know of each other yet. */
+/** Factor on the rate under overload at level zero; the rest is a reserve for units that other boxes admitted and have not reported yet. */
 const usualPace = 0.9;
+/** Max. factor on the rate. */
 const fastestPace = 1;
-/** Milliseconds for which a box may save its share. */
+/** Milliseconds of its share that a box may accumulate. */
 const savingTime = 1000;
-/** Milliseconds over which what is asked for is measured: a few large requests are no rush. */
+/** Milliseconds over which the demand is averaged, so that a few large requests do not count as overload. */
 const askTimeConstant = 1000;
+/** Weight of a request in the moving average of the units of a request. */
 const meanWeight = 0.1;
-/** Milliseconds for which what this box was asked for is told each time, so that a message may be lost. */
+/** Milliseconds for which a changed counter is included in each message, since messages may be lost. */
 const recentTime = 2500;
-/** Milliseconds for which what a box asked for counts. */
+/** Milliseconds for which the reported demand of a box counts. */
 const askLifetime = 2000;
 
 const millisecondsPerSecond = 1000;
-/** Part of the burst that a box has that starts anew: others, or its own last start, may just have used the rest. */
+/** Fraction of the burst that a restarted box begins with: other boxes, or its own previous start, may just have used the rest. */
 const restartPart = 0.5;
 
 /** The buckets of all client accounts. */
 export class QuotaLedger {
 	/**
-	 * @param facts - What is known of client accounts and boxes.
+	 * @param facts - Facts about client accounts and boxes.
 	 * @param clock - For refilling.
-	 * @param startsFull - Whether nobody can have used anything yet: the whole system starts for the first time.
+	 * @param startsFull - Whether buckets start full: no units can have been used where the whole system starts for the first time.
 	 * @returns A ledger.
 	 */
 	static create(facts: QuotaFacts, clock: Clock, startsFull: boolean): QuotaLedger {
@@ -118,7 +122,7 @@
 
 	private readonly buckets = new Map<string, Bucket>();
 	private readonly peers = new Map<string, PeerCounts>();
-	/** What the others are asked for, by box and client account. */
+	/** Demand that the other boxes report, in units a second, by start of the box and client account. */
 	private readonly asks = new Map<string, {readonly at: number; readonly rates: ReadonlyMap<string, number>}>();
 
 	private constructor(
@@ -127,23 +131,23 @@
 		private readonly startsFull: boolean,
 	) {}
 
-	/** What this box tells the others. */
+	/** All counters of this box, as sent to other boxes. */
 	get counts(): readonly QuotaCount[] {
 		return this.countsOf([...this.buckets]);
 	}
 
-	/** The same of those client accounts alone that it was asked for lately. */
+	/** The counters that changed within the last 2.5 s (`recentTime`). */
 	get recentCounts(): readonly QuotaCount[] {
 		const since = this.clock.monotonic() - recentTime;
 		return this.countsOf([...this.buckets].filter(([, {changedAt}]) => changedAt >= since));
 	}
 
 	/**
-	 * Lets a request pass or not.
+	 * Admits or rejects a request.
 	 *
-	 * @param clientAccount - Whose it is.
-	 * @param units - How much it counts.
-	 * @returns Zero where it may pass; otherwise the milliseconds after which to come back.
+	 * @param clientAccount - Name of the client account.
+	 * @param units - Units that the request counts.
+	 * @returns Zero where the request is admitted; otherwise the milliseconds after which to retry.
 	 */
 	take(clientAccount: string, units: number): number {
 		const bound = this.facts.bound(clientAccount);
@@ -167,10 +171,10 @@
 	}
 
 	/**
-	 * Takes back what a request counted that has not run.
+	 * Returns the units of a request that has not run.
 	 *
-	 * @param clientAccount - Whose it was.
-	 * @param units - How much it counted.
+	 * @param clientAccount - Name of the client account.
+	 * @param units - Units that the request counted.
 	 */
 	giveBack(clientAccount: string, units: number): void {
 		const bucket = this.buckets.get(clientAccount);
@@ -183,8 +187,8 @@
 	}
 
 	/**
-	 * @param clientAccount - Whose requests were decided on.
-	 * @returns What that rested on; `undefined` where nothing was decided.
+	 * @param clientAccount - Name of a client account.
+	 * @returns The state behind the last decision; `undefined` where there was none.
 	 */
 	basisOf(clientAccount: string): QuotaBasis | undefined {
 		const bucket = this.buckets.get(clientAccount);
@@ -202,28 +206,28 @@
 	}
 
 	/**
-	 * @param peer - One start of one box.
-	 * @returns Whether its counters were taken before.
+	 * @param peer - Start of a box.
+	 * @returns Whether its counters have been received before.
 	 */
 	knows(peer: string): boolean {
 		return this.peers.has(peer);
 	}
 
 	/**
-	 * Takes what another box tells.
+	 * Applies the counters that another box sent.
 	 *
-	 * @param peer - One start of one box.
-	 * @param counts - What it tells.
-	 * @param meeting - How it is met: `known` has been heard lately; `younger` is new and began after this one;
-	 * `other` is older, or was not heard for a while, so that its part was left to it; `apart` is the same in a large
-	 * fleet, where its own idea of the bucket is no better than this box's.
-	 * @param isWhole - Whether counters that it does not tell stand at zero.
+	 * @param peer - Start of the box.
+	 * @param counts - Its counters.
+	 * @param meeting - How the box relates to this one: `known` has been in contact; `younger` is new and started after this one;
+	 * `other` is older, or had lost contact, so that a part of the rate was left to it; `apart` is the same in a large fleet, where its
+	 * level is no more accurate than this box's.
+	 * @param isWhole - Whether counters that are absent are zero.
 	 */
 	takeCounts(peer: string, counts: readonly QuotaCount[], meeting: Meeting, isWhole = true): void {
 		const known = this.countsToTakeTo(peer, meeting);
 		this.asks.set(peer, {at: this.clock.monotonic(), rates: new Map(counts.map(({clientAccount, asked}) => [clientAccount, asked]))});
 		for (const {clientAccount, passed, level} of counts) {
-			// What was let pass before this box first heard of it is no news.
+			// Units admitted before the first report of a counter are not subtracted.
 			const before = known.passed.get(clientAccount) ?? (known.isWhole ? 0 : passed);
 			known.passed.set(clientAccount, passed);
 			if (!this.facts.bound(clientAccount)) {
@@ -244,8 +248,8 @@
 	}
 
 	/**
-	 * @param peer - One start of one box.
-	 * @returns What to tell it of all buckets.
+	 * @param peer - Start of a box.
+	 * @returns The levels of all buckets to send to that box.
 	 */
 	levelsFor(peer: string): readonly QuotaLevel[] {
 		const counted = this.peers.get(peer);
@@ -265,9 +269,9 @@
 	}
 
 	/**
-	 * Goes on from what a box tells that hears all counters.
+	 * Applies the levels that an aggregator sent.
 	 *
-	 * @param levels - What it tells.
+	 * @param levels - Levels of buckets.
 	 */
 	adopt(levels: readonly QuotaLevel[]): void {
 		for (const told of levels) {
@@ -275,15 +279,15 @@
 		}
 	}
 
-	/** @param peer - One start of one box, which is gone. */
+	/** @param peer - Start of a box that is gone. */
 	forget(peer: string): void {
 		this.peers.delete(peer);
 		this.asks.delete(peer);
 	}
 
 	/**
-	 * Where there is plenty every box may pass what comes. Where little is left all boxes would see the last of it at
-	 * once, and each would let one more request pass; then each spends its share of the rate alone.
+	 * Where there are enough units for all, every box may admit requests. Where few units are left, all boxes would see the last of them
+	 * at the same time and each would admit one more request; each box is then limited to its share of the rate.
 	 */
 	private adoptOne({
 		clientAccount, level, refillRate, passRate, askRate, counted,
@@ -312,8 +316,8 @@
 	}
 
 	/**
-	 * A bucket that is above zero lets a request pass whatever its size. Where many boxes begin to spend small parts, all
-	 * would let one pass at once; each begins as though it were somewhere between two requests.
+	 * A bucket above zero admits a request of any size. Where many boxes begin to spend small shares, all would admit one at the same
+	 * time; a random offset of up to one mean request spreads them.
 	 */
 	private phaseOf({meanUnits}: Bucket): number {
 		return (this.facts.random ?? Math.random)() * meanUnits;
@@ -328,7 +332,7 @@
 		});
 	}
 
-	/** What was known of a box that was not heard for a while says no longer what of its counters is news. */
+	/** Starts from empty counters for a box that had lost contact: the known ones no longer show which units are new. */
 	private countsToTakeTo(peer: string, meeting: Meeting): PeerCounts {
 		const known = this.peers.get(peer);
 		const isHeardOn = meeting === 'known' || meeting === 'younger';
@@ -341,7 +345,7 @@
 		return (bound?.burst ?? 0) * (this.facts.burstPart?.() ?? 1);
 	}
 
-	/** What is asked for at the others, by client account. */
+	/** Demand at the other boxes in units a second, by client account. */
 	private askedAtOthers(): ReadonlyMap<string, number> {
 		const since = this.clock.monotonic() - askLifetime;
 		const totals = new Map<string, number>();
@@ -377,7 +381,7 @@
 		return bucket;
 	}
 
-	/** The level that was told is gone on from. */
+	/** Extrapolates the level that was last received. */
 	private refilledLevel({level, share, pace, othersRate, refillRate}: Bucket, bound: QuotaBound, elapsed: number): number {
 		if (share === undefined) {
 			return Math.min(this.burstOf(bound), level + (elapsed * (refillRate - othersRate) / millisecondsPerSecond));
--- a/src/quota/repeat-budget.ts
+++ b/src/quota/repeat-budget.ts
@@ -1,31 +1,31 @@
 /**
- * Bounds how many requests are sent again, so that a brown-out of replicas is not made worse. The bound holds for all
- * boxes together: each keeps to a part of its own requests and to its part of the slack.
+ * Retry budget: limits the number of retries, so that retries do not worsen an overload of replicas. The limit holds for all boxes
+ * together: each box may retry a fraction of its own requests, plus its part of the slack.
  */
 import type {Clock} from '../base/clock.js';
 
-/** The bound for all boxes together. */
+/** The retry limit for all boxes together. */
 export type RepeatBound = {
-	/** Repeats for each request. */
+	/** Retries for each request. */
 	readonly ratio: number;
-	/** Repeats that are allowed whatever is asked for. */
+	/** Retries that are allowed independent of the number of requests. */
 	readonly slack: number;
-	/** Milliseconds over which both count. */
+	/** Milliseconds of the sliding window for both. */
 	readonly window: number;
 };
 
-/** Part of the bound that is used: windows of boxes do not begin together, and boxes start anew. */
+/** Fraction of the limit that is used, since the windows of boxes are not aligned, and restarted boxes begin with an empty window. */
 const usedPart = 0.7;
-/** Part of the slack, which a box that starts anew has again. */
+/** Fraction of the slack that is used, since a restarted box gets its part again. */
 const usedSlack = 0.5;
 
-/** The budget of one service on one box. */
+/** The retry budget of one service on one box. */
 export class RepeatBudget {
 	/**
-	 * @param bound - The bound for all boxes.
-	 * @param boxes - How many there are.
+	 * @param bound - The limit for all boxes.
+	 * @param boxes - Number of boxes.
 	 * @param clock - For the window.
-	 * @returns A budget of which nothing is used.
+	 * @returns An unused budget.
 	 */
 	static create(bound: () => RepeatBound, boxes: () => number, clock: Clock): RepeatBudget {
 		return new RepeatBudget(bound, boxes, clock);
@@ -40,12 +40,12 @@
 		private readonly clock: Clock,
 	) {}
 
-	/** Notes a request. */
+	/** Counts a request. */
 	noteRequest(): void {
 		this.firsts = [...this.recent(this.firsts), this.clock.monotonic()];
 	}
 
-	/** @returns Whether a request may be sent again; it is then paid for. */
+	/** @returns Whether a request may be retried; the retry is then counted. */
 	withdraw(): boolean {
 		const {ratio, slack} = this.bound();
 		const repeats = this.recent(this.repeats);
--- a/src/quota/test/quota-ledger.test.ts
+++ b/src/quota/test/quota-ledger.test.ts
@@ -7,7 +7,7 @@
 const clientAccount = 'basin';
 const bound = {rate: 100, burst: 100};
 
-/** Boxes that tell each other in rounds, as the exchange does. */
+/** Boxes that exchange their counters at intervals, as by gossip. */
 class Fleet {
 	readonly clock = new MovedClock();
 	readonly ledgers: readonly QuotaLedger[];
@@ -42,7 +42,7 @@
 	}
 }
 
-test('a client account inside its quota is never refused, whichever boxes its requests come to', () => {
+test('a client account within its quota is never refused, whichever boxes receive its requests', () => {
 	const fleet = new Fleet(9);
 	for (let step = 0; step < 200; step++) {
 		fleet.clock.now += 20;
@@ -54,7 +54,7 @@
 	}
 });
 
-test('far past its quota a client account gets its quota and little more in any window, also with boxes cut off', () => {
+test('a client account far above its quota gets little more than its quota in any window, also with partitioned boxes', () => {
 	fc.assert(fc.property(
 		fc.array(fc.record({box: fc.nat(8), cut: fc.option(fc.nat(8)), heal: fc.boolean()}), {minLength: 1500, maxLength: 2000}),
 		steps => {
@@ -62,7 +62,7 @@
 			const passed: Array<{readonly at: number; readonly units: number}> = [];
 			for (const [index, {box, cut, heal}] of steps.entries()) {
 				fleet.clock.now += 10;
-				// A cut or heal now and then, a third of the boxes at most.
+				// Occasional partitions of single boxes, and their ends.
 				if (index % 400 === 399 && cut !== null) {
 					fleet.reaches[cut] = false;
 				}
@@ -75,7 +75,7 @@
 					fleet.exchange();
 				}
 
-				// Four times the quota is asked for.
+				// The demand is four times the quota.
 				if (fleet.ledgers[box]!.take(clientAccount, 4) === 0) {
 					passed.push({at: fleet.clock.now, units: 4});
 				}
@@ -91,12 +91,12 @@
 	), {numRuns: 12, seed: 7, endOnFailure: true});
 });
 
-test('a box that starts among others takes the bucket as they know it, and one that starts anew has half of the burst', () => {
+test('a box that joins running boxes adopts their level, and a restarted box begins with half of the burst', () => {
 	const clock = new MovedClock();
 	const facts = {bound: () => bound, heardPart: () => 1};
 	const old = QuotaLedger.create(facts, clock, true);
 	while (old.take(clientAccount, 10) === 0) {
-		// Used up.
+		// Uses up the bucket.
 	}
 
 	const fresh = QuotaLedger.create(facts, clock, true);
@@ -104,12 +104,12 @@
 	assert.ok(fresh.take(clientAccount, 1) > 0);
 	const restarted = QuotaLedger.create(facts, clock, false);
 	assert.equal(restarted.take(clientAccount, 60), 0);
-	assert.ok(restarted.take(clientAccount, 1) > 0, 'half of the burst is there, and no more');
+	assert.ok(restarted.take(clientAccount, 1) > 0, 'no more than half of the burst is available');
 	clock.now += 200;
 	assert.equal(restarted.take(clientAccount, 1), 0);
 });
 
-test('a lowered bound takes hold at once, and what did not run is given back', () => {
+test('a lowered limit takes effect at once, and the units of a request that did not run are returned', () => {
 	const clock = new MovedClock();
 	const limit = {...bound};
 	const ledger = QuotaLedger.create({bound: () => limit, heardPart: () => 1}, clock, true);
@@ -120,7 +120,7 @@
 	assert.equal(ledger.take(clientAccount, 1), 0);
 });
 
-/** A large fleet: boxes tell one aggregator, which tells each how full the bucket is. */
+/** A large fleet: boxes send their counters to one aggregator, which sends the level of the bucket to each box. */
 class LargeFleet {
 	readonly clock = new MovedClock();
 	readonly aggregator: QuotaLedger;
@@ -145,7 +145,7 @@
 	}
 }
 
-test('in a large fleet a client account inside its quota is never refused, also where one box has all its requests', () => {
+test('in a large fleet a client account within its quota is never refused, also where one box receives all its requests', () => {
 	for (const boxOf of [(step: number) => (step * 7) % 80, () => 3]) {
 		const fleet = new LargeFleet(80);
 		fleet.boxes[0]!.take(clientAccount, 0.001);
@@ -161,7 +161,7 @@
 	}
 });
 
-test('in a large fleet a client account far past its quota gets little more than it in any window', () => {
+test('in a large fleet a client account far above its quota gets little more than its quota in any window', () => {
 	const fleet = new LargeFleet(80);
 	const passed: number[] = [];
 	for (let step = 0; step < 4000; step++) {
@@ -170,7 +170,7 @@
 			fleet.exchange();
 		}
 
-		// Eight times the quota is asked for.
+		// The demand is eight times the quota.
 		if (fleet.boxes[(step * 13) % 80]!.take(clientAccount, 4) === 0) {
 			passed.push(fleet.clock.now);
 		}
@@ -183,13 +183,13 @@
 	}
 });
 
-test('in a large fleet the onset of eight times the quota stays within a tenth of what a window allows', () => {
+test('in a large fleet a sudden demand of eight times the quota exceeds the limit of a window by at most a tenth', () => {
 	const fleet = new LargeFleet(80);
 	fleet.boxes[0]!.take(clientAccount, 0.001);
 	let passed = 0;
 	for (let step = 0; step < 1600; step++) {
 		fleet.clock.now += 5;
-		// Each box tells once in 400 ms, none at the same moment as another, and is answered at once.
+		// Each box exchanges once in 400 ms, all at different times, without delay.
 		const index = step % 80;
 		fleet.aggregator.takeCounts(String(index), fleet.boxes[index]!.counts, 'known');
 		fleet.boxes[index]!.adopt(fleet.aggregator.levelsFor(String(index)));
@@ -202,7 +202,7 @@
 	assert.ok(passed <= ((bound.rate * 8) + bound.burst) * 1.1, `${passed} units in 8 s`);
 });
 
-test('a part of a large fleet that is cut off spends its part of the rate, however much is asked for', () => {
+test('a partition of a large fleet spends its part of the rate, whatever the demand', () => {
 	const fleet = new LargeFleet(13, true, 0.15);
 	fleet.boxes[0]!.take(clientAccount, 0.001);
 	let passed = 0;
@@ -218,7 +218,7 @@
 	assert.ok(passed <= ((bound.rate * 20) + bound.burst) * 0.15 * 1.2, `${passed} units in 20 s`);
 });
 
-test('boxes that begin to spend their shares at one moment do not all let a large request pass at once', () => {
+test('boxes that begin to spend their shares at the same time do not all admit a large request at once', () => {
 	const fleet = new LargeFleet(80);
 	fleet.boxes[0]!.take(clientAccount, 0.001);
 	let passed = 0;
@@ -227,7 +227,7 @@
 		const index = step % 80;
 		fleet.aggregator.takeCounts(String(index), fleet.boxes[index]!.counts, 'known');
 		fleet.boxes[index]!.adopt(fleet.aggregator.levelsFor(String(index)));
-		// A request counts a quarter of a second's rate, and sixteen times the rate is asked for.
+		// The demand is sixteen times the rate.
 		if (step >= 400 && fleet.boxes[(step * 13) % 80]!.take(clientAccount, 8) === 0) {
 			passed += 8;
 		}
@@ -236,7 +236,7 @@
 	assert.ok(passed <= (bound.rate * 6) + (bound.burst * 2), `${passed} units in 6 s`);
 });
 
-test('a box that loses the aggregators of a large fleet spends its fair part alone', () => {
+test('a box that loses contact with the aggregators of a large fleet spends only its fair part', () => {
 	const fleet = new LargeFleet(80);
 	fleet.boxes[0]!.take(clientAccount, 0.001);
 	fleet.exchange();
@@ -251,7 +251,7 @@
 	assert.ok(units <= ((bound.rate * 10) + bound.burst) / 80 * 1.2, `${units} units in 10 s`);
 });
 
-test('a box that an aggregator hears for the first time, or again, does not have its whole past taken from the bucket', () => {
+test('units that a box admitted before its first or renewed contact with an aggregator are not subtracted from the bucket', () => {
 	const clock = new MovedClock();
 	const facts = {bound: () => bound, heardPart: () => 1};
 	const box = QuotaLedger.create(facts, clock, true);
@@ -265,10 +265,10 @@
 	assert.equal(aggregator.take(clientAccount, 90), 0);
 	box.take(clientAccount, 20);
 	aggregator.takeCounts('box', box.counts, 'known');
-	assert.ok(aggregator.take(clientAccount, 1) > 0, 'what comes after that counts');
+	assert.ok(aggregator.take(clientAccount, 1) > 0, 'units admitted after the first contact count');
 });
 
-test('what changed lately is told alone, also what was given back, and all of it where that is asked', () => {
+test('recent counts include only the counters that changed within 2.5 s, also by returned units; counts include all', () => {
 	const clock = new MovedClock();
 	const ledger = QuotaLedger.create({bound: () => bound, heardPart: () => 1}, clock, true);
 	const names = () => ledger.recentCounts.map(count => count.clientAccount);
@@ -278,13 +278,13 @@
 	clock.now += 2000;
 	ledger.giveBack('delta', 5);
 	clock.now += 1000;
-	assert.deepEqual(names(), ['delta'], 'a message may be lost, so that it is told for some rounds');
+	assert.deepEqual(names(), ['delta'], 'a change is sent for several exchanges, since a message may be lost');
 	clock.now += 5000;
 	assert.deepEqual(names(), []);
 	assert.deepEqual(ledger.counts.map(count => count.clientAccount), ['basin', 'delta']);
 });
 
-test('a box that begins to hear all takes no past of another for new, though that tells only what changed lately', () => {
+test('a new aggregator does not count old units of a box as new, although the box sends only its recent counters', () => {
 	const clock = new MovedClock();
 	const large = {rate: 1000, burst: 10_000};
 	const ledgerOf = () => QuotaLedger.create({bound: () => large, heardPart: () => 1}, clock, true);
@@ -298,23 +298,23 @@
 	const levelOf = (name: string) => aggregator.levelsFor('box').find(level => level.clientAccount === name);
 	aggregator.take('basin', 0);
 	aggregator.takeCounts('box', box.recentCounts, 'apart', false);
-	assert.equal(levelOf('basin')?.counted, undefined, 'it has not told that one yet');
+	assert.equal(levelOf('basin')?.counted, undefined, 'the box has not sent this counter yet');
 	box.adopt(aggregator.levelsFor('box'));
-	assert.equal(box.take('basin', 100), 0, 'and is not refused for what it let pass long ago');
+	assert.equal(box.take('basin', 100), 0, 'the box is not refused for units that it admitted long ago');
 	clock.now += 400;
 	aggregator.takeCounts('box', box.recentCounts, 'known', false);
-	assert.equal(levelOf('basin')?.level, 10_000, 'the first word of it is no news');
+	assert.equal(levelOf('basin')?.level, 10_000, 'the first report of a counter is not subtracted');
 	clock.now += 400;
 	aggregator.takeCounts('box', box.counts, 'known', true);
 	box.take('basin', 300);
 	box.take('sigma', 200);
 	aggregator.takeCounts('box', box.recentCounts, 'known', false);
-	assert.equal(levelOf('basin')?.level, 9700, 'what comes after is');
-	assert.equal(levelOf('sigma')?.level, 9800, 'also of one that stood at zero when all were told');
+	assert.equal(levelOf('basin')?.level, 9700, 'later units are subtracted');
+	assert.equal(levelOf('sigma')?.level, 9800, 'also those of a counter that was zero when all counters were sent');
 	assert.equal(levelOf('basin')?.counted, 16_400);
 });
 
-test('what a box let pass while it was not heard is no news, whatever it tells first', () => {
+test('units that a box admitted without contact are not subtracted, whichever counters it sends first', () => {
 	const clock = new MovedClock();
 	const box = QuotaLedger.create({bound: () => ({rate: 1000, burst: 10_000}), heardPart: () => 1}, clock, true);
 	const aggregator = QuotaLedger.create({bound: () => ({rate: 1000, burst: 10_000}), heardPart: () => 1}, clock, true);
