--- a/src/quota/quota-ledger.ts
+++ b/src/quota/quota-ledger.ts
@@ -63,50 +63,50 @@
 	/** Units a second that refill the bucket, by the last level received. */
 	refillRate: number;
 	/** Monotonic milliseconds at which the last level was received. */
-	toldAt: number;
+	levelReceivedAt: number;
 	/** Fraction of the rate that this box may use where few units are left; `undefined` where there are enough for all. */
 	share: number | undefined;
 	/** Factor on the rate at which the share is spent, so that the level of the shared bucket returns to zero. */
 	pace: number;
 	/** Moving average of the units of a request. */
 	meanUnits: number;
-	readonly askMeter: RateMeter;
+	readonly demandMeter: RateMeter;
 	readonly ownMeter: RateMeter;
 	readonly othersMeter: RateMeter;
 };
 
 /** Milliseconds for which a received level is extrapolated. */
-const toldLifetime = 1500;
+const levelLifetime = 1500;
 /** Milliseconds by which a received level lags behind the other boxes: half an exchange interval on average. */
-const inFlight = 200;
+const levelLag = 200;
 /** Max. fraction of the burst that is reserved for units in flight. */
-const mostInFlight = 0.5;
+const maxInFlightFraction = 0.5;
 /** Milliseconds of demand that the bucket must hold to count as enough for all: one exchange interval. */
-const plentyTime = 400;
+const minReserveTime = 400;
 /** Demand as a factor of the rate up to which it does not count as overload: the measured demand fluctuates by this much. */
-const calmPart = 1.15;
+const overloadFactor = 1.15;
 /** Milliseconds in which a bucket below zero returns to zero. */
 const recoveryTime = 2000;
 /** Min. factor on the rate. */
-const slowestPace = 0.3;
+const minPace = 0.3;
 /** Factor on the rate under overload at level zero; the rest is a reserve for units that other boxes admitted and have not reported yet. */
-const usualPace = 0.9;
+const basePace = 0.9;
 /** Max. factor on the rate. */
-const fastestPace = 1;
+const maxPace = 1;
 /** Milliseconds of its share that a box may accumulate. */
-const savingTime = 1000;
+const maxSavingTime = 1000;
 /** Milliseconds over which the demand is averaged, so that a few large requests do not count as overload. */
-const askTimeConstant = 1000;
+const demandTimeConstant = 1000;
 /** Weight of a request in the moving average of the units of a request. */
 const meanWeight = 0.1;
 /** Milliseconds for which a changed counter is included in each message, since messages may be lost. */
 const recentTime = 2500;
 /** Milliseconds for which the reported demand of a box counts. */
-const askLifetime = 2000;
+const demandLifetime = 2000;
 
 const millisecondsPerSecond = 1000;
 /** Fraction of the burst that a restarted box begins with: other boxes, or its own previous start, may just have used the rest. */
-const restartPart = 0.5;
+const restartFraction = 0.5;
 
 /** The buckets of all client accounts. */
 export class QuotaLedger {
@@ -123,7 +123,7 @@
 	private readonly buckets = new Map<string, Bucket>();
 	private readonly peers = new Map<string, PeerCounts>();
 	/** Demand that the other boxes report, in units a second, by start of the box and client account. */
-	private readonly asks = new Map<string, {readonly at: number; readonly rates: ReadonlyMap<string, number>}>();
+	private readonly reportedDemands = new Map<string, {readonly at: number; readonly rates: ReadonlyMap<string, number>}>();
 
 	private constructor(
 		private readonly facts: QuotaFacts,
@@ -158,7 +158,7 @@
 		const bucket = this.bucketOf(clientAccount);
 		this.refill(clientAccount, bucket);
 		bucket.changedAt = this.clock.monotonic();
-		bucket.askMeter.note(units);
+		bucket.demandMeter.note(units);
 		bucket.meanUnits += (units - bucket.meanUnits) * (bucket.meanUnits === 0 ? 1 : meanWeight);
 		if (bucket.level <= 0) {
 			return Math.max(1, -bucket.level / bound.rate * millisecondsPerSecond);
@@ -196,11 +196,11 @@
 			return undefined;
 		}
 
-		const {level, share, toldAt} = bucket;
+		const {level, share, levelReceivedAt} = bucket;
 		return {
 			level: Math.round(level),
 			share,
-			toldAge: Number.isFinite(toldAt) ? Math.round(this.clock.monotonic() - toldAt) : undefined,
+			toldAge: Number.isFinite(levelReceivedAt) ? Math.round(this.clock.monotonic() - levelReceivedAt) : undefined,
 			heardPart: this.facts.heardPart(),
 		};
 	}
@@ -224,8 +224,8 @@
 	 * @param isWhole - Whether counters that are absent are zero.
 	 */
 	takeCounts(peer: string, counts: readonly QuotaCount[], meeting: Meeting, isWhole = true): void {
-		const known = this.countsToTakeTo(peer, meeting);
-		this.asks.set(peer, {at: this.clock.monotonic(), rates: new Map(counts.map(({clientAccount, asked}) => [clientAccount, asked]))});
+		const known = this.countsFor(peer, meeting);
+		this.reportedDemands.set(peer, {at: this.clock.monotonic(), rates: new Map(counts.map(({clientAccount, asked}) => [clientAccount, asked]))});
 		for (const {clientAccount, passed, level} of counts) {
 			// Units admitted before the first report of a counter are not subtracted.
 			const before = known.passed.get(clientAccount) ?? (known.isWhole ? 0 : passed);
@@ -253,16 +253,16 @@
 	 */
 	levelsFor(peer: string): readonly QuotaLevel[] {
 		const counted = this.peers.get(peer);
-		const part = this.facts.heardPart();
-		const asked = this.askedAtOthers();
+		const fraction = this.facts.heardPart();
+		const otherDemands = this.demandAtOtherBoxes();
 		return [...this.buckets].map(([clientAccount, bucket]) => {
 			this.refill(clientAccount, bucket);
 			return {
 				clientAccount,
 				level: Math.round(bucket.level),
-				refillRate: Math.round((this.facts.bound(clientAccount)?.rate ?? 0) * part),
+				refillRate: Math.round((this.facts.bound(clientAccount)?.rate ?? 0) * fraction),
 				passRate: Math.round(Math.max(0, bucket.ownMeter.rate + bucket.othersMeter.rate)),
-				askRate: Math.round(bucket.askMeter.rate + (asked.get(clientAccount) ?? 0)),
+				askRate: Math.round(bucket.demandMeter.rate + (otherDemands.get(clientAccount) ?? 0)),
 				counted: counted?.passed.get(clientAccount) ?? (counted?.isWhole === true ? 0 : undefined),
 			};
 		});
@@ -274,15 +274,15 @@
 	 * @param levels - Levels of buckets.
 	 */
 	adopt(levels: readonly QuotaLevel[]): void {
-		for (const told of levels) {
-			this.adoptOne(told);
+		for (const level of levels) {
+			this.adoptOne(level);
 		}
 	}
 
 	/** @param peer - Start of a box that is gone. */
 	forget(peer: string): void {
 		this.peers.delete(peer);
-		this.asks.delete(peer);
+		this.reportedDemands.delete(peer);
 	}
 
 	/**
@@ -296,30 +296,30 @@
 		const bucket = this.bucketOf(clientAccount);
 		const now = this.clock.monotonic();
 		this.refill(clientAccount, bucket);
-		bucket.toldAt = now;
+		bucket.levelReceivedAt = now;
 		bucket.refillRate = refillRate;
 		bucket.othersRate = Math.max(0, passRate - bucket.ownMeter.rate);
-		const onItsWay = Math.min(askRate * inFlight / millisecondsPerSecond, (bound?.burst ?? 0) * mostInFlight);
-		const left = level - Math.max(0, bucket.passed - (counted ?? bucket.passed)) - onItsWay;
-		const isRush = askRate > refillRate * calmPart;
-		if (left > (isRush ? askRate * plentyTime / millisecondsPerSecond : 0)) {
-			bucket.level = left;
+		const unitsInFlight = Math.min(askRate * levelLag / millisecondsPerSecond, (bound?.burst ?? 0) * maxInFlightFraction);
+		const available = level - Math.max(0, bucket.passed - (counted ?? bucket.passed)) - unitsInFlight;
+		const isOverloaded = askRate > refillRate * overloadFactor;
+		if (available > (isOverloaded ? askRate * minReserveTime / millisecondsPerSecond : 0)) {
+			bucket.level = available;
 			bucket.share = undefined;
 			return;
 		}
 
-		const own = bucket.askMeter.rate;
-		const share = own <= 0 ? 0 : own / Math.max(askRate, own);
-		bucket.level = bucket.share === undefined ? (Math.max(0, left) * share) - this.phaseOf(bucket) : bucket.level;
+		const ownDemand = bucket.demandMeter.rate;
+		const share = ownDemand <= 0 ? 0 : ownDemand / Math.max(askRate, ownDemand);
+		bucket.level = bucket.share === undefined ? (Math.max(0, available) * share) - this.randomOffset(bucket) : bucket.level;
 		bucket.share = share;
-		bucket.pace = Math.min(fastestPace, Math.max(slowestPace, usualPace + (level / Math.max(1, refillRate * recoveryTime / millisecondsPerSecond))));
+		bucket.pace = Math.min(maxPace, Math.max(minPace, basePace + (level / Math.max(1, refillRate * recoveryTime / millisecondsPerSecond))));
 	}
 
 	/**
 	 * A bucket above zero admits a request of any size. Where many boxes begin to spend small shares, all would admit one at the same
 	 * time; a random offset of up to one mean request spreads them.
 	 */
-	private phaseOf({meanUnits}: Bucket): number {
+	private randomOffset({meanUnits}: Bucket): number {
 		return (this.facts.random ?? Math.random)() * meanUnits;
 	}
 
@@ -327,16 +327,16 @@
 		return buckets.map(([clientAccount, bucket]) => {
 			this.refill(clientAccount, bucket);
 			return {
-				clientAccount, passed: Math.round(bucket.passed), level: Math.round(bucket.level), asked: Math.round(bucket.askMeter.rate),
+				clientAccount, passed: Math.round(bucket.passed), level: Math.round(bucket.level), asked: Math.round(bucket.demandMeter.rate),
 			};
 		});
 	}
 
 	/** Starts from empty counters for a box that had lost contact: the known ones no longer show which units are new. */
-	private countsToTakeTo(peer: string, meeting: Meeting): PeerCounts {
+	private countsFor(peer: string, meeting: Meeting): PeerCounts {
 		const known = this.peers.get(peer);
-		const isHeardOn = meeting === 'known' || meeting === 'younger';
-		const counts = known && isHeardOn ? known : {passed: new Map<string, number>(), isWhole: isHeardOn};
+		const isInContact = meeting === 'known' || meeting === 'younger';
+		const counts = known && isInContact ? known : {passed: new Map<string, number>(), isWhole: isInContact};
 		this.peers.set(peer, counts);
 		return counts;
 	}
@@ -346,10 +346,10 @@
 	}
 
 	/** Demand at the other boxes in units a second, by client account. */
-	private askedAtOthers(): ReadonlyMap<string, number> {
-		const since = this.clock.monotonic() - askLifetime;
+	private demandAtOtherBoxes(): ReadonlyMap<string, number> {
+		const since = this.clock.monotonic() - demandLifetime;
 		const totals = new Map<string, number>();
-		for (const {rates} of [...this.asks.values()].filter(({at}) => at >= since)) {
+		for (const {rates} of [...this.reportedDemands.values()].filter(({at}) => at >= since)) {
 			for (const [clientAccount, rate] of rates) {
 				totals.set(clientAccount, (totals.get(clientAccount) ?? 0) + rate);
 			}
@@ -365,15 +365,15 @@
 		}
 
 		const bucket: Bucket = {
-			level: this.burstOf(this.facts.bound(clientAccount)) * (this.startsFull ? 1 : restartPart * this.facts.heardPart()), refilledAt: this.clock.monotonic(), passed: 0,
+			level: this.burstOf(this.facts.bound(clientAccount)) * (this.startsFull ? 1 : restartFraction * this.facts.heardPart()), refilledAt: this.clock.monotonic(), passed: 0,
 			changedAt: Number.NEGATIVE_INFINITY,
 			othersRate: 0,
 			refillRate: 0,
-			toldAt: Number.NEGATIVE_INFINITY,
+			levelReceivedAt: Number.NEGATIVE_INFINITY,
 			share: undefined,
 			pace: 1,
 			meanUnits: 0,
-			askMeter: RateMeter.create(this.clock, askTimeConstant),
+			demandMeter: RateMeter.create(this.clock, demandTimeConstant),
 			ownMeter: RateMeter.create(this.clock),
 			othersMeter: RateMeter.create(this.clock),
 		};
@@ -388,7 +388,7 @@
 		}
 
 		const ownRate = refillRate * share * pace;
-		return Math.min(Math.max(level, ownRate * savingTime / millisecondsPerSecond), level + (elapsed * ownRate / millisecondsPerSecond));
+		return Math.min(Math.max(level, ownRate * maxSavingTime / millisecondsPerSecond), level + (elapsed * ownRate / millisecondsPerSecond));
 	}
 
 	private refill(clientAccount: string, bucket: Bucket): void {
@@ -400,17 +400,17 @@
 			return;
 		}
 
-		if (now - bucket.toldAt < toldLifetime) {
+		if (now - bucket.levelReceivedAt < levelLifetime) {
 			bucket.level = this.refilledLevel(bucket, bound, elapsed);
 		} else {
-			const part = this.facts.heardPart();
-			if (bucket.toldAt > Number.NEGATIVE_INFINITY) {
-				bucket.toldAt = Number.NEGATIVE_INFINITY;
+			const fraction = this.facts.heardPart();
+			if (bucket.levelReceivedAt > Number.NEGATIVE_INFINITY) {
+				bucket.levelReceivedAt = Number.NEGATIVE_INFINITY;
 				bucket.share = undefined;
-				bucket.level = Math.min(bucket.level, this.burstOf(bound) * part) - this.phaseOf(bucket);
+				bucket.level = Math.min(bucket.level, this.burstOf(bound) * fraction) - this.randomOffset(bucket);
 			}
 
-			bucket.level = Math.min(this.burstOf(bound) * part, bucket.level + (elapsed * bound.rate * part / millisecondsPerSecond));
+			bucket.level = Math.min(this.burstOf(bound) * fraction, bucket.level + (elapsed * bound.rate * fraction / millisecondsPerSecond));
 		}
 	}
 }
--- a/src/quota/repeat-budget.ts
+++ b/src/quota/repeat-budget.ts
@@ -15,9 +15,9 @@
 };
 
 /** Fraction of the limit that is used, since the windows of boxes are not aligned, and restarted boxes begin with an empty window. */
-const usedPart = 0.7;
+const usedFraction = 0.7;
 /** Fraction of the slack that is used, since a restarted box gets its part again. */
-const usedSlack = 0.5;
+const usedSlackFraction = 0.5;
 
 /** The retry budget of one service on one box. */
 export class RepeatBudget {
@@ -31,8 +31,8 @@
 		return new RepeatBudget(bound, boxes, clock);
 	}
 
-	private firsts: readonly number[] = [];
-	private repeats: readonly number[] = [];
+	private requests: readonly number[] = [];
+	private retries: readonly number[] = [];
 
 	private constructor(
 		private readonly bound: () => RepeatBound,
@@ -42,20 +42,20 @@
 
 	/** Counts a request. */
 	noteRequest(): void {
-		this.firsts = [...this.recent(this.firsts), this.clock.monotonic()];
+		this.requests = [...this.recent(this.requests), this.clock.monotonic()];
 	}
 
 	/** @returns Whether a request may be retried; the retry is then counted. */
 	withdraw(): boolean {
 		const {ratio, slack} = this.bound();
-		const repeats = this.recent(this.repeats);
-		const allowed = (this.recent(this.firsts).length * ratio * usedPart) + (slack * usedSlack / Math.max(1, this.boxes()));
-		this.repeats = repeats;
-		if (repeats.length + 1 > allowed) {
+		const retries = this.recent(this.retries);
+		const allowed = (this.recent(this.requests).length * ratio * usedFraction) + (slack * usedSlackFraction / Math.max(1, this.boxes()));
+		this.retries = retries;
+		if (retries.length + 1 > allowed) {
 			return false;
 		}
 
-		this.repeats = [...repeats, this.clock.monotonic()];
+		this.retries = [...retries, this.clock.monotonic()];
 		return true;
 	}
 
--- a/src/quota/test/quota-ledger.test.ts
+++ b/src/quota/test/quota-ledger.test.ts
@@ -11,14 +11,14 @@
 class Fleet {
 	readonly clock = new MovedClock();
 	readonly ledgers: readonly QuotaLedger[];
-	readonly reaches: boolean[];
+	readonly isReachable: boolean[];
 	private readonly met = new Set<string>();
 
 	constructor(boxes: number) {
-		this.reaches = Array.from({length: boxes}, () => true);
+		this.isReachable = Array.from({length: boxes}, () => true);
 		this.ledgers = Array.from({length: boxes}, (_, index) => QuotaLedger.create({
 			bound: () => bound,
-			heardPart: () => this.reaches[index] ? this.reaches.filter(Boolean).length / boxes : 1 / boxes,
+			heardPart: () => this.isReachable[index] ? this.isReachable.filter(Boolean).length / boxes : 1 / boxes,
 		}, this.clock, true));
 	}
 
@@ -30,7 +30,7 @@
 				}
 
 				const pair = `${receiver}/${sender}`;
-				if (!this.reaches[receiver] || !this.reaches[sender]) {
+				if (!this.isReachable[receiver] || !this.isReachable[sender]) {
 					this.met.delete(pair);
 					continue;
 				}
@@ -56,19 +56,19 @@
 
 test('a client account far above its quota gets little more than its quota in any window, also with partitioned boxes', () => {
 	fc.assert(fc.property(
-		fc.array(fc.record({box: fc.nat(8), cut: fc.option(fc.nat(8)), heal: fc.boolean()}), {minLength: 1500, maxLength: 2000}),
+		fc.array(fc.record({box: fc.nat(8), partitioned: fc.option(fc.nat(8)), isRepaired: fc.boolean()}), {minLength: 1500, maxLength: 2000}),
 		steps => {
 			const fleet = new Fleet(9);
 			const passed: Array<{readonly at: number; readonly units: number}> = [];
-			for (const [index, {box, cut, heal}] of steps.entries()) {
+			for (const [index, {box, partitioned, isRepaired}] of steps.entries()) {
 				fleet.clock.now += 10;
 				// Occasional partitions of single boxes, and their ends.
-				if (index % 400 === 399 && cut !== null) {
-					fleet.reaches[cut] = false;
+				if (index % 400 === 399 && partitioned !== null) {
+					fleet.isReachable[partitioned] = false;
 				}
 
-				if (index % 700 === 699 && heal) {
-					fleet.reaches.fill(true);
+				if (index % 700 === 699 && isRepaired) {
+					fleet.isReachable.fill(true);
 				}
 
 				if (index % 20 === 0) {
