--- a/src/limits/ceiling-division.ts
+++ b/src/limits/ceiling-division.ts
@@ -1,24 +1,23 @@
 /**
- * Divides what there is by what is asked for.
+ * Divides a rate among boxes by their demand.
  */
 
-/** A part and who gets it. */
+/** A part of the rate, or a demand, and its recipient. */
 export type Part<Key> = {
 	readonly key: Key;
 	/** Units a second. */
 	readonly rate: number;
 };
 
-/** Part of what nobody asks for that goes to each all the same, so that a new burst finds something. */
+/** Factor on each demand, so that a new burst finds spare capacity. */
 const headroom = 1.1;
 
 /**
- * Gives everyone what it asks for as far as it goes, those that ask for least first; what is left over is
- * spread evenly.
+ * Max-min fair division: satisfies demands in ascending order as far as the total permits; the remainder is spread evenly.
  *
  * @param total - Units a second to divide.
- * @param demands - What each asked for.
- * @returns A part for each; their sum is `total`.
+ * @param demands - Demand of each recipient.
+ * @returns A part for each recipient; their sum is `total`.
  */
 export function divideByDemand<Key>(total: number, demands: ReadonlyArray<Part<Key>>): ReadonlyArray<Part<Key>> {
 	const ascending = [...demands].sort((left, right) => left.rate - right.rate);
--- a/src/limits/ceiling-grant.ts
+++ b/src/limits/ceiling-grant.ts
@@ -3,22 +3,22 @@
  * shows why the parts in use never sum up to more than the ceiling.
  */
 
-/** Milliseconds a grant may be spent, from when it was asked for. */
+/** Milliseconds for which a grant is valid, from when it was requested. */
 export const grantLifetime = 3000;
-/** Milliseconds by which a box falls back later than its owner thinks it does. */
+/** Milliseconds by which the fallback of a box may lag behind the estimate of the owner. */
 export const fallbackMargin = 500;
-/** Milliseconds after the last grant from which a box takes its fair part. */
+/** Milliseconds after the request of the last grant from which a box uses its fair part. */
 export const fallbackDelay = (2 * grantLifetime) + fallbackMargin;
 
-/** What a box asks the owner of a row for. */
+/** A demand that a box sends to the owner of a row. */
 export type CeilingDemand = {
 	/** Name of the row. */
 	readonly row: string;
-	/** Units a second that were asked of this box lately. */
+	/** Recent demand at this box, in units a second. */
 	readonly rate: number;
 };
 
-/** What the owner grants. */
+/** A rate that the owner grants to a box. */
 export type CeilingGrant = {
 	readonly row: string;
 	/** Units a second. */
--- a/src/limits/ceiling-owner.ts
+++ b/src/limits/ceiling-owner.ts
@@ -1,6 +1,6 @@
 /**
- * The side of a ceiling that grants: one box for each row, by rendezvous hash. It keeps nothing that would
- * be missed: what it does not know it reserves.
+ * The granting side of a ceiling: one box for each row, chosen by rendezvous hash. Its state may be lost: it reserves a fair part for
+ * each box whose grant it does not know.
  */
 import {sumOf} from '../base/sum.js';
 import type {Clock} from '../base/clock.js';
@@ -10,20 +10,20 @@
 } from './ceiling-grant.js';
 import {divideByDemand} from './ceiling-division.js';
 
-/** What a box that asked was granted last. */
+/** The last demand and grant of a box, in units a second. */
 type Member = {
 	readonly demand: number;
 	readonly rate: number;
 	readonly seenAt: number;
 };
 
-/** What the owner must know besides: from the table and the box list. */
+/** Facts from the table and the box list. */
 export type CeilingFacts = {
-	/** @returns Units a second of a row; `undefined` where there is no such row. */
+	/** @returns The ceiling of a row, in units a second; `undefined` where there is no such row. */
 	readonly ceiling: (row: string) => number | undefined;
 	/** @returns Names of all rows. */
 	readonly rows: () => readonly string[];
-	/** @returns All entry boxes that are listed, this one too. */
+	/** @returns All listed entry boxes, including this one. */
 	readonly entryBoxes: () => readonly BoxId[];
 };
 
@@ -32,7 +32,7 @@
 	/**
 	 * @param facts - From the table and the box list.
 	 * @param clock - For the age of grants.
-	 * @returns An owner that has granted nothing.
+	 * @returns An owner without any grants.
 	 */
 	static create(facts: CeilingFacts, clock: Clock): CeilingOwner {
 		return new CeilingOwner(facts, clock);
@@ -46,10 +46,10 @@
 	}
 
 	/**
-	 * Grants a box its parts.
+	 * Grants parts of ceilings to a box.
 	 *
-	 * @param box - Who asks.
-	 * @param demands - For which rows, and how much.
+	 * @param box - The box that requests the parts.
+	 * @param demands - Its demand for each row.
 	 * @returns A grant for each row that exists.
 	 */
 	grant(box: BoxId, demands: readonly CeilingDemand[]): readonly CeilingGrant[] {
@@ -78,15 +78,15 @@
 		const wanted = parts.find(({key}) => key === box)!.rate;
 		const unreserved = ceiling - sumOf(others.map(other => reserve(other)));
 		const available = Math.max(0, Math.min(this.isNew(now) ? fairPart : wanted, unreserved));
-		// A box spends its fair part from its start on. Others that were granted all before it was listed give theirs up as they ask again; taking it
-		// back until then would refuse its callers though the ceiling may not be in use.
+		// A box uses its fair part from its start. Boxes that were granted the whole ceiling before it was listed get less with their next request;
+		// a lower grant until then would make it refuse requests although the ceiling may not be in use.
 		const rate = isFirst ? Math.max(available, fairPart) : available;
 		members.set(box, {demand, rate, seenAt: now});
 		this.forget(members, listed, now);
 		return rate;
 	}
 
-	/** An owner before this one may have granted what this one does not know of. */
+	/** Whether grants of a previous owner, which this one does not know, may still be valid. */
 	private isNew(now: number): boolean {
 		return now - this.startedAt < fallbackDelay;
 	}
@@ -100,7 +100,10 @@
 	}
 }
 
-/** What a box may be using: its grant while that can live, then the lesser of both, then its fair part. */
+/**
+ * The rate that a box may be using: its grant while that is valid; then the greater of the grant and the fair part, since the box falls back at
+ * an unknown time; then its fair part.
+ */
 function reserveFor(member: Member | undefined, fairPart: number, now: number): number {
 	if (!member) {
 		return fairPart;
--- a/src/limits/ceilings.ts
+++ b/src/limits/ceilings.ts
@@ -1,5 +1,5 @@
 /**
- * The side of a ceiling that spends: each box keeps, for each row, the part it may use.
+ * The spending side of ceilings: each box tracks, for each row, the rate that it may use.
  */
 import type {Clock} from '../base/clock.js';
 import type {BoxId} from '../base/identifiers.js';
@@ -11,19 +11,20 @@
 import {DemandMeter} from './demand-meter.js';
 import {TokenBucket} from './token-bucket.js';
 
-/** A row of the table, as this box spends it. */
+/** Grant and usage of a row of the table at this box. */
 type Spending = {
 	readonly row: string;
 	readonly bucket: TokenBucket;
 	readonly demand: DemandMeter;
-	/** Who granted; `undefined` before the first grant. */
+	/** The box that granted the rate; `undefined` before the first grant. */
 	owner: BoxId | undefined;
+	/** Granted rate, in units a second. */
 	granted: number;
-	/** When the grant was asked for. */
+	/** Monotonic milliseconds at which the grant was requested. */
 	grantedAt: number;
 };
 
-/** Spends parts of ceilings. */
+/** Admits requests within the granted parts of ceilings. */
 export class Ceilings {
 	/**
 	 * @param self - This box.
@@ -44,11 +45,11 @@
 	) {}
 
 	/**
-	 * Lets a request pass or not.
+	 * Admits or rejects a request.
 	 *
 	 * @param row - Name of the row that governs it.
 	 * @param cost - Units.
-	 * @returns Zero where it may pass; otherwise the milliseconds after which to come back.
+	 * @returns Zero where the request is admitted; otherwise the milliseconds after which to retry.
 	 */
 	take(row: string, cost: number): number {
 		const now = this.clock.monotonic();
@@ -60,15 +61,15 @@
 			return 0;
 		}
 
-		// A bucket that does not fill tells no time; the next grant is known by then.
+		// A bucket with rate zero has no finite wait time; the next grant arrives within the lifetime of a grant.
 		return rate > 0 ? Math.max(1, spending.bucket.waitTime(now)) : grantLifetime;
 	}
 
 	/**
-	 * Gives back what a request did not use.
+	 * Returns the units that a request did not use.
 	 *
 	 * @param row - Name of the row.
-	 * @param units - How much.
+	 * @param units - Unused units.
 	 */
 	giveBack(row: string, units: number): void {
 		this.spendings.get(row)?.bucket.giveBack(units);
@@ -76,7 +77,7 @@
 
 	/**
 	 * @param row - Name of the row.
-	 * @returns Units a second that this box may let pass now.
+	 * @returns Units a second that this box may admit now.
 	 */
 	rate(row: string): number {
 		const now = this.clock.monotonic();
@@ -85,8 +86,8 @@
 
 	/**
 	 * @param owner - A box.
-	 * @param reachable - Boxes that can be asked, this one too.
-	 * @returns What to ask that box for: rows it owns, but not while an older owner's grant may still be lent out.
+	 * @param reachable - Reachable boxes, including this one.
+	 * @returns The demands to send to that box: those of the rows it owns, except while a grant of a previous owner may still be valid.
 	 */
 	demandsFor(owner: BoxId, reachable: readonly BoxId[]): readonly CeilingDemand[] {
 		const now = this.clock.monotonic();
@@ -99,11 +100,11 @@
 	}
 
 	/**
-	 * Takes what an owner granted.
+	 * Applies the grants of an owner.
 	 *
-	 * @param owner - Who granted.
-	 * @param grants - What.
-	 * @param askedAt - Monotonic milliseconds, before the owner was asked.
+	 * @param owner - The box that granted them.
+	 * @param grants - The grants.
+	 * @param askedAt - Monotonic milliseconds, taken before the request to the owner was sent.
 	 */
 	takeGrants(owner: BoxId, grants: readonly CeilingGrant[], askedAt: number): void {
 		for (const {row, rate} of grants) {
--- a/src/limits/demand-meter.ts
+++ b/src/limits/demand-meter.ts
@@ -1,15 +1,15 @@
 /**
- * How much was asked for lately.
+ * Measures recent demand.
  */
 
-/** Milliseconds over which demand is averaged. */
+/** Time constant of the average, in milliseconds. */
 const window = 1000;
 
-/** A moving mean of what is asked for, units a second. */
+/** Exponentially weighted moving average of the demand, in units a second. */
 export class DemandMeter {
 	/**
 	 * @param now - Monotonic milliseconds.
-	 * @returns A meter that has seen nothing.
+	 * @returns A meter at zero.
 	 */
 	static create(now: number): DemandMeter {
 		return new DemandMeter(now);
@@ -20,7 +20,9 @@
 	private constructor(private countedAt: number) {}
 
 	/**
-	 * @param units - What is asked for.
+	 * Adds units to the demand.
+	 *
+	 * @param units - Requested units.
 	 * @param now - Monotonic milliseconds.
 	 */
 	note(units: number, now: number): void {
--- a/src/limits/pool-gate.ts
+++ b/src/limits/pool-gate.ts
@@ -1,6 +1,6 @@
 /**
- * Holds requests of a pool back while its upstreams are full, and refuses at once what would only wait to
- * fail. Priorities are strict but for a small floor; within one, rows share by weight.
+ * Admission control of a pool: queues requests while its upstreams are full, and refuses a request at once when it would time out in
+ * the queue. Priorities are strict except for a small minimum for the lowest; within a priority, rows are served by their shares.
  *
  * @remarks Sources: start-time fair queueing (Goyal, Vin and Cheng, 1996); additive increase and
  * multiplicative decrease of concurrency, as in TCP.
@@ -11,24 +11,26 @@
 import {Refusal} from '../base/verdict.js';
 import {type Row, rowName} from '../table/table.js';
 
-/** Requests a box starts with for each upstream of a pool. */
+/** Initial concurrency limit of a box, for each upstream of a pool. */
 const firstLimitPerUpstream = 8;
-/** Part of the limit that is kept when upstreams queue. */
+/** Factor on the running requests that gives the new limit when upstreams queue requests. */
 const decrease = 0.85;
+/** Fraction of the limit that is added when the limit is nearly reached and upstreams do not queue requests. */
 const increase = 0.1;
-/** Requests an upstream may queue before the gate narrows. */
+/** Mean number of requests queued at an upstream above which the limit is lowered. */
 const allowedQueue = 1;
-/** Milliseconds a request waits at most for its turn. */
+/** Max. expected wait of a request, in milliseconds; its total wait may be twice as long. */
 const patience = 1500;
-/** Every so many requests, one that is last in line goes first. */
+/** One in this many admissions goes to the last request of the queue, so that low priorities are not starved. */
 const floorEvery = 20;
+/** Weight of the latest tick in the moving average of the drain rate. */
 const rateWeight = 0.3;
 
-/** What the gate asks of a pool. */
+/** Load of a pool. */
 export type PoolLoad = {
-	/** Upstreams that may get work. */
+	/** Number of upstreams that accept requests. */
 	readonly upstreams: number;
-	/** Requests that wait at them, in the mean. */
+	/** Mean number of requests queued at an upstream. */
 	readonly queued: number;
 };
 
@@ -40,12 +42,12 @@
 	isAdmitted: boolean;
 };
 
-/** One pool's gate on one box. */
+/** Admission control of one pool on one box. */
 export class PoolGate {
 	/**
-	 * @param load - Asks how full the pool is.
+	 * @param load - Returns the load of the pool.
 	 * @param clock - For waiting times.
-	 * @returns An open gate.
+	 * @returns A gate without requests.
 	 */
 	static create(load: () => PoolLoad, clock: Clock): PoolGate {
 		return new PoolGate(load, clock);
@@ -58,7 +60,7 @@
 	private virtualTime = 0;
 	private readonly lastTags = new Map<string, number>();
 	private admissions = 0;
-	/** Requests a second that leave. */
+	/** Moving average of the requests a second that finish. */
 	private drainRate = 10;
 	private leftSinceTick = 0;
 	private tickedAt: number;
@@ -67,23 +69,23 @@
 		this.tickedAt = clock.monotonic();
 	}
 
-	/** Requests that wait. */
+	/** Number of queued requests. */
 	get waitingCount(): number {
 		return this.waiting.length;
 	}
 
-	/** Requests that are inside. */
+	/** Number of admitted requests that have not finished. */
 	get insideCount(): number {
 		return this.inside;
 	}
 
 	/**
-	 * Runs a request when its turn has come.
+	 * Runs a request once it is admitted.
 	 *
 	 * @param row - The row that governs the request.
 	 * @param cost - Units, against the row's share.
 	 * @param use - Runs the request.
-	 * @returns What `use` returns; refused at once when the turn would come too late.
+	 * @returns The result of `use`; fails with a refusal at once when the expected wait is too long.
 	 */
 	pass<Answer, Failure>(row: Row, cost: number, use: Effect.Effect<Answer, Failure>): Effect.Effect<Answer, Failure | Refusal> {
 		return Effect.uninterruptibleMask(restore => restore(this.enter(row, cost)).pipe(Effect.flatMap(() => restore(use).pipe(Effect.ensuring(Effect.sync(() => {
@@ -91,7 +93,7 @@
 		}))))));
 	}
 
-	/** Looks at the pool again; to be called a few times a second. */
+	/** Updates load, limit and queue; to be called a few times a second. */
 	tick(): void {
 		const now = this.clock.monotonic();
 		const seconds = Math.max(0.001, (now - this.tickedAt) / 1000);
@@ -125,7 +127,7 @@
 		});
 	}
 
-	/** A request that entered has ended. */
+	/** Called when an admitted request has finished. */
 	private leave(): void {
 		this.inside--;
 		this.leftSinceTick++;
@@ -133,14 +135,14 @@
 	}
 
 	private currentLimit(): number {
-		// Looked at with each tick: asking all upstreams for each request would cost more than the request.
+		// The load is cached until the next tick, since computing it over all upstreams for each request is too expensive.
 		this.pool ??= this.load();
 		const {upstreams} = this.pool;
 		if (this.limit === 0 && upstreams > 0) {
 			this.limit = upstreams * firstLimitPerUpstream;
 		}
 
-		// Never closed: an upstream that is unknown to be free has to be tried.
+		// At least one request for each upstream: an upstream whose load is unknown has to be tried.
 		return Math.max(1, upstreams, this.limit);
 	}
 
@@ -182,7 +184,7 @@
 		}
 	}
 
-	/** Refuses, from the end of the line, whoever would wait longer than is any use. */
+	/** Refuses the queued requests whose total or expected wait is too long. */
 	private refuseHopeless(): void {
 		const now = this.clock.monotonic();
 		const hopeless = this.waiting.filter((waiter, index) => {
--- a/src/limits/row-rates.ts
+++ b/src/limits/row-rates.ts
@@ -1,16 +1,16 @@
 /**
- * Rates of rows as they travel between boxes: pairs of a row's place in the table and a rate. Names would be
- * most of the message. Only boxes with the same version of the table understand each other's.
+ * Encodes rates of rows for messages between boxes, as pairs of the index of a row in the table and a rate, since row names would make
+ * up most of the message. Both boxes must have the same version of the table.
  */
 import type {CeilingDemand} from './ceiling-grant.js';
 
-/** Rates are rounded down to this part of a unit, so that what was granted is never passed. */
+/** Steps in a unit: rates are rounded down to 1/100 unit a second, so that the sum of the grants never exceeds the ceiling. */
 const precision = 100;
 
 /**
  * @param rates - Rates by name.
  * @param rowNames - Names of all rows of the table, in its order.
- * @returns Places and rates in turn.
+ * @returns Row indexes and rates, alternating.
  */
 export function encodeRates(rates: readonly CeilingDemand[], rowNames: readonly string[]): readonly number[] {
 	const places = new Map(rowNames.map((name, place) => [name, place]));
@@ -21,7 +21,7 @@
 }
 
 /**
- * @param encoded - Places and rates in turn.
+ * @param encoded - Row indexes and rates, alternating.
  * @param rowNames - Names of all rows of the same table, in its order.
  * @returns Rates by name.
  */
--- a/src/limits/test/ceiling-start.test.ts
+++ b/src/limits/test/ceiling-start.test.ts
@@ -1,4 +1,4 @@
-/** Guards against callers that are refused at a box that starts, although the ceiling is not in use: the other boxes had been granted all of it before. */
+/** Guards against refusals at a box that has just started, although the ceiling is not in use, because the other boxes were granted all of it before. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {VirtualClock} from '../../../development/fuzz/virtual-time.js';
@@ -14,7 +14,7 @@
 const [first, second, third] = rankOwners(row, ['box-1', 'box-2', 'box-3'] as BoxId[]) as [BoxId, BoxId, BoxId];
 const exchangeInterval = 500;
 
-/** Boxes that share what is listed, and exchange when told. */
+/** Boxes with a common box list, which exchange demands and grants on request of the test. */
 class Fleet {
 	now = 0;
 	listed: readonly BoxId[] = [];
@@ -53,23 +53,23 @@
 
 const sumOfRates = (fleet: Fleet): number => Math.round(sumOf(fleet.rates));
 
-test('a box that starts beside others that were granted the whole ceiling lets requests pass', () => {
+test('a box that starts after other boxes were granted the whole ceiling admits requests', () => {
 	const fleet = new Fleet();
 	fleet.start(first);
 	fleet.exchange();
-	assert.equal(sumOfRates(fleet), ceiling, 'one box has all');
+	assert.equal(sumOfRates(fleet), ceiling, 'a single box is granted the whole ceiling');
 	for (const id of [second, third]) {
 		fleet.start(id);
 		fleet.ask(id, first);
-		assert.equal(fleet.take(id, 1), 0, `${id} lets a request pass`);
+		assert.equal(fleet.take(id, 1), 0, `${id} admits a request`);
 		fleet.exchange();
 		fleet.exchange();
-		assert.ok(sumOfRates(fleet) <= ceiling, `once the others have asked again, ${sumOfRates(fleet)} of ${ceiling}`);
+		assert.ok(sumOfRates(fleet) <= ceiling, `after the next requests of the other boxes: ${sumOfRates(fleet)} of ${ceiling}`);
 	}
 });
 
-/** Guards against a refusal whose Retry-After is no number, after which callers do not come back. */
-test('a box without a part tells when to come back', () => {
+/** Guards against a refusal whose Retry-After is not a finite number, after which callers do not retry. */
+test('a box that was granted a rate of zero returns a finite time to retry', () => {
 	const fleet = new Fleet();
 	fleet.start(first);
 	const {ceilings} = fleet.boxes.get(first)!;
--- a/src/limits/test/pool-gate.test.ts
+++ b/src/limits/test/pool-gate.test.ts
@@ -12,7 +12,7 @@
 
 type Ending = {readonly account: string; readonly refusal: Refusal | undefined; readonly at: number};
 
-/** Requests of 100 ms through a gate whose upstream has room for eight at once. */
+/** Sends requests of 100 ms through a gate whose only upstream runs eight at once. */
 async function withGate(use: (send: (row: Row) => void, time: VirtualTime, endings: readonly Ending[], gate: PoolGate) => Promise<void>): Promise<void> {
 	const time = VirtualTime.start();
 	try {
@@ -35,7 +35,7 @@
 	}
 }
 
-test('when capacity is short the lowest priority is refused, at once and with the time to come back', async () => {
+test('when capacity is short, requests of the lowest priority are refused at once, with a time to retry', async () => {
 	await withGate(async (send, time, endings) => {
 		for (let index = 0; index < 30; index++) {
 			send(row('low', 9));
@@ -55,7 +55,7 @@
 	});
 });
 
-test('within a priority, rows are served by their shares', async () => {
+test('within a priority, rows are served in proportion to their shares', async () => {
 	await withGate(async (send, time, endings, gate) => {
 		for (let index = 0; index < 8; index++) {
 			send(row('first', 1));
@@ -76,7 +76,7 @@
 	});
 });
 
-test('a caller that gives up while it waits leaves its place and takes no room', async () => {
+test('a request that is cancelled in the queue is removed from it and does not count against the limit', async () => {
 	await withGate(async (send, time, endings, gate) => {
 		for (let index = 0; index < 8; index++) {
 			send(row('first', 1));
--- a/src/limits/token-bucket.ts
+++ b/src/limits/token-bucket.ts
@@ -1,12 +1,12 @@
 /**
- * A rate limit whose rate may change while it is used.
+ * A rate limiter whose rate may change while it is in use.
  */
 
-/** Seconds of its rate that an idle bucket gathers. */
+/** Capacity of a bucket, in seconds of its rate. */
 const burstSeconds = 1;
 const millisecondsPerSecond = 1000;
 
-/** Fills at a rate. It may be overdrawn by one request, which the next ones wait out. */
+/** A token bucket that may be overdrawn by one request; later requests wait until the balance is positive again. */
 export class TokenBucket {
 	/**
 	 * @param now - Monotonic milliseconds.
@@ -24,7 +24,7 @@
 	}
 
 	/**
-	 * Takes units if any are there.
+	 * Takes units if the balance is positive.
 	 *
 	 * @param cost - Units.
 	 * @param now - Monotonic milliseconds.
@@ -41,9 +41,9 @@
 	}
 
 	/**
-	 * Gives units back that were taken and not used.
+	 * Returns units that were taken and not used.
 	 *
-	 * @param units - How many.
+	 * @param units - Unused units.
 	 */
 	giveBack(units: number): void {
 		this.balance = Math.min(this.rate * burstSeconds, this.balance + units);
@@ -63,7 +63,7 @@
 
 	/**
 	 * @param now - Monotonic milliseconds.
-	 * @returns Milliseconds until units are there again; infinite at a rate of zero.
+	 * @returns Milliseconds until the balance is positive again; infinite at a rate of zero.
 	 */
 	waitTime(now: number): number {
 		this.fill(now);
