--- a/src/limits/ceiling-division.ts
+++ b/src/limits/ceiling-division.ts
@@ -21,12 +21,12 @@
  */
 export function divideByDemand<Key>(total: number, demands: ReadonlyArray<Part<Key>>): ReadonlyArray<Part<Key>> {
 	const ascending = [...demands].sort((left, right) => left.rate - right.rate);
-	let left = Math.max(0, total);
+	let remaining = Math.max(0, total);
 	const parts = ascending.map(({key, rate}, index) => {
-		const part = Math.min(rate * headroom, left / (ascending.length - index));
-		left -= part;
+		const part = Math.min(rate * headroom, remaining / (ascending.length - index));
+		remaining -= part;
 		return {key, rate: part};
 	});
-	const spread = left / Math.max(1, parts.length);
+	const spread = remaining / Math.max(1, parts.length);
 	return parts.map(part => ({...part, rate: part.rate + spread}));
 }
--- a/src/limits/ceiling-owner.ts
+++ b/src/limits/ceiling-owner.ts
@@ -11,10 +11,10 @@
 import {divideByDemand} from './ceiling-division.js';
 
 /** The last demand and grant of a box, in units a second. */
-type Member = {
+type BoxGrant = {
 	readonly demand: number;
 	readonly rate: number;
-	readonly seenAt: number;
+	readonly requestedAt: number;
 };
 
 /** Facts from the table and the box list. */
@@ -38,7 +38,7 @@
 		return new CeilingOwner(facts, clock);
 	}
 
-	private readonly members = new Map<string, Map<BoxId, Member>>();
+	private readonly boxGrants = new Map<string, Map<BoxId, BoxGrant>>();
 	private readonly startedAt: number;
 
 	private constructor(private readonly facts: CeilingFacts, private readonly clock: Clock) {
@@ -61,40 +61,40 @@
 
 	private grantRow(box: BoxId, {row, rate: demand}: CeilingDemand, ceiling: number): number {
 		const now = this.clock.monotonic();
-		const members = this.members.get(row) ?? new Map<BoxId, Member>();
-		this.members.set(row, members);
+		const boxGrants = this.boxGrants.get(row) ?? new Map<BoxId, BoxGrant>();
+		this.boxGrants.set(row, boxGrants);
 		const listed = this.facts.entryBoxes();
-		const everyone = [...new Set([...listed, ...members.keys(), box])];
+		const allBoxes = [...new Set([...listed, ...boxGrants.keys(), box])];
 		const fairPart = ceiling / Math.max(1, new Set([...listed, box]).size);
-		const isFirst = !members.has(box);
-		members.set(box, {demand, rate: members.get(box)?.rate ?? 0, seenAt: now});
+		const isFirstRequest = !boxGrants.has(box);
+		boxGrants.set(box, {demand, rate: boxGrants.get(box)?.rate ?? 0, requestedAt: now});
 
-		const isActive = (other: BoxId) => now - (members.get(other)?.seenAt ?? Number.NEGATIVE_INFINITY) <= grantLifetime;
-		const others = everyone.filter(other => other !== box);
-		const reserve = (other: BoxId) => reserveFor(members.get(other), listed.includes(other) ? fairPart : 0, now);
-		const budget = ceiling - sumOf(others.filter(other => !isActive(other)).map(other => reserve(other)));
-		const active = [box, ...others.filter(other => isActive(other))];
-		const parts = divideByDemand(budget, active.map(key => ({key, rate: members.get(key)!.demand})));
+		const isActive = (other: BoxId) => now - (boxGrants.get(other)?.requestedAt ?? Number.NEGATIVE_INFINITY) <= grantLifetime;
+		const otherBoxes = allBoxes.filter(other => other !== box);
+		const reserve = (other: BoxId) => reserveFor(boxGrants.get(other), listed.includes(other) ? fairPart : 0, now);
+		const budget = ceiling - sumOf(otherBoxes.filter(other => !isActive(other)).map(other => reserve(other)));
+		const active = [box, ...otherBoxes.filter(other => isActive(other))];
+		const parts = divideByDemand(budget, active.map(key => ({key, rate: boxGrants.get(key)!.demand})));
 		const wanted = parts.find(({key}) => key === box)!.rate;
-		const unreserved = ceiling - sumOf(others.map(other => reserve(other)));
-		const available = Math.max(0, Math.min(this.isNew(now) ? fairPart : wanted, unreserved));
+		const unreserved = ceiling - sumOf(otherBoxes.map(other => reserve(other)));
+		const available = Math.max(0, Math.min(this.isStarting(now) ? fairPart : wanted, unreserved));
 		// A box uses its fair part from its start. Boxes that were granted the whole ceiling before it was listed get less with their next request;
 		// a lower grant until then would make it refuse requests although the ceiling may not be in use.
-		const rate = isFirst ? Math.max(available, fairPart) : available;
-		members.set(box, {demand, rate, seenAt: now});
-		this.forget(members, listed, now);
+		const rate = isFirstRequest ? Math.max(available, fairPart) : available;
+		boxGrants.set(box, {demand, rate, requestedAt: now});
+		this.dropExpired(boxGrants, listed, now);
 		return rate;
 	}
 
 	/** Whether grants of a previous owner, which this one does not know, may still be valid. */
-	private isNew(now: number): boolean {
+	private isStarting(now: number): boolean {
 		return now - this.startedAt < fallbackDelay;
 	}
 
-	private forget(members: Map<BoxId, Member>, listed: readonly BoxId[], now: number): void {
-		for (const [box, {seenAt}] of members) {
-			if (!listed.includes(box) && now - seenAt > fallbackDelay + fallbackMargin) {
-				members.delete(box);
+	private dropExpired(boxGrants: Map<BoxId, BoxGrant>, listed: readonly BoxId[], now: number): void {
+		for (const [box, {requestedAt}] of boxGrants) {
+			if (!listed.includes(box) && now - requestedAt > fallbackDelay + fallbackMargin) {
+				boxGrants.delete(box);
 			}
 		}
 	}
@@ -104,15 +104,15 @@
  * The rate that a box may be using: its grant while that is valid; then the greater of the grant and the fair part, since the box falls back at
  * an unknown time; then its fair part.
  */
-function reserveFor(member: Member | undefined, fairPart: number, now: number): number {
-	if (!member) {
+function reserveFor(boxGrant: BoxGrant | undefined, fairPart: number, now: number): number {
+	if (!boxGrant) {
 		return fairPart;
 	}
 
-	const age = now - member.seenAt;
+	const age = now - boxGrant.requestedAt;
 	if (age <= grantLifetime) {
-		return member.rate;
+		return boxGrant.rate;
 	}
 
-	return age <= fallbackDelay + fallbackMargin ? Math.max(member.rate, fairPart) : fairPart;
+	return age <= fallbackDelay + fallbackMargin ? Math.max(boxGrant.rate, fairPart) : fairPart;
 }
--- a/src/limits/ceilings.ts
+++ b/src/limits/ceilings.ts
@@ -12,7 +12,7 @@
 import {TokenBucket} from './token-bucket.js';
 
 /** Grant and usage of a row of the table at this box. */
-type Spending = {
+type RowUsage = {
 	readonly row: string;
 	readonly bucket: TokenBucket;
 	readonly demand: DemandMeter;
@@ -36,7 +36,7 @@
 		return new Ceilings(self, facts, clock);
 	}
 
-	private readonly spendings = new Map<string, Spending>();
+	private readonly usages = new Map<string, RowUsage>();
 
 	private constructor(
 		private readonly self: BoxId,
@@ -53,16 +53,16 @@
 	 */
 	take(row: string, cost: number): number {
 		const now = this.clock.monotonic();
-		const spending = this.spendingOf(row, now);
-		spending.demand.note(cost, now);
-		const rate = this.rateOf(spending, now);
-		spending.bucket.setRate(rate, now);
-		if (spending.bucket.take(cost, now)) {
+		const usage = this.usageOf(row, now);
+		usage.demand.add(cost, now);
+		const rate = this.rateOf(usage, now);
+		usage.bucket.setRate(rate, now);
+		if (usage.bucket.take(cost, now)) {
 			return 0;
 		}
 
 		// A bucket with rate zero has no finite wait time; the next grant arrives within the lifetime of a grant.
-		return rate > 0 ? Math.max(1, spending.bucket.waitTime(now)) : grantLifetime;
+		return rate > 0 ? Math.max(1, usage.bucket.waitTime(now)) : grantLifetime;
 	}
 
 	/**
@@ -72,7 +72,7 @@
 	 * @param units - Unused units.
 	 */
 	giveBack(row: string, units: number): void {
-		this.spendings.get(row)?.bucket.giveBack(units);
+		this.usages.get(row)?.bucket.giveBack(units);
 	}
 
 	/**
@@ -81,7 +81,7 @@
 	 */
 	rate(row: string): number {
 		const now = this.clock.monotonic();
-		return this.rateOf(this.spendingOf(row, now), now);
+		return this.rateOf(this.usageOf(row, now), now);
 	}
 
 	/**
@@ -91,11 +91,11 @@
 	 */
 	demandsFor(owner: BoxId, reachable: readonly BoxId[]): readonly CeilingDemand[] {
 		const now = this.clock.monotonic();
-		this.forgetRemoved();
+		this.dropRemovedRows();
 		return this.facts.rows()
-			.map(row => this.spendingOf(row, now))
-			.filter(spending => rankOwners(spending.row, reachable)[0] === owner)
-			.filter(spending => spending.owner === undefined || spending.owner === owner || now - spending.grantedAt > fallbackDelay)
+			.map(row => this.usageOf(row, now))
+			.filter(usage => rankOwners(usage.row, reachable)[0] === owner)
+			.filter(usage => usage.owner === undefined || usage.owner === owner || now - usage.grantedAt > fallbackDelay)
 			.map(({row, demand}) => ({row, rate: demand.rate(now)}));
 	}
 
@@ -108,22 +108,22 @@
 	 */
 	takeGrants(owner: BoxId, grants: readonly CeilingGrant[], askedAt: number): void {
 		for (const {row, rate} of grants) {
-			const spending = this.spendings.get(row);
-			if (spending && askedAt >= spending.grantedAt) {
-				spending.owner = owner;
-				spending.granted = rate;
-				spending.grantedAt = askedAt;
+			const usage = this.usages.get(row);
+			if (usage && askedAt >= usage.grantedAt) {
+				usage.owner = owner;
+				usage.granted = rate;
+				usage.grantedAt = askedAt;
 			}
 		}
 	}
 
-	private spendingOf(row: string, now: number): Spending {
-		const known = this.spendings.get(row);
+	private usageOf(row: string, now: number): RowUsage {
+		const known = this.usages.get(row);
 		if (known) {
 			return known;
 		}
 
-		const spending: Spending = {
+		const usage: RowUsage = {
 			row,
 			bucket: TokenBucket.create(now, this.fairPart(row)),
 			demand: DemandMeter.create(now),
@@ -131,19 +131,19 @@
 			granted: 0,
 			grantedAt: Number.NEGATIVE_INFINITY,
 		};
-		this.spendings.set(row, spending);
-		return spending;
+		this.usages.set(row, usage);
+		return usage;
 	}
 
-	private rateOf(spending: Spending, now: number): number {
-		const ceiling = this.facts.ceiling(spending.row) ?? 0;
-		const age = now - spending.grantedAt;
+	private rateOf(usage: RowUsage, now: number): number {
+		const ceiling = this.facts.ceiling(usage.row) ?? 0;
+		const age = now - usage.grantedAt;
 		if (age <= grantLifetime) {
-			return Math.min(spending.granted, ceiling);
+			return Math.min(usage.granted, ceiling);
 		}
 
-		const fairPart = this.fairPart(spending.row);
-		return age <= fallbackDelay ? Math.min(spending.granted, fairPart) : fairPart;
+		const fairPart = this.fairPart(usage.row);
+		return age <= fallbackDelay ? Math.min(usage.granted, fairPart) : fairPart;
 	}
 
 	private fairPart(row: string): number {
@@ -151,10 +151,10 @@
 		return (this.facts.ceiling(row) ?? 0) / boxes.size;
 	}
 
-	private forgetRemoved(): void {
-		for (const row of this.spendings.keys()) {
+	private dropRemovedRows(): void {
+		for (const row of this.usages.keys()) {
 			if (this.facts.ceiling(row) === undefined) {
-				this.spendings.delete(row);
+				this.usages.delete(row);
 			}
 		}
 	}
--- a/src/limits/demand-meter.ts
+++ b/src/limits/demand-meter.ts
@@ -25,7 +25,7 @@
 	 * @param units - Requested units.
 	 * @param now - Monotonic milliseconds.
 	 */
-	note(units: number, now: number): void {
+	add(units: number, now: number): void {
 		this.decay(now);
 		this.mean += units * 1000 / window;
 	}
--- a/src/limits/pool-gate.ts
+++ b/src/limits/pool-gate.ts
@@ -12,19 +12,19 @@
 import {type Row, rowName} from '../table/table.js';
 
 /** Initial concurrency limit of a box, for each upstream of a pool. */
-const firstLimitPerUpstream = 8;
+const initialLimitPerUpstream = 8;
 /** Factor on the running requests that gives the new limit when upstreams queue requests. */
-const decrease = 0.85;
+const limitDecrease = 0.85;
 /** Fraction of the limit that is added when the limit is nearly reached and upstreams do not queue requests. */
-const increase = 0.1;
+const limitIncrease = 0.1;
 /** Mean number of requests queued at an upstream above which the limit is lowered. */
-const allowedQueue = 1;
+const maxMeanQueue = 1;
 /** Max. expected wait of a request, in milliseconds; its total wait may be twice as long. */
-const patience = 1500;
+const maxExpectedWait = 1500;
 /** One in this many admissions goes to the last request of the queue, so that low priorities are not starved. */
-const floorEvery = 20;
+const antiStarvationInterval = 20;
 /** Weight of the latest tick in the moving average of the drain rate. */
-const rateWeight = 0.3;
+const drainRateWeight = 0.3;
 
 /** Load of a pool. */
 export type PoolLoad = {
@@ -55,14 +55,14 @@
 
 	private limit = 0;
 	private pool: PoolLoad | undefined;
-	private inside = 0;
-	private waiting: readonly Waiter[] = [];
+	private running = 0;
+	private queue: readonly Waiter[] = [];
 	private virtualTime = 0;
-	private readonly lastTags = new Map<string, number>();
+	private readonly lastFinishTags = new Map<string, number>();
 	private admissions = 0;
 	/** Moving average of the requests a second that finish. */
 	private drainRate = 10;
-	private leftSinceTick = 0;
+	private finishedSinceTick = 0;
 	private tickedAt: number;
 
 	private constructor(private readonly load: () => PoolLoad, private readonly clock: Clock) {
@@ -71,12 +71,12 @@
 
 	/** Number of queued requests. */
 	get waitingCount(): number {
-		return this.waiting.length;
+		return this.queue.length;
 	}
 
 	/** Number of admitted requests that have not finished. */
-	get insideCount(): number {
-		return this.inside;
+	get runningCount(): number {
+		return this.running;
 	}
 
 	/**
@@ -88,8 +88,8 @@
 	 * @returns The result of `use`; fails with a refusal at once when the expected wait is too long.
 	 */
 	pass<Answer, Failure>(row: Row, cost: number, use: Effect.Effect<Answer, Failure>): Effect.Effect<Answer, Failure | Refusal> {
-		return Effect.uninterruptibleMask(restore => restore(this.enter(row, cost)).pipe(Effect.flatMap(() => restore(use).pipe(Effect.ensuring(Effect.sync(() => {
-			this.leave();
+		return Effect.uninterruptibleMask(restore => restore(this.admit(row, cost)).pipe(Effect.flatMap(() => restore(use).pipe(Effect.ensuring(Effect.sync(() => {
+			this.finish();
 		}))))));
 	}
 
@@ -98,39 +98,39 @@
 		const now = this.clock.monotonic();
 		const seconds = Math.max(0.001, (now - this.tickedAt) / 1000);
 		this.tickedAt = now;
-		if (this.inside > 0) {
-			this.drainRate = (this.drainRate * (1 - rateWeight)) + (this.leftSinceTick / seconds * rateWeight);
+		if (this.running > 0) {
+			this.drainRate = (this.drainRate * (1 - drainRateWeight)) + (this.finishedSinceTick / seconds * drainRateWeight);
 		}
 
-		this.leftSinceTick = 0;
+		this.finishedSinceTick = 0;
 		this.pool = this.load();
 		this.adjustLimit();
 		this.admitNext();
-		this.refuseHopeless();
+		this.refuseExcess();
 	}
 
-	private enter(row: Row, cost: number): Effect.Effect<void, Refusal> {
+	private admit(row: Row, cost: number): Effect.Effect<void, Refusal> {
 		return Effect.suspend(() => {
-			if (this.waiting.length === 0 && this.inside < this.currentLimit()) {
-				this.inside++;
+			if (this.queue.length === 0 && this.running < this.currentLimit()) {
+				this.running++;
 				return Effect.void;
 			}
 
 			const waiter = this.enqueue(row, cost);
-			this.refuseHopeless();
+			this.refuseExcess();
 			return Deferred.await(waiter.admitted).pipe(Effect.onInterrupt(() => Effect.sync(() => {
-				this.abandon(waiter);
+				this.removeFromQueue(waiter);
 				if (waiter.isAdmitted) {
-					this.leave();
+					this.finish();
 				}
 			})));
 		});
 	}
 
 	/** Called when an admitted request has finished. */
-	private leave(): void {
-		this.inside--;
-		this.leftSinceTick++;
+	private finish(): void {
+		this.running--;
+		this.finishedSinceTick++;
 		this.admitNext();
 	}
 
@@ -139,7 +139,7 @@
 		this.pool ??= this.load();
 		const {upstreams} = this.pool;
 		if (this.limit === 0 && upstreams > 0) {
-			this.limit = upstreams * firstLimitPerUpstream;
+			this.limit = upstreams * initialLimitPerUpstream;
 		}
 
 		// At least one request for each upstream: an upstream whose load is unknown has to be tried.
@@ -149,51 +149,51 @@
 	private adjustLimit(): void {
 		const limit = this.currentLimit();
 		const {upstreams, queued} = this.pool!;
-		if (queued > allowedQueue) {
-			this.limit = Math.max(upstreams, this.inside * decrease);
-		} else if (this.inside >= limit * 0.8) {
-			this.limit = limit + Math.max(1, limit * increase);
+		if (queued > maxMeanQueue) {
+			this.limit = Math.max(upstreams, this.running * limitDecrease);
+		} else if (this.running >= limit * 0.8) {
+			this.limit = limit + Math.max(1, limit * limitIncrease);
 		}
 	}
 
 	private enqueue(row: Row, cost: number): Waiter {
 		const name = rowName(row);
-		const start = Math.max(this.virtualTime, this.lastTags.get(name) ?? 0);
+		const start = Math.max(this.virtualTime, this.lastFinishTags.get(name) ?? 0);
 		const finishTag = start + (cost / row.share);
-		this.lastTags.set(name, finishTag);
+		this.lastFinishTags.set(name, finishTag);
 		const waiter: Waiter = {
 			row, finishTag, enteredAt: this.clock.monotonic(), admitted: Deferred.makeUnsafe<void, Refusal>(), isAdmitted: false,
 		};
-		this.waiting = [...this.waiting, waiter].sort((left, right) => left.row.priority - right.row.priority || left.finishTag - right.finishTag);
+		this.queue = [...this.queue, waiter].sort((left, right) => left.row.priority - right.row.priority || left.finishTag - right.finishTag);
 		return waiter;
 	}
 
 	private admitNext(): void {
-		while (this.waiting.length > 0 && this.inside < this.currentLimit()) {
+		while (this.queue.length > 0 && this.running < this.currentLimit()) {
 			this.admissions++;
-			const waiter = this.waiting.at(this.admissions % floorEvery === 0 ? -1 : 0)!;
-			this.abandon(waiter);
+			const waiter = this.queue.at(this.admissions % antiStarvationInterval === 0 ? -1 : 0)!;
+			this.removeFromQueue(waiter);
 			this.virtualTime = Math.max(this.virtualTime, waiter.finishTag);
-			this.inside++;
+			this.running++;
 			waiter.isAdmitted = true;
 			Deferred.doneUnsafe(waiter.admitted, Effect.void);
 		}
 
-		if (this.waiting.length === 0 && this.lastTags.size > 1000) {
-			this.lastTags.clear();
+		if (this.queue.length === 0 && this.lastFinishTags.size > 1000) {
+			this.lastFinishTags.clear();
 		}
 	}
 
 	/** Refuses the queued requests whose total or expected wait is too long. */
-	private refuseHopeless(): void {
+	private refuseExcess(): void {
 		const now = this.clock.monotonic();
-		const hopeless = this.waiting.filter((waiter, index) => {
+		const excess = this.queue.filter((waiter, index) => {
 			const expected = (index + 1) / Math.max(0.1, this.drainRate) * 1000;
-			return (now - waiter.enteredAt) + Math.min(expected, patience * 2) > patience * 2 || expected > patience;
+			return (now - waiter.enteredAt) + Math.min(expected, maxExpectedWait * 2) > maxExpectedWait * 2 || expected > maxExpectedWait;
 		});
-		for (const waiter of hopeless) {
-			const index = this.waiting.indexOf(waiter);
-			this.abandon(waiter);
+		for (const waiter of excess) {
+			const index = this.queue.indexOf(waiter);
+			this.removeFromQueue(waiter);
 			Deferred.doneUnsafe(waiter.admitted, Effect.fail(Refusal.create(
 				'capacity-short',
 				'Every upstream of the pool is full, and requests of this priority would wait too long. Come back later.',
@@ -202,7 +202,7 @@
 		}
 	}
 
-	private abandon(waiter: Waiter): void {
-		this.waiting = this.waiting.filter(other => other !== waiter);
+	private removeFromQueue(waiter: Waiter): void {
+		this.queue = this.queue.filter(other => other !== waiter);
 	}
 }
--- a/src/limits/row-rates.ts
+++ b/src/limits/row-rates.ts
@@ -5,7 +5,7 @@
 import type {CeilingDemand} from './ceiling-grant.js';
 
 /** Steps in a unit: rates are rounded down to 1/100 unit a second, so that the sum of the grants never exceeds the ceiling. */
-const precision = 100;
+const stepsPerUnit = 100;
 
 /**
  * @param rates - Rates by name.
@@ -13,10 +13,10 @@
  * @returns Row indexes and rates, alternating.
  */
 export function encodeRates(rates: readonly CeilingDemand[], rowNames: readonly string[]): readonly number[] {
-	const places = new Map(rowNames.map((name, place) => [name, place]));
+	const rowIndexes = new Map(rowNames.map((name, rowIndex) => [name, rowIndex]));
 	return rates.flatMap(({row, rate}) => {
-		const place = places.get(row);
-		return place === undefined ? [] : [place, Math.floor(rate * precision) / precision];
+		const rowIndex = rowIndexes.get(row);
+		return rowIndex === undefined ? [] : [rowIndex, Math.floor(rate * stepsPerUnit) / stepsPerUnit];
 	});
 }
 
@@ -26,8 +26,8 @@
  * @returns Rates by name.
  */
 export function decodeRates(encoded: readonly number[], rowNames: readonly string[]): readonly CeilingDemand[] {
-	return encoded.flatMap((place, index) => {
-		const row = index % 2 === 0 ? rowNames[place] : undefined;
+	return encoded.flatMap((value, index) => {
+		const row = index % 2 === 0 ? rowNames[value] : undefined;
 		return row === undefined ? [] : [{row, rate: encoded[index + 1] ?? 0}];
 	});
 }
--- a/src/limits/test/ceiling-start.test.ts
+++ b/src/limits/test/ceiling-start.test.ts
@@ -12,6 +12,7 @@
 const ceiling = 1000;
 const row = 'alpha/orders/look-up';
 const [first, second, third] = rankOwners(row, ['box-1', 'box-2', 'box-3'] as BoxId[]) as [BoxId, BoxId, BoxId];
+/** Milliseconds between two exchanges. */
 const exchangeInterval = 500;
 
 /** Boxes with a common box list, which exchange demands and grants on request of the test. */
--- a/src/limits/test/pool-gate.test.ts
+++ b/src/limits/test/pool-gate.test.ts
@@ -10,13 +10,13 @@
 	account, kind: 'write', service: 'assistant', share, ceiling: 1000, priority, repeatable: true,
 }) as unknown as Row;
 
-type Ending = {readonly account: string; readonly refusal: Refusal | undefined; readonly at: number};
+type Outcome = {readonly account: string; readonly refusal: Refusal | undefined; readonly at: number};
 
 /** Sends requests of 100 ms through a gate whose only upstream runs eight at once. */
-async function withGate(use: (send: (row: Row) => void, time: VirtualTime, endings: readonly Ending[], gate: PoolGate) => Promise<void>): Promise<void> {
+async function withGate(use: (send: (row: Row) => void, time: VirtualTime, outcomes: readonly Outcome[], gate: PoolGate) => Promise<void>): Promise<void> {
 	const time = VirtualTime.start();
 	try {
-		const endings: Ending[] = [];
+		const outcomes: Outcome[] = [];
 		const load = {upstreams: 1, queued: 0};
 		const gate = PoolGate.create(() => load, VirtualClock.create(time));
 		const ticks = setInterval(() => {
@@ -26,9 +26,9 @@
 			Effect.runFork(gate.pass(governing, 1, Effect.sleep(100)).pipe(
 				Effect.map(() => undefined),
 				Effect.catch(error => Effect.succeed(error)),
-				Effect.map(refusal => endings.push({account: governing.account, refusal, at: time.now})),
+				Effect.map(refusal => outcomes.push({account: governing.account, refusal, at: time.now})),
 			));
-		}, time, endings, gate);
+		}, time, outcomes, gate);
 		clearInterval(ticks);
 	} finally {
 		time.stop();
@@ -36,7 +36,7 @@
 }
 
 test('when capacity is short, requests of the lowest priority are refused at once, with a time to retry', async () => {
-	await withGate(async (send, time, endings) => {
+	await withGate(async (send, time, outcomes) => {
 		for (let index = 0; index < 30; index++) {
 			send(row('low', 9));
 		}
@@ -46,17 +46,17 @@
 		}
 
 		await time.settle();
-		const refused = endings.filter(({refusal}) => refusal);
+		const refused = outcomes.filter(({refusal}) => refusal);
 		assert.ok(refused.length > 0);
 		assert.deepEqual([...new Set(refused.map(({account}) => account))], ['low']);
 		assert.ok(refused.every(({refusal, at}) => at === 0 && refusal!.verdict === 'not-run' && refusal!.retryAfter! >= 1));
 		await time.advance(5000);
-		assert.equal(endings.filter(({account, refusal}) => account === 'high' && !refusal).length, 15);
+		assert.equal(outcomes.filter(({account, refusal}) => account === 'high' && !refusal).length, 15);
 	});
 });
 
 test('within a priority, rows are served in proportion to their shares', async () => {
-	await withGate(async (send, time, endings, gate) => {
+	await withGate(async (send, time, outcomes, gate) => {
 		for (let index = 0; index < 8; index++) {
 			send(row('first', 1));
 		}
@@ -70,14 +70,14 @@
 		assert.equal(gate.waitingCount, 12);
 		await time.advance(150);
 		await time.advance(60);
-		const served = endings.filter(({account, refusal}) => account !== 'first' && !refusal);
+		const served = outcomes.filter(({account, refusal}) => account !== 'first' && !refusal);
 		assert.equal(served.length, 8);
 		assert.equal(served.filter(({account}) => account === 'large').length, 6);
 	});
 });
 
 test('a request that is cancelled in the queue is removed from it and does not count against the limit', async () => {
-	await withGate(async (send, time, endings, gate) => {
+	await withGate(async (send, time, outcomes, gate) => {
 		for (let index = 0; index < 8; index++) {
 			send(row('first', 1));
 		}
@@ -90,7 +90,7 @@
 		await time.settle();
 		assert.equal(gate.waitingCount, 0);
 		await time.advance(200);
-		assert.equal(gate.insideCount, 0);
-		assert.equal(endings.length, 8);
+		assert.equal(gate.runningCount, 0);
+		assert.equal(outcomes.length, 8);
 	});
 });
