--- a/src/quarantine/test/end-ledger.test.ts
+++ b/src/quarantine/test/end-ledger.test.ts
@@ -107,7 +107,8 @@
 			// A crash has one time, whichever box reports it.
 			ends: [{...crash(start, ...named), age: Number(start.slice(2)) * 1000}], completions: [],
 		})),
-		fc.record({fingerprint: fc.constantFrom(x, a, Fingerprint('b'.repeat(12))), age: fc.integer({min: 0, max: 4000})}).map((completion): EndNews => ({ends: [], completions: [completion]})),
+		fc.record({fingerprint: fc.constantFrom(x, a, Fingerprint('b'.repeat(12))), age: fc.integer({min: 0, max: 4000})})
+			.map((completion): EndNews => ({ends: [], completions: [completion]})),
 	);
 	fc.assert(fc.property(fc.array(anyUpdate, {maxLength: 12}), fc.array(fc.nat(), {minLength: 12, maxLength: 12}), (updates, orders) => {
 		const inOrder = ledgerAt().ledger;
