--- a/src/limits/ceilings.ts
+++ b/src/limits/ceilings.ts
@@ -1,5 +1,5 @@
 /**
- * The side of a ceiling that spends: each box keeps, for each row, the part it may use.
+ * The spending side of ceilings: each box tracks, for each row, the rate that it may use.
  */
 import type {Clock} from '../base/clock.js';
 import type {BoxId} from '../base/identifiers.js';
@@ -11,19 +11,20 @@
 import {DemandMeter} from './demand-meter.js';
 import {TokenBucket} from './token-bucket.js';
 
-/** A row of the table, as this box spends it. */
-type Spending = {
+/** Grant and usage of a row of the table at this box. */
+type RowUsage = {
 	readonly row: string;
 	readonly bucket: TokenBucket;
 	readonly demand: DemandMeter;
-	/** Who granted; `undefined` before the first grant. */
+	/** The box that granted the rate; `undefined` before the first grant. */
 	owner: BoxId | undefined;
+	/** Granted rate, in units a second. */
 	granted: number;
-	/** When the grant was asked for. */
+	/** Monotonic milliseconds at which the grant was requested. */
 	grantedAt: number;
 };
 
-/** Spends parts of ceilings. */
+/** Admits requests within the granted parts of ceilings. */
 export class Ceilings {
 	/**
 	 * @param self - This box.
@@ -35,7 +36,7 @@
 		return new Ceilings(self, facts, clock);
 	}
 
-	private readonly spendings = new Map<string, Spending>();
+	private readonly usages = new Map<string, RowUsage>();
 
 	private constructor(
 		private readonly self: BoxId,
@@ -44,85 +45,85 @@
 	) {}
 
 	/**
-	 * Lets a request pass or not.
+	 * Admits or rejects a request.
 	 *
 	 * @param row - Name of the row that governs it.
 	 * @param cost - Units.
-	 * @returns Zero where it may pass; otherwise the milliseconds after which to come back.
+	 * @returns Zero where the request is admitted; otherwise the milliseconds after which to retry.
 	 */
 	take(row: string, cost: number): number {
 		const now = this.clock.monotonic();
-		const spending = this.spendingOf(row, now);
-		spending.demand.note(cost, now);
-		const rate = this.rateOf(spending, now);
-		spending.bucket.setRate(rate, now);
-		if (spending.bucket.take(cost, now)) {
+		const usage = this.usageOf(row, now);
+		usage.demand.add(cost, now);
+		const rate = this.rateOf(usage, now);
+		usage.bucket.setRate(rate, now);
+		if (usage.bucket.take(cost, now)) {
 			return 0;
 		}
 
-		// A bucket that does not fill tells no time; the next grant is known by then.
-		return rate > 0 ? Math.max(1, spending.bucket.waitTime(now)) : grantLifetime;
+		// A bucket with rate zero has no finite wait time; the next grant arrives within the lifetime of a grant.
+		return rate > 0 ? Math.max(1, usage.bucket.waitTime(now)) : grantLifetime;
 	}
 
 	/**
-	 * Gives back what a request did not use.
+	 * Returns the units that a request did not use.
 	 *
 	 * @param row - Name of the row.
-	 * @param units - How much.
+	 * @param units - Unused units.
 	 */
 	giveBack(row: string, units: number): void {
-		this.spendings.get(row)?.bucket.giveBack(units);
+		this.usages.get(row)?.bucket.giveBack(units);
 	}
 
 	/**
 	 * @param row - Name of the row.
-	 * @returns Units a second that this box may let pass now.
+	 * @returns Units a second that this box may admit now.
 	 */
 	rate(row: string): number {
 		const now = this.clock.monotonic();
-		return this.rateOf(this.spendingOf(row, now), now);
+		return this.rateOf(this.usageOf(row, now), now);
 	}
 
 	/**
 	 * @param owner - A box.
-	 * @param reachable - Boxes that can be asked, this one too.
-	 * @returns What to ask that box for: rows it owns, but not while an older owner's grant may still be lent out.
+	 * @param reachable - Reachable boxes, including this one.
+	 * @returns The demands to send to that box: those of the rows it owns, except while a grant of a previous owner may still be valid.
 	 */
 	demandsFor(owner: BoxId, reachable: readonly BoxId[]): readonly CeilingDemand[] {
 		const now = this.clock.monotonic();
-		this.forgetRemoved();
+		this.dropRemovedRows();
 		return this.facts.rows()
-			.map(row => this.spendingOf(row, now))
-			.filter(spending => rankOwners(spending.row, reachable)[0] === owner)
-			.filter(spending => spending.owner === undefined || spending.owner === owner || now - spending.grantedAt > fallbackDelay)
+			.map(row => this.usageOf(row, now))
+			.filter(usage => rankOwners(usage.row, reachable)[0] === owner)
+			.filter(usage => usage.owner === undefined || usage.owner === owner || now - usage.grantedAt > fallbackDelay)
 			.map(({row, demand}) => ({row, rate: demand.rate(now)}));
 	}
 
 	/**
-	 * Takes what an owner granted.
+	 * Applies the grants of an owner.
 	 *
-	 * @param owner - Who granted.
-	 * @param grants - What.
-	 * @param askedAt - Monotonic milliseconds, before the owner was asked.
+	 * @param owner - The box that granted them.
+	 * @param grants - The grants.
+	 * @param askedAt - Monotonic milliseconds, taken before the request to the owner was sent.
 	 */
 	takeGrants(owner: BoxId, grants: readonly CeilingGrant[], askedAt: number): void {
 		for (const {row, rate} of grants) {
-			const spending = this.spendings.get(row);
-			if (spending && askedAt >= spending.grantedAt) {
-				spending.owner = owner;
-				spending.granted = rate;
-				spending.grantedAt = askedAt;
+			const usage = this.usages.get(row);
+			if (usage && askedAt >= usage.grantedAt) {
+				usage.owner = owner;
+				usage.granted = rate;
+				usage.grantedAt = askedAt;
 			}
 		}
 	}
 
-	private spendingOf(row: string, now: number): Spending {
-		const known = this.spendings.get(row);
+	private usageOf(row: string, now: number): RowUsage {
+		const known = this.usages.get(row);
 		if (known) {
 			return known;
 		}
 
-		const spending: Spending = {
+		const usage: RowUsage = {
 			row,
 			bucket: TokenBucket.create(now, this.fairPart(row)),
 			demand: DemandMeter.create(now),
@@ -130,19 +131,19 @@
 			granted: 0,
 			grantedAt: Number.NEGATIVE_INFINITY,
 		};
-		this.spendings.set(row, spending);
-		return spending;
+		this.usages.set(row, usage);
+		return usage;
 	}
 
-	private rateOf(spending: Spending, now: number): number {
-		const ceiling = this.facts.ceiling(spending.row) ?? 0;
-		const age = now - spending.grantedAt;
+	private rateOf(usage: RowUsage, now: number): number {
+		const ceiling = this.facts.ceiling(usage.row) ?? 0;
+		const age = now - usage.grantedAt;
 		if (age <= grantLifetime) {
-			return Math.min(spending.granted, ceiling);
+			return Math.min(usage.granted, ceiling);
 		}
 
-		const fairPart = this.fairPart(spending.row);
-		return age <= fallbackDelay ? Math.min(spending.granted, fairPart) : fairPart;
+		const fairPart = this.fairPart(usage.row);
+		return age <= fallbackDelay ? Math.min(usage.granted, fairPart) : fairPart;
 	}
 
 	private fairPart(row: string): number {
@@ -150,10 +151,10 @@
 		return (this.facts.ceiling(row) ?? 0) / boxes.size;
 	}
 
-	private forgetRemoved(): void {
-		for (const row of this.spendings.keys()) {
+	private dropRemovedRows(): void {
+		for (const row of this.usages.keys()) {
 			if (this.facts.ceiling(row) === undefined) {
-				this.spendings.delete(row);
+				this.usages.delete(row);
 			}
 		}
 	}
--- a/src/quarantine/blame.ts
+++ b/src/quarantine/blame.ts
@@ -1,89 +1,89 @@
 /**
- * Which requests the ends of replicas are put down to: as few as explain them all.
+ * Attributes crashes of replicas to requests: to the smallest set of requests that explains all crashes.
  *
  * @remarks
- * A replica takes all that runs there with it, so that most requests at an end only stood beside. The request that is common to
- * the most ends explains them; what is left of others is counted in the ends that are not explained yet (the greedy cover of a
- * set: V. Chvátal, "A greedy heuristic for the set-covering problem", Mathematics of Operations Research, 1979).
+ * A crash cuts off every request that the replica was running, so that most of them are innocent bystanders. The request that is common
+ * to the most crashes explains these; other requests are then counted only in the crashes that remain unexplained (greedy set cover:
+ * V. Chvátal, "A greedy heuristic for the set-covering problem", Mathematics of Operations Research, 1979).
  */
 import {getOrCreate} from '../base/get-or-create.js';
 import type {Fingerprint} from './fingerprint.js';
 
-/** A request that was at a replica when that ended. */
+/** A request that was running at a replica when the replica crashed. */
 export type Suspect = {
 	readonly fingerprint: Fingerprint;
-	/** Milliseconds for which it had been there. */
+	/** Milliseconds for which the request had been running there. */
 	readonly ranFor: number;
 };
 
-/** An end, as far as the blame is concerned. */
-export type BlamedEnd = {
-	/** Names the start of the replica that ended. */
+/** The part of a crash that attribution needs. */
+export type SuspectedCrash = {
+	/** Identifies the start (incarnation) of the replica that crashed. */
 	readonly start: string;
-	/** Requests that were at the replica. */
+	/** Requests that were running at the replica. */
 	readonly suspects: readonly Suspect[];
 };
 
-/** What is put down to one request. */
-export type Blame = {
-	/** Starts of the replicas whose ends it explains. */
+/** Crashes that are attributed to one request. */
+export type Attribution = {
+	/** Starts of the replicas whose crashes the request explains. */
 	readonly starts: readonly string[];
-	/** Whether another request, at as many ends, was at all of these but one at most, so that either may be the one. */
+	/** Whether another request with as many crashes was running at all but at most one of these, so that either may be the cause. */
 	readonly isShared: boolean;
 };
 
-/** Ends from which on a request explains others' ends: what was at one alone may have stood beside. */
-const leastExplaining = 2;
-/** Ends by which two must differ to be told apart: one by itself may be a replica that ended for a reason of its own. */
-const mostApart = 1;
-/** How many times longer all others must have been at one of their ends, for the one that ended every replica quickly to be told from them. */
-const quickness = 2;
+/** Min. crashes at which a request explains a crash for the other requests there: a request at a single crash may be a bystander. */
+const minExplainingCrashes = 2;
+/** Max. crashes by which two indistinguishable requests differ: a single crash may have an unrelated cause. */
+const maxDifferingCrashes = 1;
+/** How many times longer every other request must have run before one of its crashes, for the request with the shortest runs to be the cause. */
+const minRunTimeRatio = 2;
 
-/** The ends at which a request was, and the longest time it was there. */
-type Presence = {readonly fingerprint: Fingerprint; readonly starts: string[]; longest: number};
+/** The crashes at which a request was running, and its longest run before one of them in milliseconds. */
+type Presence = {readonly fingerprint: Fingerprint; readonly starts: string[]; longestRun: number};
 
 /**
- * @param ends - All ends.
- * @returns What is put down to whom, the most to the first; a request that is absent only stood beside.
+ * @param crashes - All crashes.
+ * @returns The crashes attributed to each request, in descending order of their number; a request that is absent was only a bystander.
  */
-export function blameFor(ends: readonly BlamedEnd[]): ReadonlyMap<Fingerprint, Blame> {
-	const blames = new Map<Fingerprint, Blame>();
-	let open = ends;
+export function attributeCrashes(crashes: readonly SuspectedCrash[]): ReadonlyMap<Fingerprint, Attribution> {
+	const attributions = new Map<Fingerprint, Attribution>();
+	let unexplained = crashes;
 	for (;;) {
-		const presences = presencesAt(open);
-		const most = Math.max(0, ...presences.map(({starts}) => starts.length));
-		const top = presences.filter(({starts}) => starts.length === most);
-		const quickest = most < leastExplaining ? undefined : quickestOf(top);
-		for (const {fingerprint, starts} of quickest ? [quickest] : top) {
-			blames.set(fingerprint, {starts, isShared: !quickest && isShared(fingerprint, starts, top)});
+		const presences = presencesAt(unexplained);
+		const highestCount = Math.max(0, ...presences.map(({starts}) => starts.length));
+		const candidates = presences.filter(({starts}) => starts.length === highestCount);
+		const shortest = highestCount < minExplainingCrashes ? undefined : shortestRunOf(candidates);
+		for (const {fingerprint, starts} of shortest ? [shortest] : candidates) {
+			attributions.set(fingerprint, {starts, isShared: !shortest && isShared(fingerprint, starts, candidates)});
 		}
 
-		if (most < leastExplaining) {
-			return blames;
+		if (highestCount < minExplainingCrashes) {
+			return attributions;
 		}
 
-		const explained = new Set((quickest ? [quickest] : top).flatMap(({starts}) => starts));
-		open = open.filter(({start}) => !explained.has(start));
+		const explained = new Set((shortest ? [shortest] : candidates).flatMap(({starts}) => starts));
+		unexplained = unexplained.filter(({start}) => !explained.has(start));
 	}
 }
 
-/** A request that ends replicas does so soon after it begins; who stands beside was there for any time. */
-function quickestOf(presences: readonly Presence[]): Presence | undefined {
-	const [first, second] = [...presences].sort((left, right) => left.longest - right.longest);
-	return first && (!second || first.longest * quickness <= second.longest) ? first : undefined;
+/** A request that crashes replicas does so soon after it begins; a bystander has run for an arbitrary time. */
+function shortestRunOf(presences: readonly Presence[]): Presence | undefined {
+	const [first, second] = [...presences].sort((left, right) => left.longestRun - right.longestRun);
+	return first && (!second || first.longestRun * minRunTimeRatio <= second.longestRun) ? first : undefined;
 }
 
-function isShared(fingerprint: Fingerprint, starts: readonly string[], top: readonly Presence[]): boolean {
-	return top.some(other => other.fingerprint !== fingerprint && starts.filter(start => !other.starts.includes(start)).length <= mostApart);
+function isShared(fingerprint: Fingerprint, starts: readonly string[], candidates: readonly Presence[]): boolean {
+	return candidates.some(other => other.fingerprint !== fingerprint && starts.filter(start => !other.starts.includes(start)).length <= maxDifferingCrashes);
 }
 
-function presencesAt(ends: readonly BlamedEnd[]): readonly Presence[] {
+function presencesAt(crashes: readonly SuspectedCrash[]): readonly Presence[] {
 	const presences = new Map<Fingerprint, Presence>();
-	for (const {start, suspects} of ends) {
+	for (const {start, suspects} of crashes) {
 		for (const {fingerprint, ranFor} of suspects) {
-			const presence = getOrCreate(presences, fingerprint, () => ({fingerprint, starts: [], longest: 0}));
+			const presence = getOrCreate(presences, fingerprint, () => ({fingerprint, starts: [], longestRun: 0}));
 			presence.starts.push(start);
-			presence.longest = Math.max(presence.longest, ranFor);
+			presence.longestRun = Math.max(presence.longestRun, ranFor);
 		}
 	}
 
