--- a/src/relay/admission.ts
+++ b/src/relay/admission.ts
@@ -1,33 +1,33 @@
 /**
- * Refuses the less urgent at once where replicas are short, so that the more urgent are served in time.
+ * Refuses less urgent requests immediately when replicas are overloaded, so that more urgent requests are served in time.
  *
  * @remarks Source: docs/DECISIONS.md, "Admission by urgency".
  */
 import type {Replica} from '../replicas/replica.js';
 import type {ServiceDemand} from '../replicas/service-demand.js';
 
-/** Goals that the least urgent may be expected to wait before they are refused. */
+/** Longest expected wait of the least urgent requests, as a multiple of the route's goal; beyond it they are refused. */
 const leastPatience = 1;
-/** How many times longer each more urgent kind may wait. */
+/** Factor by which that limit grows with each more urgent level. */
 const patienceStep = 2;
 const millisecondsPerSecond = 1000;
 
-/** What an admission rests on. */
+/** Input of an admission decision. */
 export type AdmissionFacts = {
-	/** The replica that is best for the request. */
+	/** The best replica for the request. */
 	readonly replica: Replica;
 	readonly demand: ServiceDemand;
-	/** Milliseconds within which its answer is to begin. */
+	/** Milliseconds within which its answer should begin. */
 	readonly goal: number;
 	/** Zero is the most urgent. */
 	readonly urgency: number;
-	/** Urgencies of all routes to the service. */
+	/** Urgencies of all routes that lead to the service. */
 	readonly urgencies: readonly number[];
 };
 
 /**
- * @param facts - The replica, and what is known of the service.
- * @returns Milliseconds until the replica comes to a new request of the least urgency; zero where too little is known.
+ * @param facts - The replica and the measured demand for its service.
+ * @returns Expected milliseconds until the replica starts a new request of the lowest urgency; zero while no read rate has been measured.
  */
 export function expectedWait({replica, demand}: AdmissionFacts): number {
 	const {requests, unreadTokens} = replica.work;
@@ -43,8 +43,8 @@
 }
 
 /**
- * @param facts - The request and the replica that is best for it.
- * @returns Milliseconds after which to come back; `undefined` where it is admitted.
+ * @param facts - The request and the best replica for it.
+ * @returns Milliseconds after which the client should retry; `undefined` if the request is admitted.
  */
 export function refusedFor(facts: AdmissionFacts): number | undefined {
 	const {goal, urgency, urgencies} = facts;
--- a/src/relay/admitted-request.ts
+++ b/src/relay/admitted-request.ts
@@ -1,11 +1,11 @@
 /**
- * A client's request that may be served.
+ * A client's request that passed admission.
  */
 import type {IncomingMessage} from 'node:http';
 import type {Route, ClientAccount} from '../routes/route-table.js';
 import type {RequestHead} from './relay-format.js';
 
-/** A request, whole, with what governs it. */
+/** A complete request, with its route, client account and limits. */
 export type AdmittedRequest = {
 	readonly incoming: IncomingMessage;
 	readonly head: RequestHead;
@@ -13,13 +13,13 @@
 	readonly route: Route;
 	readonly service: string;
 	readonly clientAccount: ClientAccount | undefined;
-	/** Version of the configuration that governs it. */
+	/** Version of the configuration that it was admitted under. */
 	readonly version: number;
-	/** Units it counts against the client account's quota. */
+	/** Units that it consumes of the client account's quota. */
 	readonly units: number;
 	/** Zero is the most urgent. */
 	readonly urgency: number;
-	/** Monotonic milliseconds at which it came. */
+	/** Arrival time in monotonic milliseconds. */
 	readonly receivedAt: number;
 	/** Monotonic milliseconds. */
 	readonly deadlineAt: number;
--- a/src/relay/answer-headers.ts
+++ b/src/relay/answer-headers.ts
@@ -1,17 +1,17 @@
 /**
- * Headers as Node gives them raw: names and values in turn.
+ * Helpers for Node's raw header arrays, in which names and values alternate.
  */
 
 /**
- * @param headers - Names and values in turn.
- * @param isDropped - Told a name in lower case.
- * @returns The same without the pairs whose name is to be dropped.
+ * @param headers - Alternating names and values.
+ * @param isDropped - Called with each name in lower case; returns whether to drop the header.
+ * @returns The headers that are kept.
  */
 export const dropPairs = (headers: readonly string[], isDropped: (name: string) => boolean): string[] =>
 	headers.filter((_, index) => !isDropped(headers[index - (index % 2)]!.toLowerCase()));
 
 /**
- * @param headers - Names and values in turn.
- * @returns The same without the length of the body.
+ * @param headers - Alternating names and values.
+ * @returns The headers without `Content-Length`.
  */
 export const withoutLength = (headers: readonly string[]): readonly string[] => dropPairs(headers, name => name === 'content-length');
--- a/src/relay/attempt-failure.ts
+++ b/src/relay/attempt-failure.ts
@@ -1,20 +1,22 @@
 /**
- * A try at a replica that brought no answer for the client.
+ * An attempt at a replica that produced no answer for the client.
  */
 import * as Data from 'effect/Data';
 import type {Verdict} from '../base/verdict.js';
 
-/** Why a try failed; the label of the retry counters. */
+/** Why an attempt failed; also the label of the retry counters. */
 export type AttemptFailureReason = 'unreachable' | 'refused' | 'elsewhere' | 'cut' | 'garbled' | 'failed' | 'withheld';
 
-/** A try that failed, and whether the request may have run there. */
+/** A failed attempt, and whether the replica may have run the request. */
 export class AttemptFailure extends Data.TaggedError('AttemptFailure')<{
 	readonly reason: AttemptFailureReason;
 	readonly verdict: Verdict;
 	readonly detail: string;
 }> {
 	/**
-	 * @param reason - Why; nothing was sent, or the replica promises that nothing ran.
+	 * For a request that was not sent, or that the replica declares not to have run.
+	 *
+	 * @param reason - Why the attempt failed.
 	 * @param detail - What happened.
 	 * @returns The failure.
 	 */
@@ -23,7 +25,9 @@
 	}
 
 	/**
-	 * @param reason - Why; nobody can tell whether it ran.
+	 * For a request that was sent and whose execution is unknown.
+	 *
+	 * @param reason - Why the attempt failed.
 	 * @param detail - What happened.
 	 * @returns The failure.
 	 */
--- a/src/relay/client-answer.ts
+++ b/src/relay/client-answer.ts
@@ -1,5 +1,5 @@
 /**
- * The answer to a client: sent once, and never made to look whole when it is not.
+ * The answer to a client. It is sent once, and an incomplete answer is never framed as a complete one.
  */
 import {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
@@ -7,23 +7,23 @@
 import type {Refusal} from '../base/verdict.js';
 import {problemOf} from '../door/problem.js';
 
-/** Milliseconds in which a client reads what it was sent before its connection is cut. */
+/** Milliseconds that a client has to read buffered data before its connection is destroyed. */
 const readTime = 500;
 
 /** The answer to one request. */
 export class ClientAnswer {
 	/**
-	 * @param response - Where it goes.
-	 * @param isClosing - Asked when the head is sent: whether the connection is to end with this answer.
-	 * @returns An answer that has not begun.
+	 * @param response - Node's response object.
+	 * @param isClosing - Called when the head is sent; returns whether the connection closes after this answer.
+	 * @returns An answer of which nothing has been sent.
 	 */
 	static create(response: ServerResponse, isClosing: () => boolean): ClientAnswer {
 		return new ClientAnswer(response, isClosing);
 	}
 
-	/** Status that was sent; zero before. */
+	/** HTTP status that was sent; zero until then. */
 	status = 0;
-	/** Bytes of the body that were sent. */
+	/** Bytes of the body sent so far. */
 	bytes = 0;
 
 	private constructor(private readonly response: ServerResponse, private readonly isClosing: () => boolean) {}
@@ -33,7 +33,7 @@
 		return this.response.headersSent;
 	}
 
-	/** Whether the client reads slower than it is sent to. */
+	/** Whether the write buffer is full because the client reads too slowly. */
 	get isCongested(): boolean {
 		return this.response.writableNeedDrain;
 	}
@@ -42,7 +42,7 @@
 	 * Sends the head.
 	 *
 	 * @param status - HTTP status.
-	 * @param headers - Names and values in turn.
+	 * @param headers - Alternating names and values.
 	 */
 	begin(status: number, headers: readonly string[]): void {
 		this.status = status;
@@ -50,31 +50,31 @@
 	}
 
 	/**
-	 * @param data - The next bytes of the body.
-	 * @param encoding - How characters stand for bytes: one for one.
+	 * @param data - The next bytes of the body, one character for each byte.
+	 * @param encoding - The encoding that maps each character to one byte.
 	 */
 	write(data: string, encoding: 'latin1'): void {
 		this.bytes += data.length;
 		this.response.write(data, encoding);
 	}
 
-	/** @param listener - Called when the client has read what was sent. */
+	/** @param listener - Called once the write buffer has drained. */
 	onceDrained(listener: () => void): void {
 		this.response.once('drain', listener);
 	}
 
-	/** Ends a body that was sent in pieces. */
+	/** Ends a body that was sent with {@link write}. */
 	end(): void {
 		this.response.end();
 	}
 
 	/**
-	 * Sends a whole answer.
+	 * Sends a complete answer.
 	 *
 	 * @param status - HTTP status.
-	 * @param headers - Names and values in turn, without a length.
+	 * @param headers - Alternating names and values, without `Content-Length` unless the answer is bodiless.
 	 * @param body - The body.
-	 * @param isBodiless - Whether the answer has a length without a body.
+	 * @param isBodiless - Whether the answer never has a body, as with HEAD, 204 and 304; its `Content-Length` is then passed on unchanged.
 	 */
 	send(status: number, headers: readonly string[], body: Uint8Array, isBodiless: boolean): void {
 		this.begin(status, isBodiless ? headers : [...headers, 'Content-Length', String(body.length)]);
@@ -83,9 +83,9 @@
 	}
 
 	/**
-	 * Refuses the request.
+	 * Refuses the request. If the head was already sent, aborts the connection instead.
 	 *
-	 * @param refusal - Why.
+	 * @param refusal - The reason and details to send.
 	 */
 	refuse(refusal: Refusal): void {
 		if (this.hasBegun) {
@@ -99,14 +99,17 @@
 		this.send(status, ['Content-Type', 'application/problem+json', ...retry], body, false);
 	}
 
-	/** Breaks the connection behind what was sent, so that it does not look whole; at once where the client does not read it. */
+	/**
+	 * Closes the connection after the data already sent, without ending the body, so that the client sees an incomplete answer. A client
+	 * that does not read this data in time has its connection destroyed.
+	 */
 	cut(): void {
 		const {socket} = this.response;
 		if (!socket) {
 			return;
 		}
 
-		// What was written in this moment has not gone out yet: the head waits for the first bytes of the body.
+		// `destroy` would discard data that was just written: Node holds the head back until the first bytes of the body.
 		socket.destroySoon();
 		const timer = setTimeout(() => {
 			socket.destroy();
--- a/src/relay/connection-book.ts
+++ b/src/relay/connection-book.ts
@@ -1,33 +1,33 @@
 /**
- * The connections of this box, by replica.
+ * Registry of this box's connections to replicas.
  */
 import type {Clock} from '../base/clock.js';
 import {largestIdleCount, ReplicaConnections} from '../replicas/replica-connections.js';
 import type {Replica} from '../replicas/replica.js';
 
-/** Part of the connections that a replica takes from all boxes which may be idle: the rest is for requests that come at once. */
+/** Share of the connections that a replica accepts from all boxes that may be idle; the rest is left for bursts of requests. */
 const idlePart = 0.7;
 
-/** Asked what a replica of a service takes, and by how many boxes that is shared. */
+/** Supplies the connection limit of a service and the number of boxes that share it. */
 export type ConnectionFacts = {
-	/** @returns Connections that a replica of a service takes from all boxes. */
+	/** @returns Connections that a replica of a service accepts from all boxes together. */
 	readonly maximumConnections: (service: string) => number;
-	/** @returns Boxes that there are. */
+	/** @returns Number of boxes. */
 	readonly boxes: () => number;
 };
 
-/** Keeps the connections to each replica for as long as it is listed. */
+/** Keeps the connections to each replica while it is listed. */
 export class ConnectionBook {
 	/**
 	 * @param clock - For idle times.
-	 * @param facts - Asked for what all boxes share.
-	 * @returns A book without connections.
+	 * @param facts - Supplies the limits that all boxes share.
+	 * @returns A registry without connections.
 	 */
 	static create(clock: Clock, facts: ConnectionFacts): ConnectionBook {
 		return new ConnectionBook(clock, facts);
 	}
 
-	/** By start: connections to the one before are not used for the next. */
+	/** Keyed by the start of the replica, so that connections to an earlier process of the same replica are not reused. */
 	private readonly byReplica = new Map<string, ReplicaConnections>();
 
 	private constructor(private readonly clock: Clock, private readonly facts: ConnectionFacts) {}
@@ -48,8 +48,10 @@
 	}
 
 	/**
-	 * @param replica - A replica that is listed no longer. What it still answers is read to its end, unless its process is known to be
-	 * gone: then what is in progress there has been cut.
+	 * Removes the connections of a replica. Answers in progress are read to their end, unless the replica was replaced: its process is
+	 * then gone, and the connections are reset.
+	 *
+	 * @param replica - A replica that is no longer listed.
 	 */
 	forget({start, isReplaced}: Replica): void {
 		const connections = this.byReplica.get(start);
@@ -70,7 +72,7 @@
 		this.byReplica.clear();
 	}
 
-	/** A replica resets what goes beyond the connections of all boxes together: each keeps its part of them. */
+	/** A replica resets connections beyond its limit for all boxes together, so each box keeps only its share idle. */
 	private mostIdle(service: string): number {
 		const {maximumConnections, boxes} = this.facts;
 		return Math.min(largestIdleCount, Math.max(1, Math.floor(maximumConnections(service) * idlePart / boxes())));
--- a/src/relay/demand-notes.ts
+++ b/src/relay/demand-notes.ts
@@ -1,29 +1,29 @@
 /**
- * What one request tells of the demand for its service: that it came, what of its prompt a replica read and how fast, how
- * long it took, and once whether its answer began in time.
+ * Records one request in the demand statistics of its service: its arrival, the prompt tokens that a replica read and the time for
+ * them, its duration, and once whether its answer began in time.
  */
 import type {Clock} from '../base/clock.js';
 import type {RefusalReason} from '../base/refusal-reason.js';
 import type {Refusal} from '../base/verdict.js';
 import type {ServiceDemand} from '../replicas/service-demand.js';
 
-/** Reasons that say that more replicas would have served. */
+/** Refusal reasons that indicate too few replicas. */
 const reasonsOfShortage: ReadonlySet<RefusalReason> = new Set(['capacity-short', 'replica-limit', 'no-upstream', 'upstream-refused', 'deadline-passed']);
 
-/** What the notes need. */
+/** Dependencies of the recorder. */
 export type DemandNotesServices = {
 	readonly clock: Clock;
-	/** @returns The demand for the service that the request goes to now. */
+	/** @returns The demand for the request's current service, which may change when the configuration does. */
 	readonly demand: () => ServiceDemand;
-	/** @returns Milliseconds within which its answer is to begin. */
+	/** @returns Milliseconds within which its answer should begin. */
 	readonly goal: () => number;
 };
 
-/** The notes of one request. */
+/** Records the demand of one request. */
 export class DemandNotes {
 	/**
-	 * @param services - What they need.
-	 * @returns Notes of a request that comes now.
+	 * @param services - Its dependencies.
+	 * @returns A recorder for a request that arrives now.
 	 */
 	static create(services: DemandNotesServices): DemandNotes {
 		return new DemandNotes(services);
@@ -37,7 +37,11 @@
 		this.cameAt = services.clock.monotonic();
 	}
 
-	/** @param tokens - Tokens of the prompt that the replica which was chosen has to read; its first choice counts. */
+	/**
+	 * Records the arrival when a replica is chosen for the first time; later choices are ignored.
+	 *
+	 * @param tokens - Tokens of the prompt that the chosen replica has to read.
+	 */
 	noteChoice(tokens: number): void {
 		if (!this.hasArrived) {
 			this.hasArrived = true;
@@ -45,16 +49,17 @@
 		}
 	}
 
-	/** Notes that its answer begins. */
+	/** Records that the answer begins. */
 	noteBeginning(): void {
 		this.settle(!this.isLate);
 	}
 
 	/**
-	 * What waited at a replica says little of how long the work takes.
+	 * Records how long a replica took to read the prompt. A duration above the goal is ignored, since it is mostly time spent queued at
+	 * the replica.
 	 *
-	 * @param tokens - Tokens of the prompt that its replica did not keep.
-	 * @param duration - Milliseconds from the sending to the first event.
+	 * @param tokens - Tokens of the prompt that the replica had not cached.
+	 * @param duration - Milliseconds from sending the request to its first event.
 	 */
 	noteRead(tokens: number, duration: number): void {
 		if (duration <= this.services.goal()) {
@@ -63,8 +68,10 @@
 	}
 
 	/**
-	 * @param beganAt - Monotonic milliseconds at which it was given to the replica where it ends now.
-	 * @param firstByteAt - The same of the first byte of its answer; `undefined` where none came.
+	 * Records the duration of an attempt that ends now, if its answer began within the goal.
+	 *
+	 * @param beganAt - Monotonic milliseconds at which the attempt began.
+	 * @param firstByteAt - Monotonic milliseconds of the first byte of the answer; `undefined` if none came.
 	 */
 	noteEnd(beganAt: number, firstByteAt: number | undefined): void {
 		if (firstByteAt !== undefined && firstByteAt >= beganAt && firstByteAt - beganAt <= this.services.goal()) {
@@ -72,7 +79,7 @@
 		}
 	}
 
-	/** What replicas are too short for is asked for all the same. */
+	/** Counts a request that was refused for lack of replicas as demand too. */
 	noteRefusal({reason}: Refusal): void {
 		if (!reasonsOfShortage.has(reason)) {
 			return;
@@ -85,7 +92,7 @@
 		}
 	}
 
-	/** Notes that its client left; one that waited for longer than the goal has missed it. */
+	/** Records that the client left. A client that waited for longer than the goal counts as missed. */
 	noteLeaving(): void {
 		if (this.isLate) {
 			this.settle(false);
--- a/src/relay/end-watch.ts
+++ b/src/relay/end-watch.ts
@@ -1,5 +1,5 @@
 /**
- * Tells the end of a replica from a connection that was merely cut, and which requests of this box it took with it.
+ * Distinguishes a crash of a replica from a lost connection, and reports which requests of this box the crash cut off.
  */
 import * as Effect from 'effect/Effect';
 import type {Clock} from '../base/clock.js';
@@ -14,14 +14,14 @@
 import type {RelayMetrics} from './relay-metrics.js';
 
 /**
- * Milliseconds after a cut until the replica is looked for: a process that ends closes its connections one after the other, its
- * listener perhaps last.
+ * Milliseconds between a cut connection and the probe of the replica. A process that exits closes its sockets one after the other, and
+ * its listening socket may be the last.
  */
 const probeDelay = 20;
-/** Milliseconds after a cut in which the loss of the replica's entry still explains it: more than three heartbeats. */
+/** Milliseconds after a cut within which the removal of the replica's entry counts as a crash: more than three heartbeats. */
 const explainedWithin = 6000;
 
-/** What the watch needs. */
+/** Dependencies of the detector. */
 export type EndWatchServices = {
 	readonly clock: Clock;
 	readonly log: EventLog;
@@ -37,23 +37,24 @@
 	isProbed: boolean;
 };
 
-/** The watch of one box over all replicas. */
+/** Detects crashes of replicas that this box sends requests to. */
 export class EndWatch {
 	/**
-	 * @param services - What it needs.
-	 * @returns A watch that knows of no cut.
+	 * @param services - Its dependencies.
+	 * @returns A detector without recorded cuts.
 	 */
 	static create(services: EndWatchServices): EndWatch {
 		return new EndWatch(services);
 	}
 
-	/** Cuts by start of the replica. */
+	/** Cut connections, keyed by the start of the replica. */
 	private readonly cuts = new Map<string, Cut>();
 
 	private constructor(private readonly services: EndWatchServices) {}
 
 	/**
-	 * Notes that a request was cut at a replica. One that is leaving ends as planned, and whatever it runs is not to blame.
+	 * Records that the connection to a replica was cut during a request. A replica that is leaving exits as planned, so its requests are
+	 * not suspected.
 	 *
 	 * @param replica - The replica.
 	 * @param suspect - The request.
@@ -76,7 +77,7 @@
 		}
 	}
 
-	/** @param replica - A replica whose entry is gone; where it was cut just before, it has ended. */
+	/** @param replica - A replica whose entry was removed; after a recent cut this counts as a crash. */
 	noteGone(replica: Replica): void {
 		const cut = this.cuts.get(replica.start);
 		this.cuts.delete(replica.start);
@@ -86,8 +87,8 @@
 	}
 
 	/**
-	 * @param fingerprint - A request that was cut.
-	 * @returns Whether it is not known yet if that was the end of a replica.
+	 * @param fingerprint - A request whose connection was cut.
+	 * @returns Whether a probe is still to decide if the replica crashed.
 	 */
 	isLookingFor(fingerprint: Fingerprint): boolean {
 		return [...this.cuts.values()].some(({isProbed, hasEnded, suspects}) => isProbed && !hasEnded && suspects.has(fingerprint));
--- a/src/relay/event-sequence.ts
+++ b/src/relay/event-sequence.ts
@@ -1,31 +1,31 @@
 /**
- * Holds a client's stream to one count of events, over all the runs that make it.
+ * Checks that the events of a client's stream are numbered consecutively, across all replicas that produce it.
  */
 
-/** Why an event is not the one that comes next: it has no number, one that the client has, or one beyond the next. */
+/** Why an event is not the next one: it has no number, the client already has that number, or numbers in between are missing. */
 export type EventMisfit = 'unnumbered' | 'behind' | 'ahead';
 
-/** Fifteen digits are exact as a number. */
+/** Integers of up to fifteen digits are exact as a JavaScript number. */
 const wholeNumber = /^\d{1,15}$/v;
 
-/** @returns The number that an id is; `undefined` where it is none. */
+/** @returns The id as a number; `undefined` if it is not one. */
 const numberOf = (id: string | undefined): number | undefined => id !== undefined && wholeNumber.test(id) ? Number(id) : undefined;
 
-/** What a client has of a stream. */
+/** The position of a client in its stream. */
 export class EventSequence {
 	/**
-	 * @param lastEventId - Id of the last event that the client has from before; `undefined` where it has none.
-	 * @returns A sequence in which that event came last. Without one the first event may bear any number.
+	 * @param lastEventId - Id of the last event that the client received earlier; `undefined` if there is none.
+	 * @returns A sequence that continues after that event. Without one, the first event may have any number.
 	 */
 	static create(lastEventId?: string): EventSequence {
 		return new EventSequence(lastEventId);
 	}
 
-	/** Id of the last event that the client has; `undefined` where it has none. */
+	/** Id of the last event that the client has; `undefined` if there is none. */
 	lastEventId: string | undefined;
-	/** Events that were taken. */
+	/** Number of events accepted. */
 	taken = 0;
-	/** Number of the event that comes next; `undefined` where any may. */
+	/** Expected number of the next event; `undefined` if any is valid. */
 	private next: number | undefined;
 
 	private constructor(lastEventId: string | undefined) {
@@ -35,10 +35,10 @@
 	}
 
 	/**
-	 * Takes an event as the next one, if it is.
+	 * Accepts an event if it is the next one.
 	 *
-	 * @param id - Its id; `undefined` where it has none.
-	 * @returns Why it is not; `undefined` where it was taken.
+	 * @param id - Id of the event; `undefined` if it has none.
+	 * @returns Why the event is not the next one; `undefined` if it was accepted.
 	 */
 	take(id: string | undefined): EventMisfit | undefined {
 		const number = numberOf(id);
--- a/src/relay/freshness-guard.ts
+++ b/src/relay/freshness-guard.ts
@@ -1,28 +1,28 @@
 /**
- * Decides whether what this box knows of the configuration is new enough to act on.
+ * Decides whether this box's copy of the configuration is fresh enough to act on.
  *
  * @remarks Source: docs/PLATFORM.md, "CONFIG, strict revocation".
  */
 import type {RouteTableView} from '../routes/route-table-view.js';
 
-/** What the guard holds to. */
+/** The limit on how long a revoked key may still be accepted. */
 export type RevocationBound = {
-	/** Whether keys that were taken away must not be used past the bound, whatever happens. */
+	/** Whether the limit holds even when the configuration cannot be refreshed. */
 	readonly isStrict: boolean;
-	/** Milliseconds. */
+	/** Milliseconds after its revocation within which a key must be rejected. */
 	readonly revoke: number;
 };
 
-/** Part of the bound up to which requests with keys are sent; the rest is for what is on its way. */
+/** Share of the limit up to which requests with keys are sent to replicas; the rest covers requests in transit. */
 const usedPart = 0.85;
-/** Milliseconds up to which the absence of a key or route is believed. */
+/** Greatest age in milliseconds of the configuration's freshness proof at which a missing key or route counts as nonexistent. */
 const absenceBelief = 1800;
 
-/** The guard. */
+/** Checks the age of the configuration before a request is sent or rejected. */
 export class FreshnessGuard {
 	/**
 	 * @param table - The configuration in force.
-	 * @param bound - What to hold to.
+	 * @param bound - Supplies the current limit.
 	 * @returns The guard.
 	 */
 	static create(table: RouteTableView, bound: () => RevocationBound): FreshnessGuard {
@@ -31,13 +31,13 @@
 
 	private constructor(private readonly table: RouteTableView, private readonly bound: () => RevocationBound) {}
 
-	/** Whether a request with a key may be sent now. */
+	/** Whether a request with a key may be sent to a replica now. */
 	get allowsKeys(): boolean {
 		const {isStrict, revoke} = this.bound();
 		return !isStrict || this.table.proofAge < revoke * usedPart;
 	}
 
-	/** Whether a key or route that is not known may be said not to exist. */
+	/** Whether an unknown key or route may be reported as nonexistent. */
 	get believesAbsence(): boolean {
 		return this.table.proofAge < absenceBelief;
 	}
--- a/src/relay/front-door.ts
+++ b/src/relay/front-door.ts
@@ -1,5 +1,5 @@
 /**
- * The front: takes clients' requests, admits or refuses them, and sees to it that each gets one final answer.
+ * The HTTP front end: receives clients' requests, admits or refuses them, and ensures that each gets exactly one final answer.
  */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
@@ -18,43 +18,43 @@
 import {RequestStory, type Governed} from './request-story.js';
 import type {RelayServices} from './relay-services.js';
 
-/** Bytes of a request's head at most. */
+/** Maximum bytes of a request's head. */
 const largestHead = 65_536;
-/** Milliseconds for a whole request to arrive. */
+/** Milliseconds within which a complete request must arrive. */
 const receiveTimeout = 30_000;
 const mostUrgent = 0;
 const leastUrgent = 9;
 const millisecondsPerSecond = 1000;
-/** Seconds after which a client may come back to a box that knows no configuration. */
+/** `Retry-After` in seconds from a box whose configuration is missing or out of date. */
 const comeBackWhenKnown = 0.3;
 
-/** What an admission rests on. */
+/** Input of an admission. */
 type Admission = Governed & {
 	readonly table: RouteTable;
 	/** Monotonic milliseconds. */
 	readonly receivedAt: number;
 };
 
-/** What the front asks of the process around it. */
+/** State of the process that the front end depends on. */
 export type FrontState = {
-	/** @returns Whether this process is asked to stop. */
+	/** @returns Whether this process has been asked to stop. */
 	readonly isStopping: () => boolean;
-	/** @returns Whether requests are refused because the process ends soon. */
+	/** @returns Whether new requests are refused because the process is about to exit. */
 	readonly isClosing: () => boolean;
 };
 
-/** The front. */
+/** The HTTP front end of one box. */
 export class FrontDoor {
 	/**
-	 * @param services - What serving needs.
-	 * @param state - What it asks of the process.
-	 * @returns A front that does not listen yet.
+	 * @param services - The services that handle requests.
+	 * @param state - State of the process.
+	 * @returns A front end that is not listening yet.
 	 */
 	static create(services: RelayServices, state: FrontState): FrontDoor {
 		return new FrontDoor(services, state);
 	}
 
-	/** Node's server; whoever opens it closes it. */
+	/** Node's server. The caller that makes it listen also closes it. */
 	readonly server: Server;
 	private active = 0;
 	private readonly idleListeners: Array<() => void> = [];
@@ -75,7 +75,7 @@
 		return this.active;
 	}
 
-	/** @returns Ends when no request is in progress. */
+	/** @returns An effect that completes when no request is in progress. */
 	whenIdle(): Effect.Effect<void> {
 		return Effect.callback<void>(resume => {
 			if (this.active === 0) {
@@ -89,7 +89,7 @@
 		});
 	}
 
-	/** One task for each request; the client's leaving interrupts it. */
+	/** Runs one fiber for each request, which is interrupted when the client disconnects. */
 	private take(incoming: IncomingMessage, response: ServerResponse): void {
 		this.active++;
 		this.services.metrics.inProgress.set(this.active);
--- a/src/relay/limit-queue.ts
+++ b/src/relay/limit-queue.ts
@@ -1,42 +1,42 @@
 /**
- * Requests of one box that wait since all replicas of their service have named limits and none has room: the more urgent go first, and who cannot be
- * served in time is told when to come back.
+ * Queue of requests on one box that wait because all replicas of their service announced a rate limit and have no capacity left. More urgent
+ * requests go first; a request that cannot be served in time is refused with a retry delay.
  */
 import type {Clock} from '../base/clock.js';
 import {getOrCreate} from '../base/get-or-create.js';
 
-/** A request that waits. */
+/** A waiting request. */
 export type QueuedRequest = {
 	readonly service: string;
 	/** Zero is the most urgent. */
 	readonly urgency: number;
-	/** Rises with each that comes. */
+	/** Position in the order of arrival; increases with each request. */
 	readonly number: number;
 };
 
-/** What the time to come back rests on. */
+/** Input for a retry delay. */
 export type Shortage = {
 	readonly service: string;
 	/** Zero is the most urgent. */
 	readonly urgency: number;
-	/** Milliseconds until the next of those that wait here could be sent. */
+	/** Milliseconds until the request could be sent. */
 	readonly untilRoom: number;
-	/** Requests a second that this box may send to replicas of the service. */
+	/** Requests per second that this box may send to replicas of the service. */
 	readonly rate: number;
 };
 
-/** Milliseconds for which somebody is told to stay away at most: limits end, and other boxes have room. */
+/** Longest retry delay in milliseconds, before jitter; limits end, and other boxes may have capacity. */
 const longestAbsence = 8000;
-/** By how much of itself the time to come back varies: those that are refused at once would else come at once. */
+/** Width of the jitter as a share of the retry delay; without it, clients that are refused together would return together. */
 const spread = 0.5;
 const millisecondsPerSecond = 1000;
 
-/** The requests of all services that wait. */
+/** Waiting requests of all services. */
 export class LimitQueue {
 	/**
-	 * @param clock - For the times to come back.
-	 * @param random - Gives a number from 0 to 1.
-	 * @returns A queue in which nobody waits.
+	 * @param clock - For the retry delays.
+	 * @param random - Returns a number from 0 to 1.
+	 * @returns An empty queue.
 	 */
 	static create(clock: Clock, random: () => number = Math.random): LimitQueue {
 		return new LimitQueue(clock, random);
@@ -44,7 +44,7 @@
 
 	private readonly waiting = new Set<QueuedRequest>();
 	private joined = 0;
-	/** Monotonic milliseconds up to which this box's room is promised to those who were refused, by service and urgency. */
+	/** Monotonic milliseconds until which this box's capacity is reserved for refused clients that will retry, by service and urgency. */
 	private readonly promised = new Map<string, Map<number, number>>();
 
 	private constructor(private readonly clock: Clock, private readonly random: () => number) {}
@@ -52,7 +52,7 @@
 	/**
 	 * @param service - Name of a service.
 	 * @param urgency - Zero is the most urgent.
-	 * @returns The request that waits; it must leave again.
+	 * @returns The waiting request; the caller must pass it to {@link leave}.
 	 */
 	join(service: string, urgency: number): QueuedRequest {
 		this.joined++;
@@ -61,32 +61,32 @@
 		return request;
 	}
 
-	/** @param request - One that waits no longer. */
+	/** @param request - A request that no longer waits. */
 	leave(request: QueuedRequest): void {
 		this.waiting.delete(request);
 	}
 
 	/**
-	 * @param request - One that waits.
-	 * @returns How many of its service go before it.
+	 * @param request - A waiting request.
+	 * @returns Number of requests of its service ahead of it.
 	 */
 	placeOf(request: QueuedRequest): number {
 		return [...this.waiting].filter(other => isBefore(other, request)).length;
 	}
 
 	/**
-	 * @param request - One that waits, or that has just come.
-	 * @returns Whether another of its service goes before it.
+	 * @param request - A waiting request, or one that has just arrived.
+	 * @returns Whether another request of its service is ahead of it.
 	 */
 	hasBefore(request: QueuedRequest): boolean {
 		return this.waiting.size > 0 && this.placeOf(request) > 0;
 	}
 
 	/**
-	 * Gives each that is refused its own part of the room that this box will have; the less urgent come after all more urgent ones.
+	 * Reserves a share of this box's future capacity for a refused request, after all reservations of the same or a higher urgency.
 	 *
-	 * @param shortage - What it rests on.
-	 * @returns Milliseconds after which to come back.
+	 * @param shortage - The refused request and the available rate.
+	 * @returns Milliseconds after which the client should retry.
 	 */
 	comeBackAfter({service, urgency, untilRoom, rate}: Shortage): number {
 		const now = this.clock.monotonic();
--- a/src/relay/relay-format.ts
+++ b/src/relay/relay-format.ts
@@ -1,94 +1,94 @@
 /**
- * How requests and answers look on the wire; the adapter at the root implements it.
+ * Interface to the wire format of requests and answers; the adapter in `platform` implements it.
  */
 import type {IncomingMessage} from 'node:http';
 import type {ReplicaStatement} from '../replicas/replica-statement.js';
 
-/** A part of a prompt, which requests may share. */
+/** A part of a prompt that several requests may share. */
 export type PromptPart = {
 	readonly id: string;
 	readonly tokens: number;
 };
 
-/** What the head of a client's request says. */
+/** Parsed head of a client's request. */
 export type RequestHead = {
-	/** Names this try of the client's. */
+	/** Identifies this attempt of the client. */
 	readonly id: string | undefined;
-	/** Milliseconds the client will wait; `undefined` where it did not say. */
+	/** Milliseconds that the client will wait; `undefined` if not given. */
 	readonly deadline: number | undefined;
 	readonly key: string | undefined;
-	/** Tokens of the prompt; `undefined` where the request is no generation. */
+	/** Tokens of the prompt; `undefined` if the request is not a generation request. */
 	readonly promptTokens: number | undefined;
-	/** Most tokens to be made. */
+	/** Maximum number of tokens to generate. */
 	readonly outputTokens: number;
 	readonly parts: readonly PromptPart[];
-	/** Last event the client has, where it resumes a stream. */
+	/** Id of the last event that the client has, if it resumes a stream. */
 	readonly lastEventId: string | undefined;
 };
 
-/** What the system tells a replica besides what the client said. */
+/** What this box adds to the head of a client's request before it sends the request to a replica. */
 export type SentHead = {
 	readonly replica: string;
 	readonly clientAccount: string | undefined;
-	/** Milliseconds left. */
+	/** Milliseconds left until the deadline. */
 	readonly deadline: number;
-	/** Zero is the most urgent; `undefined` leaves it. */
+	/** Zero is the most urgent; `undefined` leaves the client's header unchanged. */
 	readonly urgency: number | undefined;
-	/** Last event that was passed on, where a stream is resumed. */
+	/** Id of the last event that was forwarded, if a stream is resumed. */
 	readonly lastEventId: string | undefined;
-	/** Bytes of the body; `undefined` where there is none. */
+	/** Bytes of the body; `undefined` if there is none. */
 	readonly bodyLength: number | undefined;
 };
 
-/** What the head of a replica's answer says. */
+/** Parsed head of a replica's answer. */
 export type AnswerHead = {
-	/** The request it belongs to; `undefined` where it does not say. */
+	/** Id of the request that it belongs to; `undefined` if not given. */
 	readonly id: string | undefined;
-	/** Whether the replica promises that it has not run the request. */
+	/** Whether the replica declares that it has not run the request. */
 	readonly isNotRun: boolean;
-	/** Whether another replica has this address now. */
+	/** Whether another replica now has this address. */
 	readonly isElsewhere: boolean;
-	/** Whether the body is the replica's own bytes. */
+	/** Whether the body has no content encoding. */
 	readonly isPlain: boolean;
-	/** Milliseconds for which the replica keeps the connection; `undefined` where it does not say. */
+	/** Milliseconds for which the replica keeps an idle connection open; `undefined` if not given. */
 	readonly idleLifetime: number | undefined;
-	/** What the replica says of itself. */
+	/** The replica's announcements about itself, such as a limit or a pause. */
 	readonly statement: ReplicaStatement;
 };
 
-/** Reads and writes heads. */
+/** Parses and builds heads. */
 export abstract class RelayFormat {
-	/** Path at which the balancer asks whether this box takes clients. */
+	/** Path of the load balancer's readiness check. */
 	abstract readonly readyPath: string;
 
 	/**
 	 * @param incoming - A client's request.
-	 * @returns What its head says.
+	 * @returns Its parsed head.
 	 */
 	abstract readRequest(incoming: IncomingMessage): RequestHead;
 
 	/**
 	 * @param incoming - A client's request.
-	 * @param sent - What the system adds.
-	 * @returns Names and values in turn, as Node's `http` takes them.
+	 * @param sent - What this box adds.
+	 * @returns Alternating names and values, as Node's `http` takes them.
 	 */
 	abstract requestHeaders(incoming: IncomingMessage, sent: SentHead): string[];
 
 	/**
 	 * @param answer - A replica's answer.
-	 * @returns What its head says.
+	 * @returns Its parsed head.
 	 */
 	abstract readAnswer(answer: IncomingMessage): AnswerHead;
 
 	/**
 	 * @param answer - A replica's answer.
-	 * @returns Names and values in turn, without those of one connection.
+	 * @returns Alternating names and values, without hop-by-hop headers.
 	 */
 	abstract answerHeaders(answer: IncomingMessage): string[];
 
 	/**
-	 * @param event - One event of a stream, with its closing blank line.
-	 * @returns Its id; `undefined` where it has none.
+	 * @param event - One event of a stream, including the blank line that ends it.
+	 * @returns Its id; `undefined` if it has none.
 	 */
 	abstract eventId(event: string): string | undefined;
 }
--- a/src/relay/relay-metrics.ts
+++ b/src/relay/relay-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * What a relay counts and measures, for its metrics address.
+ * Metrics of a relay, served at its metrics address.
  */
 import process from 'node:process';
 import {
@@ -10,12 +10,12 @@
 
 /** The metrics of one relay. */
 export class RelayMetrics {
-	/** @returns Metrics in a registry of their own. */
+	/** @returns Metrics in a new registry. */
 	static create(): RelayMetrics {
 		return new RelayMetrics();
 	}
 
-	/** What the metrics address prints. */
+	/** The registry that the metrics address serves. */
 	readonly registry = new Registry();
 
 	readonly requests = new Counter({
@@ -130,7 +130,7 @@
 		name: 'waydrift_relay_log_lines_left_out_total', help: 'Log lines left out because the reader was too slow.', registers: [this.registry],
 	});
 
-	/** The library's own default metrics wake the process a hundred times a second: memory alone is told. */
+	/** Memory is the only process metric: the library's default metrics would wake the process a hundred times a second. */
 	readonly memory = new Gauge({
 		name: 'waydrift_relay_resident_bytes',
 		help: 'Resident memory of the process.',
--- a/src/relay/relay-run.ts
+++ b/src/relay/relay-run.ts
@@ -1,6 +1,6 @@
 /**
- * Serves one admitted request: chooses a replica, sends it, and passes the answer on; again elsewhere where that is
- * allowed.
+ * Serves one admitted request: chooses a replica, sends the request and forwards the answer. After a failed attempt it retries at
+ * another replica if the route allows it.
  */
 import * as Effect from 'effect/Effect';
 import type {EventFields} from '../base/event-log.js';
@@ -19,51 +19,51 @@
 import {StreamPassage} from './stream-passage.js';
 
 /**
- * Tries at most, whatever the outcome of each, except refused connections: these send nothing, and a replica whose process is gone stays listed for some
- * heartbeats and is chosen first, since it has no work.
+ * Maximum number of attempts for one request, whatever their outcome. Refused connections do not count: they send nothing, and a replica
+ * whose process is gone stays listed for some heartbeats and is chosen first, since it has no work.
  */
 const mostTries = 4;
-/** Part of the time left below which it makes no sense to try again, in milliseconds. */
+/** Milliseconds that must be left until the deadline for another attempt to be useful. */
 const shortestTry = 30;
-/** Seconds after which a client may come back where replicas are short. */
+/** Shortest `Retry-After`, in seconds, of a request that no replica could serve. */
 const comeBack = 0.5;
 const millisecondsPerSecond = 1000;
 /**
- * Milliseconds, from its first wait on, for which a request waits until others that replicas ended under have run: as many as it would else be told to
- * stay away.
+ * Milliseconds for which a request waits in total while other requests that replicas crashed under run: the delay that its client would
+ * otherwise be given as `Retry-After`.
  */
 const turnPatience = comeBack * millisecondsPerSecond;
-/** Milliseconds between two looks: few beside the time that such a run takes. */
+/** Milliseconds between two checks whether the request may run; short compared with the duration of such a run. */
 const turnPause = 20;
 
-/** A replica that was chosen. */
+/** Decision to send the request to a replica. */
 type Chosen = Extract<RunDecision, {readonly kind: 'go'}>;
 
-/** One request on its way. */
+/** Serves one request, over all its attempts. */
 export class RelayRun {
 	/**
-	 * @param services - What it works with.
+	 * @param services - The services of this box.
 	 * @param request - The request.
-	 * @param client - Where the answer goes.
-	 * @returns The run; serve it to begin.
+	 * @param client - The answer to write to.
+	 * @returns The run; call {@link serve} to start it.
 	 */
 	static create(services: RelayServices, request: AdmittedRequest, client: ClientAnswer): RelayRun {
 		return new RelayRun(services, request, client);
 	}
 
-	/** What became of it so far. */
+	/** Outcome of the attempts so far. */
 	readonly story: RunStory = {
 		tries: 0, runs: 0, refusedConnections: 0, replica: undefined, failures: '', firstByteAt: undefined, keptFrom: 0, missingFor: undefined,
 	};
 
-	/** What it has to do with ends of replicas. */
+	/** Whether the request is suspected of crashing replicas. */
 	readonly suspicion: RunSuspicion;
 	private readonly passage: StreamPassage;
 	private readonly choice: RunChoice;
 	private readonly parts: TryParts;
-	/** An answer of a replica that failed the request, to be passed on where nothing better comes. */
+	/** Sends the error answer of an earlier attempt; used if no later attempt succeeds. */
 	private failedAnswer: (() => void) | undefined;
-	/** Since when it has waited for its turn, in monotonic milliseconds. */
+	/** Monotonic milliseconds at which it first waited for suspected requests to finish. */
 	private waitsSince: number | undefined;
 	private readonly notes: DemandNotes;
 
@@ -99,17 +99,17 @@
 		};
 	}
 
-	/** What became of a stream, for the line of its request. */
+	/** Stream fields for the log record of the request. */
 	get streamFields(): EventFields {
 		return this.passage.fields;
 	}
 
-	/** Whether the request may have run, as far as this run knows. */
+	/** Whether a replica may have run the request. */
 	get verdict(): Verdict {
 		return this.story.runs > 0 ? 'may-have-run' : 'not-run';
 	}
 
-	/** @returns Ends when the answer was sent; a refusal says whether the request may have run. */
+	/** @returns An effect that completes when the answer was sent; a refusal states whether the request may have run. */
 	serve(): Effect.Effect<void, Refusal> {
 		const timeLeft = Math.max(0, this.request.deadlineAt - this.services.clock.monotonic());
 		const late = Effect.sleep(timeLeft).pipe(Effect.andThen(Effect.suspend(() => Effect.fail(this.lateness()))));
@@ -127,7 +127,7 @@
 		);
 	}
 
-	/** What a replica said of the request tells the client more than that no other try brought anything. */
+	/** An error answer from a replica tells the client more than a refusal, so it is preferred. */
 	private sendFailedAnswer(refusal: Refusal): Effect.Effect<void, Refusal> {
 		return Effect.suspend(() => {
 			if (!this.failedAnswer || this.client.hasBegun) {
@@ -166,14 +166,17 @@
 		});
 	}
 
-	/** Nobody can tell how much time a request has left that came before the machine was suspended; its client has likely gone. */
+	/**
+	 * Refuses a request that arrived before the machine was suspended: its remaining time is unknown, and its client has probably
+	 * disconnected.
+	 */
 	private passWake(): Effect.Effect<void, Refusal> {
 		return Effect.suspend(() => this.services.clock.lastWake() > this.request.receivedAt
 			? Effect.fail(this.refuse('no-upstream', 'This box stood still while it held the request.'))
 			: Effect.void);
 	}
 
-	/** A request that is tried again goes as the configuration says that is in force by now. */
+	/** Checks the request against the configuration again if that has changed since the request was admitted or last sent. */
 	private governAnew(): Effect.Effect<void, Refusal> {
 		return Effect.suspend(() => {
 			const {table, guard} = this.services;
@@ -198,7 +201,10 @@
 		});
 	}
 
-	/** A request that ends replicas would end those of all boxes in turn: here it runs apart from others, and then not at all. */
+	/**
+	 * Refuses a quarantined request. A request that crashes replicas would crash those of all boxes one after the other; it is first run
+	 * in isolation, and then no longer run.
+	 */
 	private passQuarantine(): Effect.Effect<void, Refusal> {
 		return Effect.suspend(() => {
 			const {suspicion} = this;
@@ -211,7 +217,7 @@
 		});
 	}
 
-	/** The run that it waits for is mostly over soon, and serves whoever only stood beside: to come back would take longer. */
+	/** Waiting is usually shorter than a retry by the client: the suspected request finishes soon, and then others may run. */
 	private awaitTurn(): Effect.Effect<undefined, Refusal> {
 		return Effect.suspend(() => {
 			const now = this.services.clock.monotonic();
@@ -222,7 +228,7 @@
 		});
 	}
 
-	/** @returns Where it goes; `undefined` where it is to be chosen anew. */
+	/** @returns The chosen replica; `undefined` after a wait, when the choice has to be made again. */
 	private chooseReplica(): Effect.Effect<Chosen | undefined, Refusal> {
 		const decision = this.choice.choose();
 		switch (decision.kind) {
@@ -244,7 +250,7 @@
 		}
 	}
 
-	/** @returns Why it failed; nothing where the client has its answer. */
+	/** @returns Why the attempt failed; `undefined` if the answer was sent to the client. */
 	private tryReplica({replica, slot}: Chosen): Effect.Effect<AttemptFailure | undefined> {
 		return Effect.suspend(() => {
 			this.story.tries++;
@@ -281,7 +287,7 @@
 		}
 	}
 
-	/** @returns Why the request ends here; nothing where it is tried again. */
+	/** @returns The refusal that ends the request; `undefined` if another attempt is allowed. */
 	private judge(failure: AttemptFailure): Refusal | undefined {
 		const {clock, metrics, budgets} = this.services;
 		const {route, service} = this.request;
@@ -298,7 +304,7 @@
 			return deny('attempts');
 		}
 
-		// The end that this cut may be is only looked for: what is suspected already waits for that.
+		// The probe that decides whether this cut was a crash is still running; a request that is already suspected must not run again before.
 		if (failure.reason === 'cut' && this.suspicion.look() !== 'sound') {
 			return deny('suspect');
 		}
@@ -317,13 +323,13 @@
 		return undefined;
 	}
 
-	/** Whether the route allows a second run from the beginning. */
+	/** Whether the route allows the request to be run again from the beginning. */
 	private get isRepeatable(): boolean {
 		const {kind, isResumable} = this.request.route;
 		return kind === 'repeatable' || (kind === 'stream' && isResumable);
 	}
 
-	/** A stream that may be resumed goes on behind the last event that the client has. */
+	/** Whether the request may be run again after this failure. A resumable stream continues after the last event that the client has. */
 	private mayRunAgain({reason}: AttemptFailure): boolean {
 		const {kind, isResumable} = this.request.route;
 		if (kind === 'stream') {
--- a/src/relay/relay-services.ts
+++ b/src/relay/relay-services.ts
@@ -1,5 +1,5 @@
 /**
- * What serving a request needs, got through constructors.
+ * Dependencies of request handling, passed through constructors.
  */
 import type {Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
@@ -20,10 +20,10 @@
 import type {RelayMetrics} from './relay-metrics.js';
 import type {RepeatBudgets} from './repeat-budgets.js';
 
-/** The services of one box that serve requests. */
+/** The services of one box that handle requests. */
 export type RelayServices = {
 	readonly clock: Clock;
-	/** @returns How many boxes there are, this one too. */
+	/** @returns Number of boxes, including this one. */
 	readonly boxes: () => number;
 	readonly log: EventLog;
 	readonly metrics: RelayMetrics;
--- a/src/relay/repeat-budgets.ts
+++ b/src/relay/repeat-budgets.ts
@@ -1,17 +1,17 @@
 /**
- * The budgets of repeats of this box, by service.
+ * Retry budgets of this box, by service.
  */
 import type {Clock} from '../base/clock.js';
 import {getOrCreate} from '../base/get-or-create.js';
 import {RepeatBudget, type RepeatBound} from '../quota/repeat-budget.js';
 
-/** A budget for each service. */
+/** A retry budget for each service. */
 export class RepeatBudgets {
 	/**
-	 * @param bound - The bound for all boxes.
-	 * @param boxes - How many boxes there are.
-	 * @param clock - For the window.
-	 * @returns Budgets of which nothing is used.
+	 * @param bound - Supplies the bound for all boxes together.
+	 * @param boxes - Supplies the number of boxes.
+	 * @param clock - For the time window of the budgets.
+	 * @returns Unused budgets.
 	 */
 	static create(bound: () => RepeatBound, boxes: () => number, clock: Clock): RepeatBudgets {
 		return new RepeatBudgets(bound, boxes, clock);
--- a/src/relay/replica-exchange.ts
+++ b/src/relay/replica-exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One request on one connection to a replica, and its answer, checked.
+ * Sends one request over one connection to a replica, and validates the head of the answer.
  */
 import {Buffer} from 'node:buffer';
 import {request, type IncomingMessage} from 'node:http';
@@ -10,42 +10,42 @@
 import {AttemptFailure} from './attempt-failure.js';
 import type {AnswerHead, RelayFormat} from './relay-format.js';
 
-/** A request as it goes to a replica. */
+/** A request as it is sent to a replica. */
 export type OutgoingRequest = {
 	readonly id: string | undefined;
 	readonly method: string;
 	readonly path: string;
-	/** Names and values in turn. */
+	/** Alternating names and values. */
 	readonly headers: string[];
 	readonly body: Uint8Array | undefined;
 };
 
-/** An answer whose head has come and has been checked. */
+/** An answer whose head has been received and validated. */
 export type OpenAnswer = {
 	readonly message: IncomingMessage;
-	/** @returns Whether all of the answer has come; false where its connection was reset, whatever its framing says. */
+	/** @returns Whether the complete answer has been received; false if its connection was reset, whatever its framing says. */
 	readonly isWhole: () => boolean;
-	/** Ends the connection of an answer that is not read on. */
+	/** Resets the connection of an answer that is not read any further. */
 	readonly abandon: () => void;
 	readonly head: AnswerHead;
 	readonly status: number;
 };
 
-/** Where a request goes. */
+/** The connection that a request is sent over, and how its answer is parsed. */
 export type ExchangePath = {
 	readonly connections: ReplicaConnections;
 	readonly socket: Socket;
 	readonly format: RelayFormat;
-	/** Called with the head of the answer, whatever it says of the request; not with that of another replica or request. */
+	/** Called with the head of the answer, also if the request failed; not called if the head belongs to another replica or request. */
 	readonly onHead?: (head: AnswerHead) => void;
 };
 
 /**
  * Sends a request and waits for the head of its answer.
  *
- * @param path - Where it goes.
+ * @param path - The connection and the format.
  * @param outgoing - The request.
- * @returns The answer; it belongs to the request. A failure says whether the request may have run.
+ * @returns The answer, checked to belong to the request. A failure states whether the request may have run.
  */
 export function openAnswer({connections, socket, format, onHead}: ExchangePath, outgoing: OutgoingRequest): Effect.Effect<OpenAnswer, AttemptFailure> {
 	return Effect.callback<OpenAnswer, AttemptFailure>(resume => {
@@ -59,14 +59,14 @@
 			}
 		};
 
-		// Node tells so when the whole answer has come and the connection may be used again.
+		// Node emits 'free' when the complete answer has been received and the connection can be reused.
 		socket.once('free', () => {
 			connections.release(socket, lifetime);
 		});
 		const message = request({
 			method: outgoing.method, path: outgoing.path, headers: outgoing.headers, createConnection: () => socket,
 		});
-		// Without an agent Node takes a connection for one request.
+		// Without an agent, Node closes the connection after one request unless this is set.
 		message.shouldKeepAlive = true;
 		const end = AnswerEnd.watch(message);
 		message.on('error', error => {
@@ -75,7 +75,7 @@
 		message.once('response', answer => {
 			const head = format.readAnswer(answer);
 			lifetime = head.idleLifetime;
-			// An error of the answer is told by its close.
+			// An error of the answer is also reported by its 'close' event.
 			answer.on('error', ignore);
 			if (!head.isElsewhere && (outgoing.id === undefined || head.id === outgoing.id)) {
 				onHead?.(head);
@@ -102,7 +102,7 @@
 	});
 }
 
-/** Only the replica's own word proves that it has not run the request. */
+/** Only an explicit statement of the replica proves that it has not run the request. */
 function judgeHead(head: AnswerHead, answer: IncomingMessage, id: string | undefined): AttemptFailure | undefined {
 	if (id !== undefined && head.id !== id) {
 		return AttemptFailure.mayHaveRun('garbled', `the answer belongs to ${head.id ?? 'no request'}`);
@@ -119,7 +119,7 @@
  * Reads a body to its end.
  *
  * @param answer - The answer.
- * @returns The whole body; fails where it is cut short.
+ * @returns The complete body; fails if it is truncated.
  */
 export function readBody(answer: OpenAnswer): Effect.Effect<Uint8Array, AttemptFailure> {
 	return Effect.callback<Uint8Array, AttemptFailure>(resume => {
@@ -134,8 +134,8 @@
 }
 
 /**
- * @param answer - An answer being read.
- * @param listener - Called once, when no more comes, with whether all came.
+ * @param answer - An answer that is being read.
+ * @param listener - Called once when the answer ends or its connection closes, with whether the answer is complete.
  */
 export function onceEnded({message, isWhole}: OpenAnswer, listener: (isWhole: boolean) => void): void {
 	let isTold = false;
@@ -151,8 +151,8 @@
 }
 
 /**
- * Ends a connection whose request is given up on. A reset takes back what a cut still holds up, so that it does not
- * arrive at the replica when the cut heals.
+ * Resets a connection whose request is abandoned. A reset discards data that is still buffered during a network partition, so that it
+ * does not reach the replica when the partition ends.
  *
  * @param socket - The connection.
  */
--- a/src/relay/replica-try.ts
+++ b/src/relay/replica-try.ts
@@ -1,5 +1,5 @@
 /**
- * One try of a request at one replica: connects, sends, and passes the answer on.
+ * One attempt to run a request at one replica: connects, sends the request, and forwards the answer.
  */
 import * as Effect from 'effect/Effect';
 import type {Slot} from '../replicas/limit-slots.js';
@@ -25,7 +25,7 @@
 const noContent = 204;
 const notModified = 304;
 
-/** What all tries of one request share. */
+/** State that all attempts of one request share. */
 export type TryParts = {
 	readonly services: RelayServices;
 	readonly client: ClientAnswer;
@@ -36,32 +36,33 @@
 	readonly story: RunStory;
 };
 
-/** What is tried. */
+/** Parameters of one attempt. */
 export type TryPlan = {
-	/** The request as the configuration says that is in force by now. */
+	/** The request, with the route of the configuration that is now in force. */
 	readonly request: AdmittedRequest;
 	readonly replica: Replica;
-	/** What it uses of the limit that the replica has named; `undefined` where it had named none. */
+	/** The slot that it uses of the replica's rate limit; `undefined` if the replica had announced none. */
 	readonly slot: Slot | undefined;
-	/** Whether a failure that the replica made may be followed by another try. */
+	/** Whether a server error from the replica may be followed by another attempt. */
 	readonly mayFail: boolean;
 };
 
-/** The try. */
+/** One attempt at one replica. */
 export class ReplicaTry {
 	/**
-	 * @param parts - What all tries of the request share.
-	 * @param plan - What is tried.
-	 * @returns A try; run it once.
+	 * @param parts - State that all attempts of the request share.
+	 * @param plan - Parameters of this attempt.
+	 * @returns An attempt; call {@link run} once.
 	 */
 	static create(parts: TryParts, plan: TryPlan): ReplicaTry {
 		return new ReplicaTry(parts, plan);
 	}
 
-	/** Sends the answer of a replica that failed the request; `undefined` where it did not, or where the client has it. */
+	/** Sends the replica's error answer to the client; `undefined` if there is none or it was already sent. */
 	failedAnswer: (() => void) | undefined;
 	/** Tokens of the prompt that the replica has to read. */
 	private readonly tokens: number;
+	/** Those tokens that still count as unread in the replica's work. */
 	private unread: number;
 	private sentAt = 0;
 
@@ -70,7 +71,7 @@
 		this.unread = this.tokens;
 	}
 
-	/** @returns Ends when the answer was sent to the client; a failure says whether the request may have run. */
+	/** @returns An effect that completes when the answer was sent to the client; a failure states whether the request may have run. */
 	run(): Effect.Effect<void, AttemptFailure> {
 		const {services, suspicion, notes, story} = this.parts;
 		const {replica} = this.plan;
@@ -104,7 +105,7 @@
 			}));
 	}
 
-	/** Everything that decides is looked at again here: the connection may have taken its time, or the process stood still. */
+	/** Repeats all checks before it sends: connecting may have taken long, or the process may have been suspended. */
 	private send({socket}: Connection): Effect.Effect<void, AttemptFailure> {
 		return Effect.suspend(() => {
 			const {services: {clock, connections, format, limits, statements, metrics}, story} = this.parts;
@@ -231,7 +232,7 @@
 		notes.noteBeginning();
 		this.markRead();
 		replica.noteAnswer(now - this.sentAt, isError);
-		// A request counts once, however many replicas begin to answer it.
+		// Usage counts a request once, however many replicas begin to answer it.
 		if (isFirst && clientAccount) {
 			usage.note(clientAccount.name);
 		}
--- a/src/relay/request-story.ts
+++ b/src/relay/request-story.ts
@@ -1,5 +1,5 @@
 /**
- * What became of one request: told once, as a line of the log and in the metrics.
+ * Outcome summary of one request, reported once in the log and in the metrics.
  */
 import type {EventFields} from '../base/event-log.js';
 import type {Refusal} from '../base/verdict.js';
@@ -10,29 +10,29 @@
 import type {RelayRun} from './relay-run.js';
 import type {RelayServices} from './relay-services.js';
 
-/** What governs a request. */
+/** The route and client account of a request, once both are known. */
 export type Governed = {
 	readonly route: Route;
-	/** `undefined` where no key is needed. */
+	/** `undefined` if the route needs no key. */
 	readonly clientAccount: ClientAccount | undefined;
 };
 
-/** What a story begins with. */
+/** What is known when a request arrives. */
 export type StoryBeginning = {
 	readonly services: RelayServices;
 	readonly head: RequestHead;
 	readonly client: ClientAnswer;
-	/** Monotonic milliseconds. */
+	/** Arrival time in monotonic milliseconds. */
 	readonly receivedAt: number;
 };
 
 const millisecondsPerSecond = 1000;
 
-/** The story of one request; what is not known yet is absent. */
+/** Outcome summary of one request; fields that are not known yet are undefined. */
 export class RequestStory {
 	/**
-	 * @param beginning - What it begins with.
-	 * @returns A story that has only begun.
+	 * @param beginning - What is known at the request's arrival.
+	 * @returns A summary without an outcome.
 	 */
 	static create(beginning: StoryBeginning): RequestStory {
 		return new RequestStory(beginning);
@@ -48,7 +48,7 @@
 		return this.governed?.route.kind ?? 'none';
 	}
 
-	/** Milliseconds from the request to the first byte of the answer that counts. */
+	/** Milliseconds from the request's arrival to the first byte of a replica's answer. */
 	private get firstByte(): number | undefined {
 		const at = this.run?.story.firstByteAt;
 		return at === undefined ? undefined : at - this.beginning.receivedAt;
@@ -58,19 +58,23 @@
 		return this.beginning.services.clock.monotonic() - this.beginning.receivedAt;
 	}
 
-	/** Tells that the request was answered. */
+	/** Reports that the request was answered. */
 	tellAnswered(): void {
 		this.count('answered');
 		this.beginning.services.log.write('requestAnswered', this.fields());
 	}
 
-	/** Tells that the client left. */
+	/** Reports that the client disconnected before its answer was complete. */
 	tellLeft(): void {
 		this.count('left');
 		this.beginning.services.log.write('clientLeft', this.fields());
 	}
 
-	/** @param refusal - Why the request was given up on. */
+	/**
+	 * Reports that the request was refused.
+	 *
+	 * @param refusal - The refusal that was sent.
+	 */
 	tellRefused(refusal: Refusal): void {
 		const {reason, verdict, detail, retryAfter} = refusal;
 		this.count('refused');
@@ -109,7 +113,7 @@
 		};
 	}
 
-	/** What a refusal for a quota rests on, and how old that is. */
+	/** The quota figures that a refusal is based on, and their age. */
 	private quotaFields({reason}: Refusal): EventFields {
 		const clientAccount = this.governed?.clientAccount;
 		const basis = reason === 'ceiling-reached' && clientAccount ? this.beginning.services.quota.basisOf(clientAccount.name) : undefined;
--- a/src/relay/run-choice.ts
+++ b/src/relay/run-choice.ts
@@ -1,5 +1,5 @@
 /**
- * Where one request goes next: to a replica, or nowhere yet, or nowhere at all.
+ * Decides the next step of one request: send it to a replica, wait, or refuse it.
  */
 import {sumOf} from '../base/sum.js';
 import type {Slot} from '../replicas/limit-slots.js';
@@ -12,57 +12,57 @@
 import type {RunStory} from './run-story.js';
 import type {RunSuspicion} from './run-suspicion.js';
 
-/** What is decided. */
+/** The next step of a request. */
 export type RunDecision =
-	/** It goes to a replica; the slot is what it uses of the replica's limit. */
+	/** Send it to the replica; the slot is its share of the replica's rate limit. */
 	| {readonly kind: 'go'; readonly replica: Replica; readonly slot: Slot | undefined}
-	/** Others that replicas ended under run first. */
+	/** Wait until other requests that replicas crashed under have run. */
 	| {readonly kind: 'turn'}
-	/** To be asked again after some milliseconds: a replica has room then. */
+	/** Decide again after `wait` milliseconds, when a replica may have capacity. */
 	| {readonly kind: 'wait'; readonly wait: number}
-	/** It cannot be served; whoever sent it may come back after some milliseconds. */
+	/** Refuse it; the client may retry after `comeBack` milliseconds. */
 	| {readonly kind: 'refuse'; readonly reason: 'no-upstream' | 'capacity-short' | 'replica-limit'; readonly detail: string; readonly comeBack: number};
 
-/** What the choice needs. */
+/** Dependencies of the choice. */
 export type RunChoiceServices = {
 	readonly services: RelayServices;
 	readonly suspicion: RunSuspicion;
 	readonly choiceRequest: ChoiceRequest;
 	readonly story: RunStory;
-	/** @returns The request as the configuration says that is in force by now. */
+	/** @returns The request, with the route of the configuration that is now in force. */
 	readonly request: () => AdmittedRequest;
-	/** @returns Whether a replica may have run the request and no replica's answer is left to pass on: it then waits for a replica where there is none. */
+	/** @returns Whether to wait when no replica is available: a replica may have run the request, and there is no error answer to send instead. */
 	readonly waitsForReplica: () => boolean;
 };
 
 /**
- * Refused connections after which a request no longer tries replicas that have just refused others: each would cost a connection and most likely serve
- * nobody.
+ * Number of refused connections after which a request no longer tries replicas that have recently refused connections: each attempt would
+ * cost a connection and most likely fail.
  */
 const mostRefusedConnections = 8;
-/** Milliseconds between two looks at a request that waits for room: more urgent ones may have come, and limits may have ended. */
+/** Bounds, in milliseconds, of the interval between checks while a request waits for capacity: more urgent requests may arrive, and limits may end. */
 const looks = {least: 5, longest: 50} as const;
-/** Milliseconds between two looks for a replica that is listed anew or accepts connections again. */
+/** Milliseconds between checks for a replica that is newly listed or accepts connections again. */
 const replicaCheckInterval = 20;
 
-/** The choices for one request. */
+/** Makes all decisions for one request. */
 export class RunChoice {
 	/**
-	 * @param services - What they need.
-	 * @returns Choices of which none was made; close it when the request has ended.
+	 * @param services - Its dependencies.
+	 * @returns A choice; call {@link close} when the request has ended.
 	 */
 	static create(services: RunChoiceServices): RunChoice {
 		return new RunChoice(services);
 	}
 
 	private readonly tried = new Set<Replica>();
-	/** Present while it waits for room at a replica. */
+	/** Set while the request waits for capacity at a replica. */
 	private queued: QueuedRequest | undefined;
 	private readonly wasKept = {limited: false, paused: false};
 
 	private constructor(private readonly parts: RunChoiceServices) {}
 
-	/** @returns Where the request goes now. */
+	/** @returns The next step of the request. */
 	choose(): RunDecision {
 		const {services: {replicas}, suspicion, request} = this.parts;
 		const {service} = request();
@@ -85,7 +85,7 @@
 		return full.length > 0 ? this.awaitRoom(full) : this.withoutReplica(`All replicas of service ${service} refuse connections.`);
 	}
 
-	/** Gives up its place among those that wait. */
+	/** Leaves the queue of waiting requests. */
 	close(): void {
 		if (this.queued) {
 			this.parts.services.limitQueue.leave(this.queued);
@@ -100,11 +100,11 @@
 	}
 
 	/**
-	 * Each replica is tried once before any is tried again, and one that refuses connections is not tried again: it has less work than all others and
-	 * would be chosen each time.
+	 * Each replica is tried once before any is tried again. A replica that refuses connections is not tried again: it has less work than all
+	 * others and would be chosen each time.
 	 *
-	 * @param open - Replicas that have room.
-	 * @returns The best ones; `undefined` where all of them refuse connections.
+	 * @param open - Replicas that have capacity.
+	 * @returns The preferred replicas; `undefined` if all of them refuse connections.
 	 */
 	private candidatesAmong(open: readonly Replica[]): readonly Replica[] | undefined {
 		const {services: {limits, statements}, story} = this.parts;
@@ -119,7 +119,7 @@
 		return [due, willing, sound, listening, responsive, untried, again].find(({length}) => length > 0);
 	}
 
-	/** Whoever waits for room at limited replicas goes before those that come later or are less urgent. */
+	/** Excludes replicas without capacity. If all others have rate limits, requests that wait for them go first unless they are less urgent. */
 	private withRoom(ready: readonly Replica[]): readonly Replica[] {
 		const {services: {limits, limitQueue, statements}, request} = this.parts;
 		const {service, urgency} = request();
@@ -149,7 +149,7 @@
 		}
 	}
 
-	/** What was begun is not given up for others. */
+	/** Refuses a request in favour of more urgent ones only before its first attempt. */
 	private admit(replica: Replica): RunDecision {
 		const {services: {demands, table, limits}, story, request} = this.parts;
 		const {route, service, urgency} = request();
@@ -169,7 +169,10 @@
 		return {kind: 'go', replica, slot: limits.take(replica)};
 	}
 
-	/** A slot of this box is sure, so that waiting for it serves the caller sooner than coming back would; but only where the answer is still in time. */
+	/**
+	 * Waits for this box's next slot if the answer can still be in time, and refuses the request otherwise. The slot is reserved for this
+	 * box, so waiting serves the client sooner than a retry would.
+	 */
 	private awaitRoom(ready: readonly Replica[]): RunDecision {
 		const {services: {limitQueue, statements}, request} = this.parts;
 		const {service, urgency} = request();
@@ -189,7 +192,7 @@
 		};
 	}
 
-	/** A pause binds one box: where a replica has not asked all of them, another box may serve the client at once. */
+	/** A pause applies to one box. If a replica has not asked all boxes to pause, another box may serve the client immediately. */
 	private comeBackAfter(full: readonly Replica[], untilRoom: number): number {
 		const {services: {limits, limitQueue, statements, boxes}, request} = this.parts;
 		const {service, urgency} = request();
@@ -201,7 +204,7 @@
 			});
 	}
 
-	/** Milliseconds for which it may still wait here so that its answer begins in time, or at all where it was begun before. */
+	/** Milliseconds that the request may wait so that its answer begins within the goal, or before the deadline if an attempt was made. */
 	private timeLeftFor(ready: readonly Replica[]): number {
 		const {services: {clock}, story, request} = this.parts;
 		const {route, receivedAt, deadlineAt} = request();
@@ -210,8 +213,9 @@
 	}
 
 	/**
-	 * A request that no replica has run is refused at once: its client may send it again. One that may have run waits until a replica is listed or accepts
-	 * connections again, or its time is over: refusing it would end its stream in the middle, or leave its client without knowing whether it ran.
+	 * A request that no replica has run is refused immediately, since its client may send it again. A request that may have run waits until
+	 * a replica is listed or accepts connections again, or until its deadline: a refusal would end its stream in the middle, or leave its
+	 * client without knowing whether it ran.
 	 */
 	private withoutReplica(detail: string): RunDecision {
 		return this.parts.waitsForReplica()
@@ -221,7 +225,7 @@
 			};
 	}
 
-	/** Milliseconds until a replica that was ordered when the last one went may serve. */
+	/** Milliseconds until a replica that was ordered when the last one disappeared may have started. */
 	private get untilReplica(): number {
 		const {services: {replicas, table}, request} = this.parts;
 		const {service} = request();
--- a/src/relay/run-story.ts
+++ b/src/relay/run-story.ts
@@ -1,19 +1,22 @@
 /**
- * What became of a request at the replicas that it was tried at.
+ * Outcome of a request's attempts at replicas.
  */
 
-/** What became of a request so far; its tries write it, its log line tells it. */
+/** Outcome so far, updated by the attempts and written to the log record of the request. */
 export type RunStory = {
 	tries: number;
+	/** Attempts in which the replica may have run the request. */
 	runs: number;
-	/** Tries at replicas whose addresses refused the connection. */
+	/** Attempts at replicas whose addresses refused the connection. */
 	refusedConnections: number;
+	/** Id of the replica of the last attempt. */
 	replica: string | undefined;
-	/** Failures of tries in order. */
+	/** Failures of the attempts in order, separated by semicolons. */
 	failures: string;
+	/** Monotonic milliseconds of the first byte of an answer; `undefined` before. */
 	firstByteAt: number | undefined;
-	/** Replicas that it was kept from at one time, for the limits that they had named or the pauses that they had asked for. */
+	/** Greatest number of replicas that were excluded at one time because of their rate limits or requested pauses. */
 	keptFrom: number;
-	/** Milliseconds for which the entry of the last replica had been missing when the request was sent; `undefined` where it was listed. */
+	/** Milliseconds for which the entry of the last replica had been missing when the request was sent; `undefined` if it was listed. */
 	missingFor: number | undefined;
 };
--- a/src/relay/run-suspicion.ts
+++ b/src/relay/run-suspicion.ts
@@ -1,5 +1,5 @@
 /**
- * What one request has to do with the ends of replicas: how it stands before each try, and what becomes of each.
+ * Tracks whether one request is suspected of crashing replicas: its status before each attempt, and the outcome of each.
  */
 import type {Clock} from '../base/clock.js';
 import {fingerprintOf, type Fingerprint, type RequestIdentity} from '../quarantine/fingerprint.js';
@@ -8,64 +8,64 @@
 import type {EndWatch} from './end-watch.js';
 
 /**
- * Milliseconds of an answer after which a replica that ends is not put down to the request any more: it did not end as the request
- * began to run. 51 to 115 ms after it had begun were seen with those that did (six ends of a recorded day).
+ * Milliseconds after the start of an answer from which a crash of the replica is no longer attributed to the request. Requests that
+ * crash a replica do so when they start to run: in six recorded crashes, 51 to 115 ms after the start.
  */
 const provenAfter = 2000;
 
-/** What it needs. */
+/** Dependencies of the suspicion. */
 export type RunSuspicionServices = {
 	readonly clock: Clock;
 	readonly quarantine: Quarantine;
 	readonly ends: EndWatch;
-	/** @returns What tells the request from others. */
+	/** @returns What identifies the request. */
 	readonly identity: () => RequestIdentity;
 };
 
 /** The suspicion of one request. */
 export class RunSuspicion {
 	/**
-	 * @param services - What it needs.
-	 * @returns The suspicion of a request that was not tried yet.
+	 * @param services - Its dependencies.
+	 * @returns The suspicion of a request without attempts.
 	 */
 	static create(services: RunSuspicionServices): RunSuspicion {
 		return new RunSuspicion(services);
 	}
 
-	/** How the request stood before its last try. */
+	/** Status of the request when it was last looked up. */
 	standing: Standing = 'sound';
 	private wasCut = false;
-	/** When this try began. */
+	/** Start of the current attempt in monotonic milliseconds. */
 	private begunAt = 0;
 	private made: Fingerprint | undefined;
-	/** When the replica of this try began to answer, in monotonic milliseconds. */
+	/** Monotonic milliseconds at which the replica of the current attempt began to answer; `undefined` before. */
 	private answeringSince: number | undefined;
 
 	private constructor(private readonly services: RunSuspicionServices) {}
 
-	/** Stands for the request; made when first asked for, since hashing each body would cost for nothing. */
+	/** Identifies the request; computed on first use to avoid hashing the body of every request. */
 	get fingerprint(): Fingerprint {
 		this.made ??= fingerprintOf(this.services.identity());
 		return this.made;
 	}
 
-	/** Stands for the request once it was cut or is suspected; `undefined` before. */
+	/** The fingerprint if the request was cut or is suspected; otherwise `undefined`. */
 	get told(): Fingerprint | undefined {
 		return this.wasCut || this.standing !== 'sound' ? this.fingerprint : undefined;
 	}
 
-	/** Milliseconds until a request that is kept away may run again. */
+	/** Milliseconds until a quarantined request may run again. */
 	get keptFor(): number {
 		return this.services.quarantine.keptFor(this.fingerprint);
 	}
 
-	/** Whether it has to wait until it has ended at this box, and until it is known what it ended. */
+	/** Whether a request on trial must wait: it is already running on this box, or a probe after its last cut is still pending. */
 	get mustWait(): boolean {
 		const {quarantine, ends} = this.services;
 		return this.standing === 'trial' && (quarantine.isRunning(this.fingerprint) || ends.isLookingFor(this.fingerprint));
 	}
 
-	/** @returns How the request stands now. */
+	/** @returns The current status of the request. */
 	look(): Standing {
 		const {quarantine} = this.services;
 		this.standing = quarantine.isWatching ? quarantine.standingOf(this.fingerprint) : 'sound';
@@ -73,18 +73,18 @@
 	}
 
 	/**
-	 * @param candidates - Replicas that may get the request.
-	 * @returns Those that it may go to as it stands.
+	 * @param candidates - Replicas that could get the request.
+	 * @returns Those that are eligible for a request of this status.
 	 */
 	bounded(candidates: readonly Replica[]): readonly Replica[] {
 		return this.standing === 'sound' ? candidates : this.services.quarantine.bounded(this.fingerprint, this.standing, candidates);
 	}
 
 	/**
-	 * Notes that a try begins.
+	 * Records that an attempt begins.
 	 *
-	 * @param replica - Where.
-	 * @returns Call it when the try has ended.
+	 * @param replica - The replica of the attempt.
+	 * @returns A function to call when the attempt has ended.
 	 */
 	begin({start}: Replica): () => void {
 		this.answeringSince = undefined;
@@ -92,12 +92,12 @@
 		return this.standing === 'sound' ? ignore : this.services.quarantine.begin(this.fingerprint, start);
 	}
 
-	/** Notes that the replica begins to answer. */
+	/** Records that the replica begins to answer. */
 	noteAnswering(): void {
 		this.answeringSince = this.services.clock.monotonic();
 	}
 
-	/** @param replica - The replica at which the try was cut. */
+	/** @param replica - The replica whose connection was cut during the attempt. */
 	noteCut(replica: Replica): void {
 		const {clock, ends} = this.services;
 		if (this.answeringSince !== undefined && clock.monotonic() - this.answeringSince > provenAfter) {
@@ -110,8 +110,7 @@
 	}
 
 	/**
-	 * Notes that a replica ran the request without ending. Told only of what may be suspected: of all others it would fill the memory for
-	 * nothing.
+	 * Records that a replica ran the request without crashing. Only requests that may be suspected are recorded, to save memory.
 	 */
 	noteCompletion(): void {
 		const {quarantine} = this.services;
--- a/src/relay/stream-passage.ts
+++ b/src/relay/stream-passage.ts
@@ -1,5 +1,5 @@
 /**
- * Passes a stream of events on as they come, whole events only, and knows the last one that the client has.
+ * Forwards a stream of events as they arrive, complete events only, and tracks the last event that the client has.
  */
 import * as Effect from 'effect/Effect';
 import type {EventFields} from '../base/event-log.js';
@@ -12,43 +12,43 @@
 import type {RelayMetrics} from './relay-metrics.js';
 import {onceEnded, type OpenAnswer} from './replica-exchange.js';
 
-/** One byte is one character, both ways. */
+/** Maps each byte to one character and back. */
 const byteEncoding = 'latin1';
 
-/** What is told of a stream as it passes. */
+/** Receives notifications about a stream. */
 export type StreamListener = {
-	/** The first event of a run has come. */
+	/** Called at the first event of a run. */
 	readonly onFirstEvent: () => void;
-	/** Bytes have come. */
+	/** Called when bytes arrive. */
 	readonly onHeard: () => void;
 };
 
-/** What a passage needs. */
+/** Dependencies of a passage. */
 export type PassageParts = {
-	/** Where events go. */
+	/** The answer that events are written to. */
 	readonly client: ClientAnswer;
-	/** Reads ids. */
+	/** Parses event ids. */
 	readonly format: RelayFormat;
 	readonly metrics: RelayMetrics;
-	/** Id of the last event that the client has from before; `undefined` where it has none. */
+	/** Id of the last event that the client received earlier; `undefined` if there is none. */
 	readonly lastEventId: string | undefined;
 };
 
-/** One client's stream, over all the replicas that make it. */
+/** One client's stream, across all replicas that produce it. Each replica's part of it is a run. */
 export class StreamPassage {
 	/**
-	 * @param parts - What it needs.
-	 * @returns A passage that has passed nothing.
+	 * @param parts - Its dependencies.
+	 * @returns A passage that has forwarded no event.
 	 */
 	static create(parts: PassageParts): StreamPassage {
 		return new StreamPassage(parts);
 	}
 
-	/** Bytes of events that runs ended inside of. */
+	/** Bytes of incomplete events at the end of runs; they are not forwarded. */
 	private heldBack = 0;
-	/** Events that were not the next one. */
+	/** Events that were not the next one or were too large. */
 	private misfits = 0;
-	/** Ids behind which later runs were to go on. */
+	/** Ids of the events after which later runs were asked to resume. */
 	private readonly resumedBehind: string[] = [];
 	private readonly sequence: EventSequence;
 
@@ -56,12 +56,12 @@
 		this.sequence = EventSequence.create(parts.lastEventId);
 	}
 
-	/** Id of the last event that was passed on; `undefined` where none was. */
+	/** Id of the last event that was forwarded; `undefined` if none was. */
 	get lastEventId(): string | undefined {
 		return this.sequence.taken > 0 ? this.sequence.lastEventId : undefined;
 	}
 
-	/** What became of the stream, for the line of its request; nothing where it is none. */
+	/** Fields for the log record of the request; empty if nothing was streamed. */
 	get fields(): EventFields {
 		const {taken} = this.sequence;
 		return taken + this.heldBack + this.misfits === 0
@@ -76,11 +76,12 @@
 	}
 
 	/**
-	 * Passes one replica's events on to the end of its answer. The head goes with the first event, and only once.
+	 * Forwards one replica's events to the end of its answer. The head is sent once, with the first event.
 	 *
 	 * @param answer - The replica's answer.
-	 * @param listener - Told of the first event.
-	 * @returns Ends when the stream is whole; fails where it was cut, ended inside an event, or went on with another event than the next.
+	 * @param listener - Notified of received bytes and of the first event.
+	 * @returns An effect that completes when the stream is complete; fails if it was cut, ended inside an event, or an event was not the
+	 * next one or too large.
 	 */
 	pass(answer: OpenAnswer, listener: StreamListener): Effect.Effect<void, AttemptFailure> {
 		return Effect.callback<void, AttemptFailure>(resume => {
@@ -95,7 +96,7 @@
 			};
 
 			this.noteRun();
-			// Each byte is one character, so that bytes which are no text reach the client as they are.
+			// Each byte becomes one character, so that bytes that are not valid text reach the client unchanged.
 			message.setEncoding(byteEncoding);
 			message.on('data', (chunk: string) => {
 				if (isOver) {
@@ -124,7 +125,7 @@
 					return;
 				}
 
-				// The framing may say that an answer is whole whose last event is not.
+				// The framing may mark an answer as complete although its last event is incomplete.
 				if (!isWhole || splitter.heldBack > 0) {
 					end(AttemptFailure.mayHaveRun('cut', `the stream was cut after ${this.sequence.taken} events, ${splitter.heldBack} bytes into the next`));
 					return;
@@ -134,14 +135,14 @@
 				this.parts.client.end();
 				end();
 			});
-			// Nothing of a run that is given up on reaches the client behind that.
+			// After an interruption, no further data of this run reaches the client.
 			return Effect.sync(() => {
 				isOver = true;
 			});
 		});
 	}
 
-	/** Only what comes next is passed on: parts of two runs, one behind the other, would look like one stream. */
+	/** Accepts events up to the first that is not the next one: otherwise parts of two runs would look like one continuous stream. */
 	private judge(events: readonly string[]): {readonly fitting: readonly string[]; readonly misfit: EventMisfit | undefined} {
 		let misfit: EventMisfit | undefined;
 		const at = events.findIndex(event => {
@@ -180,7 +181,7 @@
 		this.parts.client.write(events.join(''), byteEncoding);
 	}
 
-	/** The length that the first replica told is not that of a stream which goes on elsewhere: none is told on. */
+	/** Omits `Content-Length`: the length that the first replica sent is wrong if the stream continues at another replica. */
 	private beginOnce({message, status}: OpenAnswer): void {
 		const {client, format} = this.parts;
 		if (!client.hasBegun) {
@@ -188,7 +189,7 @@
 		}
 	}
 
-	/** A client that reads slowly slows its replica down, not this box's memory up. */
+	/** Applies backpressure: a client that reads slowly slows down its replica instead of filling this box's memory. */
 	private holdBack({message}: OpenAnswer): void {
 		const {client} = this.parts;
 		if (client.isCongested) {
