--- a/src/relay/test/admission.test.ts
+++ b/src/relay/test/admission.test.ts
@@ -8,7 +8,7 @@
 const clock = new MovedClock(1000);
 const urgencies = [0, 1, 2];
 
-/** A replica with prompts to read and requests in progress, of a service that reads 100 tokens a millisecond. */
+/** A replica with unread prompt tokens and requests in progress, and its service, which reads 100 tokens per millisecond. */
 const shortage = (unreadTokens: number, requests = 1) => {
 	const replica = Replica.create({
 		id: 'i-1', bornAt: undefined, software: '', revision: 1, service: 's', host: '127.0.0.1', port: 1, dataCentre: 'a', slots: 4, isDraining: false, isReclaimable: false, leavesIn: undefined,
@@ -27,19 +27,19 @@
 	...shortage(unreadTokens, requests), goal: 200, urgency, urgencies,
 });
 
-test('the least urgent is refused first, the next much later, the most urgent never', () => {
+test('as the load grows, the least urgent requests are refused first, the next level much later, and the most urgent never', () => {
 	assert.deepEqual([0, 1, 2].map(urgency => refused(urgency, 15_000)), [undefined, undefined, undefined]);
 	assert.deepEqual([0, 1, 2].map(urgency => refused(urgency, 32_000) !== undefined), [false, false, true]);
 	assert.deepEqual([0, 1, 2].map(urgency => refused(urgency, 400_000) !== undefined), [false, true, true]);
 });
 
-test('the time to come back is what is expected to be waited, for places as well', () => {
+test('the retry delay is the expected wait, both for unread prompts and for a free slot', () => {
 	assert.ok(Math.abs(refused(2, 40_000)! - 400) < 40);
-	assert.equal(refused(2, 0, 4), undefined, 'a place is free within the goal');
+	assert.equal(refused(2, 0, 4), undefined, 'a slot becomes free within the goal');
 	assert.ok(Math.abs(refused(2, 0, 11)! - 800) < 10);
 });
 
-test('nobody is refused where all are alike, or where nothing is known of the service', () => {
+test('no request is refused if all have the same urgency, or before anything was measured for the service', () => {
 	assert.equal(refusedFor({
 		...shortage(400_000), goal: 200, urgency: 2, urgencies: [2],
 	}), undefined);
--- a/src/relay/test/demand-notes.test.ts
+++ b/src/relay/test/demand-notes.test.ts
@@ -14,7 +14,7 @@
 	return {clock, demand, notesOf};
 };
 
-/** Twenty requests that all end alike; then the part of them that was missed, and requests a second that were asked for. */
+/** Plays twenty requests that all end in the same way, and returns the pooled demand and the number of recorded outcomes. */
 const outcomeOf = (play: (notes: DemandNotes, clock: MovedClock) => void) => {
 	const {clock, demand, notesOf} = begin();
 	for (let index = 0; index < 20; index++) {
@@ -24,7 +24,7 @@
 	return {...pooledDemand([demand.now]), outcomes: demand.now.met + demand.now.missed};
 };
 
-test('a request is missed where its answer begins late, where replicas are too short for it, and where its client left late', () => {
+test('a request counts as missed if its answer begins late, if it is refused for lack of replicas, or if its client left after the goal', () => {
 	const late = outcomeOf((notes, clock) => {
 		notes.noteChoice(100);
 		clock.now += goal + 1;
@@ -45,7 +45,7 @@
 	assert.deepEqual([late, short, turnedAway, left].map(({missedPart}) => missedPart), [1, 1, 1, 1]);
 });
 
-test('a request whose answer began in time is met, once, whatever becomes of it then; other refusals say nothing of replicas', () => {
+test('a request whose answer began in time counts as met once, whatever happens later; refusals for other reasons are not counted', () => {
 	const met = outcomeOf((notes, clock) => {
 		notes.noteChoice(100);
 		clock.now += 10;
--- a/src/relay/test/end-watch.test.ts
+++ b/src/relay/test/end-watch.test.ts
@@ -50,7 +50,7 @@
 
 const endsIn = ({lines}: KeepingLog): readonly unknown[] => lines.filter(({eventName}) => eventName === 'replicaEnded').map(({suspects}) => suspects);
 
-test('a connection that was cut is no end while the replica listens', async () => {
+test('a cut connection is not reported as a crash while the replica still listens', async () => {
 	const {standin, replica, watch, log, close} = await watched();
 	watch.noteCut(replica, first);
 	await until(() => standin.connections === 1);
@@ -60,7 +60,7 @@
 	await close();
 });
 
-test('a replica on whose box nobody listens has ended, with all that was cut there', async () => {
+test('a replica that refuses the probe is reported as crashed, with all requests that were cut there', async () => {
 	const {standin, replica, watch, log} = await watched();
 	await standin.close();
 	watch.noteCut(replica, first);
@@ -69,7 +69,7 @@
 	assert.deepEqual(endsIn(log), [`${first.fingerprint} ${second.fingerprint}`]);
 });
 
-test('a replica that is leaving ends as planned, and nobody is to blame', async () => {
+test('a replica that is leaving exits as planned, and no request is suspected', async () => {
 	const {standin, replica, watch, log} = await watched();
 	await standin.close();
 	replica.leave();
@@ -78,13 +78,13 @@
 	assert.deepEqual(endsIn(log), []);
 });
 
-test('a replica whose entry goes after a cut has ended, though nothing was heard of its box', async () => {
+test('a replica whose entry is removed after a cut is reported as crashed, without a result of the probe', async () => {
 	const {standin, replica, watch, log, close} = await watched();
 	watch.noteCut(replica, first);
-	// Before the probe has an answer.
+	// The probe has not completed yet.
 	watch.noteGone(replica);
 	assert.deepEqual(endsIn(log), [first.fingerprint]);
 	await pause(40);
-	assert.equal(standin.connections, 0, 'a replica that is gone is not looked for');
+	assert.equal(standin.connections, 0, 'a replica whose entry is removed is not probed');
 	await close();
 });
--- a/src/relay/test/limit-queue.test.ts
+++ b/src/relay/test/limit-queue.test.ts
@@ -5,7 +5,7 @@
 
 const shortage = {service: 's', untilRoom: 100, rate: 4};
 
-test('the more urgent go first, and among their like who came first; other services are not in the way', () => {
+test('requests are ordered by urgency and then by arrival; requests of other services do not count', () => {
 	const queue = LimitQueue.create(new MovedClock());
 	const late = queue.join('s', 2);
 	const first = queue.join('s', 1);
@@ -17,22 +17,22 @@
 	assert.ok(!queue.hasBefore(second));
 });
 
-test('those that are refused come back one after the other at the pace at which there is room, the less urgent behind the more urgent', () => {
+test('retry delays of refused requests are spaced at the available rate, with less urgent requests after more urgent ones', () => {
 	const clock = new MovedClock(1000);
 	const queue = LimitQueue.create(clock, () => 0.5);
 	const urgent = Array.from({length: 4}, () => queue.comeBackAfter({...shortage, urgency: 1}));
 	assert.deepEqual(urgent, [350, 600, 850, 1100]);
 	assert.equal(queue.comeBackAfter({...shortage, urgency: 2}), 1350);
-	assert.equal(queue.comeBackAfter({...shortage, urgency: 0}), 350, 'what was promised to the less urgent does not keep it away');
+	assert.equal(queue.comeBackAfter({...shortage, urgency: 0}), 350, 'reservations of less urgent requests do not delay it');
 	clock.now += 10_000;
 	assert.equal(queue.comeBackAfter({...shortage, urgency: 2}), 350);
 });
 
-test('nobody is sent away for longer than eight seconds and a quarter of that, however many come or little there is', () => {
+test('retry delays never exceed eight seconds plus a quarter of jitter, however many requests are refused and however low the rate', () => {
 	const queue = LimitQueue.create(new MovedClock(1000));
 	const waits = Array.from({length: 500}, (_, index) => queue.comeBackAfter({
 		service: 's', urgency: 1, untilRoom: 1e9, rate: index % 2,
 	}));
 	assert.ok(waits.every(wait => wait > 0 && wait <= 10_000));
-	assert.ok(new Set(waits).size > 400, 'and they differ');
+	assert.ok(new Set(waits).size > 400, 'the delays differ');
 });
--- a/src/relay/test/stream-exchange.test.ts
+++ b/src/relay/test/stream-exchange.test.ts
@@ -1,7 +1,7 @@
 /**
- * One client's stream over several runs, with real connections on both sides: replicas write in drawn pieces, break off at any byte
- * of what goes over the connection, and go on elsewhere than told; clients read slowly. Whatever happens, a client has whole events
- * of single runs, in order and numbered one up, and a whole answer only where the last run was one.
+ * Property test of one client's stream over several runs, with real connections on both sides. Replicas write in pieces of random size,
+ * disconnect at any byte, and resume at the wrong event; clients read slowly. In every case a client must receive complete events of
+ * single runs, numbered consecutively, and a complete answer only if the last run was complete.
  */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -28,29 +28,29 @@
 const seed = 33;
 const numberRuns = 150;
 const mostEvents = 7;
-/** Bytes of data that fill the buffers between replica and client. */
+/** Bytes of data per event that are enough to fill the buffers between replica and client. */
 const largeData = 400_000;
 
-/** How one run of a replica goes. */
+/** How a replica behaves in one run. */
 type Run = {
 	readonly framing: 'chunked' | 'length' | 'none';
-	/** From the event after the one that was named, from the first, or one too far. */
+	/** Where it resumes: at the event after the requested one, at the first event, or one event too far. */
 	readonly goesOn: 'behind' | 'anew' | 'too-far';
-	/** Number of an event that is wrong: left out, without an id, or twice. */
+	/** An event that is sent wrongly: omitted, without an id, or twice. */
 	readonly slip: {readonly event: number; readonly how: 'left-out' | 'nameless' | 'twice'} | undefined;
 	readonly hasComments: boolean;
-	/** Part of all bytes after which the connection ends; `undefined` where it runs to the end. */
+	/** Share of all bytes after which the connection ends; `undefined` if all are sent. */
 	readonly breaksAt: number | undefined;
-	/** Part of the body after which the answer ends as its framing has it; `undefined` where all of it comes. */
+	/** Share of the body after which the answer ends with valid framing; `undefined` if all of it is sent. */
 	readonly stopsAt: number | undefined;
 	readonly ending: 'reset' | 'close';
 	readonly hasSurplus: boolean;
-	/** Bytes of the pieces in turn. */
+	/** Sizes of the written pieces in bytes, used in turn. */
 	readonly pieces: readonly number[];
 	readonly isBytewiseAtBreak: boolean;
 };
 
-/** What one client does. */
+/** Behaviour of one client, and the runs that serve it. */
 type Plan = {
 	readonly events: number;
 	readonly dataBytes: number;
@@ -88,7 +88,7 @@
 const comment = ': still\n\n';
 const eventOf = (run: number, event: number, dataBytes: number): string => `id: ${event}\ndata: ${run}-${event} ü${'x'.repeat(dataBytes + run)}\n\n`;
 
-/** @returns The events that a run makes, each by itself. */
+/** @returns The events that a run sends, one element each. */
 const eventsOf = (plan: Plan, index: number, behind: number): readonly string[] => {
 	const {goesOn, slip, hasComments} = plan.runs[index]!;
 	const first = goesOn === 'anew' ? 1 : behind + 1 + (goesOn === 'too-far' && behind > 0 ? 1 : 0);
@@ -103,7 +103,7 @@
 	});
 };
 
-/** @returns A body as it goes over a connection, with the head before it. */
+/** @returns The complete HTTP response: the head and the framed body. */
 const frame = ({framing}: Run, body: Uint8Array, id: string): Uint8Array => {
 	const common = `HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nContent-Type: text/event-stream\r\n`;
 	if (framing !== 'chunked') {
@@ -111,14 +111,14 @@
 		return Buffer.concat([Buffer.from(`${common}${told}\r\n\r\n`), body]);
 	}
 
-	// Chunks end anywhere too, not at events.
+	// Chunk boundaries do not coincide with event boundaries.
 	const size = Math.max(1, Math.floor(body.length / 5));
 	const chunks = Array.from({length: Math.ceil(body.length / size)}, (_, at) => body.subarray(at * size, (at + 1) * size));
 	const framed = chunks.flatMap(chunk => [Buffer.from(`${chunk.length.toString(16)}\r\n`), chunk, Buffer.from('\r\n')]);
 	return Buffer.concat([Buffer.from(`${common}Transfer-Encoding: chunked\r\nKeep-Alive: timeout=5\r\n\r\n`), ...framed, Buffer.from('0\r\n\r\n')]);
 };
 
-/** Bytes before a break that come one by one. */
+/** Number of bytes before a break that are written one at a time. */
 const bytewise = 6;
 
 const writeRun = async (socket: Socket, run: Run, bytes: Uint8Array): Promise<void> => {
@@ -148,7 +148,7 @@
 	}
 };
 
-/** What the replicas of one plan have done. */
+/** What the replicas of one plan have sent. */
 type Served = {readonly plan: Plan; served: number; readonly bodies: Array<{readonly events: readonly string[]; readonly stopped: number; readonly all: number}>};
 
 const serve = (current: Served, socket: Socket): void => {
@@ -175,12 +175,12 @@
 	});
 };
 
-/** What a client saw, and how it came about. */
+/** What a client received, and what the replicas sent. */
 type Outcome = {
 	readonly body: string;
 	readonly isWhole: boolean;
 	readonly status: number;
-	/** The run that was taken for whole; `undefined` where none was. */
+	/** Index of the run that was accepted as complete; `undefined` if none was. */
 	readonly succeeded: number | undefined;
 	readonly failures: readonly string[];
 	readonly hasLeft: boolean;
@@ -298,7 +298,7 @@
 
 const eventPattern = /^id: (?<number>\d+)\ndata: (?<run>\d+)-/v;
 
-/** @returns What is wrong with the events that a client has; `undefined` where nothing is. */
+/** @returns What is wrong with the events that a client received; `undefined` if they are correct. */
 const misorderOf = ({lastEventId, dataBytes}: Plan, events: readonly string[]): string | undefined => {
 	const read = events.map(event => {
 		const {number, run} = eventPattern.exec(event)?.groups ?? {};
@@ -309,13 +309,13 @@
 		const last = read[index - 1] ?? before;
 		return event !== eventOf(run, number, dataBytes) || run < last.run || (last.number !== undefined && number !== last.number + 1);
 	});
-	return wrong && `an event that no run made or that does not come next: ${JSON.stringify(wrong.event.slice(0, 60))}`;
+	return wrong && `an event that no run sent or that is not the next one: ${JSON.stringify(wrong.event.slice(0, 60))}`;
 };
 
-/** @returns Whether a run has brought all of an answer, as far as a reader can tell. */
+/** @returns Whether a reader has no evidence that the run's answer is incomplete. */
 const isProved = (run: Run, {events, stopped, all}: Served['bodies'][number]): boolean => {
 	if (run.framing === 'none') {
-		// Between two events nobody can tell.
+		// Without framing, a reader cannot tell a cut between two events from the end of the answer.
 		return true;
 	}
 
@@ -323,34 +323,34 @@
 	return (run.breaksAt === undefined || run.breaksAt === 1) && (stopped === all || ends.includes(stopped));
 };
 
-/** @returns What is wrong; `undefined` where nothing is. */
+/** @returns What is wrong with the outcome; `undefined` if it is correct. */
 const faultOf = (plan: Plan, outcome: Outcome): string | undefined => {
 	const {
 		body, isWhole, status, succeeded, hasLeft, bodies,
 	} = outcome;
 	if (status !== 200) {
-		return status === 502 && succeeded !== undefined ? 'refused though a run was whole' : undefined;
+		return status === 502 && succeeded !== undefined ? 'refused although a run was complete' : undefined;
 	}
 
 	const got = body.split(/(?<=\n\n)/v).filter(event => event !== '');
-	// A client that is cut off may have a part of the last one.
+	// A client whose connection was cut may have a part of the last event.
 	const whole = got.filter(event => event.endsWith('\n\n'));
 	if (isWhole && whole.length !== got.length) {
-		return 'whole, with a part of an event';
+		return 'a complete answer with an incomplete event';
 	}
 
 	if (!hasLeft && isWhole !== (succeeded !== undefined)) {
-		return `${isWhole ? 'whole' : 'cut'}, and the run that was whole is ${succeeded ?? 'none'}`;
+		return `the answer is ${isWhole ? 'complete' : 'cut'}, and the complete run is ${succeeded ?? 'none'}`;
 	}
 
 	if (succeeded !== undefined && !isProved(plan.runs[succeeded]!, bodies[succeeded]!)) {
-		return `run ${succeeded} was not whole`;
+		return `run ${succeeded} was accepted but incomplete`;
 	}
 
 	return misorderOf(plan, whole.filter(event => event !== comment));
 };
 
-test('a client has whole events of single runs in order, and a whole answer only of a whole run, over real connections', {timeout: 300_000}, async () => {
+test('a client receives complete events of single runs in order, and a complete answer only from a complete run, over real connections', {timeout: 300_000}, async () => {
 	const tally = {
 		whole: 0, refused: 0, cut: 0, left: 0, resumed: 0,
 	};
@@ -364,11 +364,11 @@
 		tally.resumed += outcome.succeeded !== undefined && outcome.succeeded > 0 ? 1 : 0;
 	});
 	await fc.assert(property, {seed, numRuns: numberRuns});
-	// What the drawn plans bring about.
+	// The generated plans must cover each outcome.
 	assert.ok(Object.values(tally).every(count => count > 0), JSON.stringify(tally));
 });
 
-test('a stream whose first replica told a length goes on elsewhere whole, though the rest is longer or shorter', async () => {
+test('a stream whose first replica sent a Content-Length is completed by another replica, even if its total length differs', async () => {
 	const run: Run = {
 		framing: 'chunked', goesOn: 'behind', slip: undefined, hasComments: false, breaksAt: undefined, stopsAt: undefined,
 		ending: 'close', hasSurplus: false, pieces: [200_000], isBytewiseAtBreak: false,
--- a/src/relay/test/stream-passage.test.ts
+++ b/src/relay/test/stream-passage.test.ts
@@ -16,7 +16,7 @@
 	id: undefined, isNotRun: false, isElsewhere: false, isPlain: true, idleLifetime: undefined, statement: noStatement,
 };
 
-/** A client's connection that keeps what it is sent. */
+/** A client's connection that records the data written to it. */
 class Connection {
 	headersSent = false;
 	hasEnded = false;
@@ -40,7 +40,7 @@
 		this.onDrain = listener;
 	}
 
-	/** The client has read what it was sent. */
+	/** Emits 'drain', as when the client has read the buffered data. */
 	drain(): void {
 		this.onDrain?.();
 	}
@@ -50,14 +50,14 @@
 	}
 }
 
-/** One client's stream, and what is told of it. */
+/** One client's stream, and counts of the notifications about it. */
 const startPassage = (lastEventId?: string) => {
 	const connection = new Connection();
 	const passage = StreamPassage.create({
 		client: ClientAnswer.create(connection as unknown as ServerResponse, () => false), format: PlatformRelayFormat.create(), metrics: RelayMetrics.create(), lastEventId,
 	});
 	const told = {firstEvents: 0, abandoned: 0};
-	/** @returns How a run ends that makes these pieces. */
+	/** @returns The failure of a run that sends these pieces; `undefined` if it succeeds. */
 	const run = async (pieces: ReadonlyArray<string | Uint8Array>): Promise<AttemptFailure | undefined> => {
 		const message = Object.assign(new PassThrough(), {rawHeaders: []});
 		const passing = Effect.runPromise(passage.pass({
@@ -83,21 +83,21 @@
 	};
 };
 
-test('bytes of a stream reach the client as the replica made them, also such as are no text', async () => {
+test('the bytes of a stream reach the client unchanged, including bytes that are not valid text', async () => {
 	const {connection, run} = startPassage();
 	const event = Buffer.concat([Buffer.from('id: 1\ndata: ü'), Buffer.from([0xFF, 0xC3, 0x00, 0x80]), Buffer.from('\n\n')]);
 	assert.equal(await run([event.subarray(0, 13), event.subarray(13)]), undefined);
 	assert.deepEqual(Buffer.from(connection.bytes), event);
 });
 
-test('less than an event is no beginning: no head is sent, and no first event is told', async () => {
+test('an incomplete first event sends no head and does not count as the first event', async () => {
 	const {connection, run, told} = startPassage();
 	const failure = await run(['i']);
 	assert.deepEqual([failure?.reason, failure?.verdict], ['cut', 'may-have-run']);
 	assert.deepEqual([connection.headersSent, told.firstEvents], [false, 0]);
 });
 
-test('comments keep a connection in use and are passed on, but are no events', async () => {
+test('comments are forwarded to keep the connection alive, but do not count as events', async () => {
 	const {connection, run, told} = startPassage();
 	const text = ': still there\n\nid: 1\ndata: a\n\n: and there\n: still\n\nid: 2\ndata: b\n\n';
 	assert.equal(await run([text.slice(0, 15)]), undefined);
@@ -106,7 +106,7 @@
 	assert.deepEqual([Buffer.from(connection.bytes).toString(), told.firstEvents], [text, 1]);
 });
 
-test('what comes behind an event that does not fit is not passed on either, though it would fit', async () => {
+test('nothing is forwarded after an event that is not the next one, even if a later event would be', async () => {
 	const {connection, passage, run, told} = startPassage();
 	const failure = await run(['id: 4\n\nid: 5\n\nid: 5\n\nid: 6\n\n', 'id: 7\n\n']);
 	assert.deepEqual([failure?.reason, failure?.verdict], ['garbled', 'may-have-run']);
@@ -114,7 +114,7 @@
 	assert.equal(connection.hasEnded, false);
 });
 
-test('a client that has an event from before gets the next one first', async () => {
+test('a client that resumes after an event receives the next one first', async () => {
 	const fitting = startPassage('7');
 	assert.equal(await fitting.run(['id: 8\n\n']), undefined);
 	const anew = startPassage('7');
@@ -122,14 +122,14 @@
 	assert.equal(anew.connection.headersSent, false);
 });
 
-test('an event that does not end is given up, and the connection with it', async () => {
+test('an event that exceeds the size limit fails the run and resets its connection', async () => {
 	const {connection, run, told} = startPassage();
 	const failure = await run(['id: 1\n\nid: 2\ndata: ', ...Array.from({length: 17}, () => 'x'.repeat(65_536)), '\n\n']);
 	assert.deepEqual([failure?.reason, told.abandoned], ['garbled', 1]);
 	assert.deepEqual([Buffer.from(connection.bytes).toString(), connection.hasEnded], ['id: 1\n\n', false]);
 });
 
-test('a client that reads slowly holds its replica back, also at the end, and gets all', async () => {
+test('a client that reads slowly pauses its replica, also before the end, and receives all events', async () => {
 	const {connection, run} = startPassage();
 	connection.writableNeedDrain = true;
 	const passing = run(['id: 1\n\n', 'id: 2\n\n']);
