--- a/src/relay/admission.ts
+++ b/src/relay/admission.ts
@@ -7,9 +7,9 @@
 import type {ServiceDemand} from '../replicas/service-demand.js';
 
 /** Longest expected wait of the least urgent requests, as a multiple of the route's goal; beyond it they are refused. */
-const leastPatience = 1;
+const maxWaitInGoals = 1;
 /** Factor by which that limit grows with each more urgent level. */
-const patienceStep = 2;
+const maxWaitFactorPerLevel = 2;
 const millisecondsPerSecond = 1000;
 
 /** Input of an admission decision. */
@@ -46,7 +46,7 @@
  * @param facts - The request and the best replica for it.
  * @returns Milliseconds after which the client should retry; `undefined` if the request is admitted.
  */
-export function refusedFor(facts: AdmissionFacts): number | undefined {
+export function retryDelayIfRefused(facts: AdmissionFacts): number | undefined {
 	const {goal, urgency, urgencies} = facts;
 	const lessUrgent = new Set(urgencies.filter(other => other > urgency)).size;
 	const isMostUrgent = urgencies.every(other => other >= urgency);
@@ -55,5 +55,5 @@
 	}
 
 	const wait = expectedWait(facts);
-	return wait > goal * leastPatience * (patienceStep ** lessUrgent) ? wait : undefined;
+	return wait > goal * maxWaitInGoals * (maxWaitFactorPerLevel ** lessUrgent) ? wait : undefined;
 }
--- a/src/relay/answer-headers.ts
+++ b/src/relay/answer-headers.ts
@@ -14,4 +14,4 @@
  * @param headers - Alternating names and values.
  * @returns The headers without `Content-Length`.
  */
-export const withoutLength = (headers: readonly string[]): readonly string[] => dropPairs(headers, name => name === 'content-length');
+export const withoutContentLength = (headers: readonly string[]): readonly string[] => dropPairs(headers, name => name === 'content-length');
--- a/src/relay/client-answer.ts
+++ b/src/relay/client-answer.ts
@@ -8,7 +8,7 @@
 import {problemOf} from '../door/problem.js';
 
 /** Milliseconds that a client has to read buffered data before its connection is destroyed. */
-const readTime = 500;
+const flushTimeout = 500;
 
 /** The answer to one request. */
 export class ClientAnswer {
@@ -113,7 +113,7 @@
 		socket.destroySoon();
 		const timer = setTimeout(() => {
 			socket.destroy();
-		}, readTime);
+		}, flushTimeout);
 		socket.once('close', () => {
 			clearTimeout(timer);
 		});
--- a/src/relay/connection-book.ts
+++ b/src/relay/connection-book.ts
@@ -6,7 +6,7 @@
 import type {Replica} from '../replicas/replica.js';
 
 /** Share of the connections that a replica accepts from all boxes that may be idle; the rest is left for bursts of requests. */
-const idlePart = 0.7;
+const maxIdleShare = 0.7;
 
 /** Supplies the connection limit of a service and the number of boxes that share it. */
 export type ConnectionFacts = {
@@ -42,7 +42,7 @@
 			return known;
 		}
 
-		const connections = ReplicaConnections.create(entry.host, entry.port, this.clock, () => this.mostIdle(entry.service));
+		const connections = ReplicaConnections.create(entry.host, entry.port, this.clock, () => this.maxIdleConnections(entry.service));
 		this.byReplica.set(start, connections);
 		return connections;
 	}
@@ -73,8 +73,8 @@
 	}
 
 	/** A replica resets connections beyond its limit for all boxes together, so each box keeps only its share idle. */
-	private mostIdle(service: string): number {
+	private maxIdleConnections(service: string): number {
 		const {maximumConnections, boxes} = this.facts;
-		return Math.min(largestIdleCount, Math.max(1, Math.floor(maximumConnections(service) * idlePart / boxes())));
+		return Math.min(largestIdleCount, Math.max(1, Math.floor(maximumConnections(service) * maxIdleShare / boxes())));
 	}
 }
--- a/src/relay/demand-notes.ts
+++ b/src/relay/demand-recorder.ts
@@ -8,10 +8,10 @@
 import type {ServiceDemand} from '../replicas/service-demand.js';
 
 /** Refusal reasons that indicate too few replicas. */
-const reasonsOfShortage: ReadonlySet<RefusalReason> = new Set(['capacity-short', 'replica-limit', 'no-upstream', 'upstream-refused', 'deadline-passed']);
+const shortageReasons: ReadonlySet<RefusalReason> = new Set(['capacity-short', 'replica-limit', 'no-upstream', 'upstream-refused', 'deadline-passed']);
 
 /** Dependencies of the recorder. */
-export type DemandNotesServices = {
+export type DemandRecorderServices = {
 	readonly clock: Clock;
 	/** @returns The demand for the request's current service, which may change when the configuration does. */
 	readonly demand: () => ServiceDemand;
@@ -20,21 +20,21 @@
 };
 
 /** Records the demand of one request. */
-export class DemandNotes {
+export class DemandRecorder {
 	/**
 	 * @param services - Its dependencies.
 	 * @returns A recorder for a request that arrives now.
 	 */
-	static create(services: DemandNotesServices): DemandNotes {
-		return new DemandNotes(services);
+	static create(services: DemandRecorderServices): DemandRecorder {
+		return new DemandRecorder(services);
 	}
 
-	private readonly cameAt: number;
-	private hasArrived = false;
-	private hasOutcome = false;
+	private readonly arrivedAt: number;
+	private hasRecordedArrival = false;
+	private hasRecordedOutcome = false;
 
-	private constructor(private readonly services: DemandNotesServices) {
-		this.cameAt = services.clock.monotonic();
+	private constructor(private readonly services: DemandRecorderServices) {
+		this.arrivedAt = services.clock.monotonic();
 	}
 
 	/**
@@ -42,16 +42,16 @@
 	 *
 	 * @param tokens - Tokens of the prompt that the chosen replica has to read.
 	 */
-	noteChoice(tokens: number): void {
-		if (!this.hasArrived) {
-			this.hasArrived = true;
+	recordChoice(tokens: number): void {
+		if (!this.hasRecordedArrival) {
+			this.hasRecordedArrival = true;
 			this.services.demand().noteArrival(tokens, this.services.goal());
 		}
 	}
 
 	/** Records that the answer begins. */
-	noteBeginning(): void {
-		this.settle(!this.isLate);
+	recordAnswerStart(): void {
+		this.recordOutcome(!this.isLate);
 	}
 
 	/**
@@ -61,7 +61,7 @@
 	 * @param tokens - Tokens of the prompt that the replica had not cached.
 	 * @param duration - Milliseconds from sending the request to its first event.
 	 */
-	noteRead(tokens: number, duration: number): void {
+	recordPromptRead(tokens: number, duration: number): void {
 		if (duration <= this.services.goal()) {
 			this.services.demand().noteRead(tokens, duration);
 		}
@@ -73,39 +73,39 @@
 	 * @param beganAt - Monotonic milliseconds at which the attempt began.
 	 * @param firstByteAt - Monotonic milliseconds of the first byte of the answer; `undefined` if none came.
 	 */
-	noteEnd(beganAt: number, firstByteAt: number | undefined): void {
+	recordAttemptEnd(beganAt: number, firstByteAt: number | undefined): void {
 		if (firstByteAt !== undefined && firstByteAt >= beganAt && firstByteAt - beganAt <= this.services.goal()) {
 			this.services.demand().noteEnd(this.services.clock.monotonic() - beganAt);
 		}
 	}
 
 	/** Counts a request that was refused for lack of replicas as demand too. */
-	noteRefusal({reason}: Refusal): void {
-		if (!reasonsOfShortage.has(reason)) {
+	recordRefusal({reason}: Refusal): void {
+		if (!shortageReasons.has(reason)) {
 			return;
 		}
 
-		if (this.hasArrived) {
-			this.settle(false);
+		if (this.hasRecordedArrival) {
+			this.recordOutcome(false);
 		} else {
 			this.services.demand().noteTurnedAway();
 		}
 	}
 
 	/** Records that the client left. A client that waited for longer than the goal counts as missed. */
-	noteLeaving(): void {
+	recordClientLeft(): void {
 		if (this.isLate) {
-			this.settle(false);
+			this.recordOutcome(false);
 		}
 	}
 
 	private get isLate(): boolean {
-		return this.services.clock.monotonic() - this.cameAt > this.services.goal();
+		return this.services.clock.monotonic() - this.arrivedAt > this.services.goal();
 	}
 
-	private settle(isInTime: boolean): void {
-		if (!this.hasOutcome) {
-			this.hasOutcome = true;
+	private recordOutcome(isInTime: boolean): void {
+		if (!this.hasRecordedOutcome) {
+			this.hasRecordedOutcome = true;
 			this.services.demand().noteOutcome(isInTime);
 		}
 	}
--- a/src/relay/end-watch.ts
+++ b/src/relay/end-watch.ts
@@ -19,10 +19,10 @@
  */
 const probeDelay = 20;
 /** Milliseconds after a cut within which the removal of the replica's entry counts as a crash: more than three heartbeats. */
-const explainedWithin = 6000;
+const entryRemovalWindow = 6000;
 
 /** Dependencies of the detector. */
-export type EndWatchServices = {
+export type CrashDetectorServices = {
 	readonly clock: Clock;
 	readonly log: EventLog;
 	readonly metrics: RelayMetrics;
@@ -33,8 +33,8 @@
 type Cut = {
 	readonly at: number;
 	readonly suspects: Map<Fingerprint, Suspect>;
-	hasEnded: boolean;
-	isProbed: boolean;
+	hasCrashed: boolean;
+	isProbing: boolean;
 };
 
 /** Detects crashes of replicas that this box sends requests to. */
@@ -43,14 +43,14 @@
 	 * @param services - Its dependencies.
 	 * @returns A detector without recorded cuts.
 	 */
-	static create(services: EndWatchServices): EndWatch {
+	static create(services: CrashDetectorServices): EndWatch {
 		return new EndWatch(services);
 	}
 
 	/** Cut connections, keyed by the start of the replica. */
 	private readonly cuts = new Map<string, Cut>();
 
-	private constructor(private readonly services: EndWatchServices) {}
+	private constructor(private readonly services: CrashDetectorServices) {}
 
 	/**
 	 * Records that the connection to a replica was cut during a request. A replica that is leaving exits as planned, so its requests are
@@ -59,20 +59,20 @@
 	 * @param replica - The replica.
 	 * @param suspect - The request.
 	 */
-	noteCut(replica: Replica, suspect: Suspect): void {
+	recordCut(replica: Replica, suspect: Suspect): void {
 		const known = this.cuts.get(replica.start);
 		if (replica.isLeaving && !known) {
 			return;
 		}
 
 		const cut = getOrCreate(this.cuts, replica.start, () => ({
-			at: this.services.clock.monotonic(), suspects: new Map<Fingerprint, Suspect>(), hasEnded: false, isProbed: false,
+			at: this.services.clock.monotonic(), suspects: new Map<Fingerprint, Suspect>(), hasCrashed: false, isProbing: false,
 		}));
 		cut.suspects.set(suspect.fingerprint, suspect);
-		if (cut.hasEnded) {
-			this.tell(replica, cut);
-		} else if (!cut.isProbed) {
-			cut.isProbed = true;
+		if (cut.hasCrashed) {
+			this.reportCrash(replica, cut);
+		} else if (!cut.isProbing) {
+			cut.isProbing = true;
 			Effect.runFork(this.probe(replica, cut));
 		}
 	}
@@ -81,8 +81,8 @@
 	noteGone(replica: Replica): void {
 		const cut = this.cuts.get(replica.start);
 		this.cuts.delete(replica.start);
-		if (cut && !cut.hasEnded && this.services.clock.monotonic() - cut.at < explainedWithin) {
-			this.tell(replica, cut);
+		if (cut && !cut.hasCrashed && this.services.clock.monotonic() - cut.at < entryRemovalWindow) {
+			this.reportCrash(replica, cut);
 		}
 	}
 
@@ -90,8 +90,8 @@
 	 * @param fingerprint - A request whose connection was cut.
 	 * @returns Whether a probe is still to decide if the replica crashed.
 	 */
-	isLookingFor(fingerprint: Fingerprint): boolean {
-		return [...this.cuts.values()].some(({isProbed, hasEnded, suspects}) => isProbed && !hasEnded && suspects.has(fingerprint));
+	isProbePending(fingerprint: Fingerprint): boolean {
+		return [...this.cuts.values()].some(({isProbing, hasCrashed, suspects}) => isProbing && !hasCrashed && suspects.has(fingerprint));
 	}
 
 	private probe(replica: Replica, cut: Cut): Effect.Effect<void> {
@@ -99,13 +99,13 @@
 		return Effect.sleep(probeDelay).pipe(
 			Effect.andThen(Effect.suspend(() => this.cuts.get(replica.start) === cut ? connections.of(replica).probe() : Effect.succeed<ProbeResult>('silent'))),
 			Effect.map(result => {
-				cut.isProbed = false;
+				cut.isProbing = false;
 				if (this.cuts.get(replica.start) !== cut) {
 					return;
 				}
 
 				if (result === 'refused') {
-					this.tell(replica, cut);
+					this.reportCrash(replica, cut);
 				} else if (result === 'standing') {
 					this.cuts.delete(replica.start);
 				}
@@ -113,14 +113,14 @@
 		);
 	}
 
-	private tell(replica: Replica, cut: Cut): void {
+	private reportCrash(replica: Replica, cut: Cut): void {
 		const {log, metrics, quarantine} = this.services;
 		const {entry, start} = replica;
-		if (!cut.hasEnded) {
-			metrics.replicaEnds.inc({service: entry.service});
+		if (!cut.hasCrashed) {
+			metrics.replicaCrashes.inc({service: entry.service});
 		}
 
-		cut.hasEnded = true;
+		cut.hasCrashed = true;
 		log.write('replicaEnded', {
 			replica: entry.id, start, service: entry.service, software: entry.software, suspects: [...cut.suspects.keys()].join(' '),
 		});
--- a/src/relay/event-sequence.ts
+++ b/src/relay/event-sequence.ts
@@ -24,14 +24,14 @@
 	/** Id of the last event that the client has; `undefined` if there is none. */
 	lastEventId: string | undefined;
 	/** Number of events accepted. */
-	taken = 0;
+	acceptedCount = 0;
 	/** Expected number of the next event; `undefined` if any is valid. */
-	private next: number | undefined;
+	private expectedNumber: number | undefined;
 
 	private constructor(lastEventId: string | undefined) {
 		const last = numberOf(lastEventId);
 		this.lastEventId = last === undefined ? undefined : lastEventId;
-		this.next = last === undefined ? undefined : last + 1;
+		this.expectedNumber = last === undefined ? undefined : last + 1;
 	}
 
 	/**
@@ -40,20 +40,20 @@
 	 * @param id - Id of the event; `undefined` if it has none.
 	 * @returns Why the event is not the next one; `undefined` if it was accepted.
 	 */
-	take(id: string | undefined): EventMisfit | undefined {
+	accept(id: string | undefined): EventMisfit | undefined {
 		const number = numberOf(id);
 		if (number === undefined) {
 			return 'unnumbered';
 		}
 
-		const next = this.next ?? number;
+		const next = this.expectedNumber ?? number;
 		if (number !== next) {
 			return number < next ? 'behind' : 'ahead';
 		}
 
-		this.next = number + 1;
+		this.expectedNumber = number + 1;
 		this.lastEventId = id;
-		this.taken++;
+		this.acceptedCount++;
 		return undefined;
 	}
 }
--- a/src/relay/freshness-guard.ts
+++ b/src/relay/freshness-guard.ts
@@ -14,9 +14,9 @@
 };
 
 /** Share of the limit up to which requests with keys are sent to replicas; the rest covers requests in transit. */
-const usedPart = 0.85;
+const maxProofAgeShare = 0.85;
 /** Greatest age in milliseconds of the configuration's freshness proof at which a missing key or route counts as nonexistent. */
-const absenceBelief = 1800;
+const maxProofAgeForAbsence = 1800;
 
 /** Checks the age of the configuration before a request is sent or rejected. */
 export class FreshnessGuard {
@@ -34,11 +34,11 @@
 	/** Whether a request with a key may be sent to a replica now. */
 	get allowsKeys(): boolean {
 		const {isStrict, revoke} = this.bound();
-		return !isStrict || this.table.proofAge < revoke * usedPart;
+		return !isStrict || this.table.proofAge < revoke * maxProofAgeShare;
 	}
 
 	/** Whether an unknown key or route may be reported as nonexistent. */
 	get believesAbsence(): boolean {
-		return this.table.proofAge < absenceBelief;
+		return this.table.proofAge < maxProofAgeForAbsence;
 	}
 }
--- a/src/relay/front-door.ts
+++ b/src/relay/front-door.ts
@@ -15,21 +15,21 @@
 import {ClientAnswer} from './client-answer.js';
 import type {RequestHead} from './relay-format.js';
 import {RelayRun} from './relay-run.js';
-import {RequestStory, type Governed} from './request-story.js';
+import {RequestSummary, type RequestAccess} from './request-summary.js';
 import type {RelayServices} from './relay-services.js';
 
 /** Maximum bytes of a request's head. */
-const largestHead = 65_536;
+const maxHeadBytes = 65_536;
 /** Milliseconds within which a complete request must arrive. */
 const receiveTimeout = 30_000;
 const mostUrgent = 0;
 const leastUrgent = 9;
 const millisecondsPerSecond = 1000;
 /** `Retry-After` in seconds from a box whose configuration is missing or out of date. */
-const comeBackWhenKnown = 0.3;
+const configurationRetryAfter = 0.3;
 
 /** Input of an admission. */
-type Admission = Governed & {
+type Admission = RequestAccess & {
 	readonly table: RouteTable;
 	/** Monotonic milliseconds. */
 	readonly receivedAt: number;
@@ -60,8 +60,8 @@
 	private readonly idleListeners: Array<() => void> = [];
 
 	private constructor(private readonly services: RelayServices, private readonly state: FrontState) {
-		this.server = createServer({maxHeaderSize: largestHead, requestTimeout: receiveTimeout, noDelay: true}, (incoming, response) => {
-			this.take(incoming, response);
+		this.server = createServer({maxHeaderSize: maxHeadBytes, requestTimeout: receiveTimeout, noDelay: true}, (incoming, response) => {
+			this.handle(incoming, response);
 		});
 		this.server.keepAliveTimeout = 0;
 		services.table.onDidApply(({content: {limits}}) => {
@@ -90,7 +90,7 @@
 	}
 
 	/** Runs one fiber for each request, which is interrupted when the client disconnects. */
-	private take(incoming: IncomingMessage, response: ServerResponse): void {
+	private handle(incoming: IncomingMessage, response: ServerResponse): void {
 		this.active++;
 		this.services.metrics.inProgress.set(this.active);
 		const fiber = Effect.runFork(this.answer(incoming, response));
@@ -111,28 +111,28 @@
 		const receivedAt = clock.monotonic();
 		const head = format.readRequest(incoming);
 		const client = ClientAnswer.create(response, this.state.isStopping);
-		const story = RequestStory.create({
+		const summary = RequestSummary.create({
 			services: this.services, head, client, receivedAt,
 		});
 		const serving = Effect.gen({self: this}, function * () {
 			const table = yield * this.tableInForce();
-			const governed = yield * this.govern(incoming, head, table);
-			story.governed = governed;
-			const admitted = yield * this.admit(incoming, head, {table, receivedAt, ...governed});
-			story.admitted = admitted;
+			const access = yield * this.authorise(incoming, head, table);
+			summary.access = access;
+			const admitted = yield * this.admit(incoming, head, {table, receivedAt, ...access});
+			summary.admitted = admitted;
 			const run = RelayRun.create(this.services, admitted, client);
-			story.run = run;
+			summary.run = run;
 			yield * run.serve();
-			story.tellAnswered();
+			summary.reportAnswered();
 		});
 		return serving.pipe(
 			Effect.catchTag('Refusal', refusal => Effect.sync(() => {
-				this.giveBack(story.admitted, refusal);
+				this.refundQuota(summary.admitted, refusal);
 				client.refuse(refusal);
-				story.tellRefused(refusal);
+				summary.reportRefused(refusal);
 			})),
 			Effect.onInterrupt(() => Effect.sync(() => {
-				story.tellLeft();
+				summary.reportLeft();
 			})),
 			Effect.catchDefect(defect => Effect.sync(() => {
 				log.write('requestFailed', {request: head.id, detail: String(defect)});
@@ -145,7 +145,7 @@
 		return Effect.suspend(() => {
 			const table = this.services.table.inForce;
 			if (!table || !this.services.replicas.isKnown) {
-				return Effect.fail(Refusal.create('not-ready', 'This box knows no configuration yet.', {retryAfter: comeBackWhenKnown}));
+				return Effect.fail(Refusal.create('not-ready', 'This box knows no configuration yet.', {retryAfter: configurationRetryAfter}));
 			}
 
 			return this.state.isClosing()
@@ -159,7 +159,7 @@
 			const body = yield * readBody(incoming, table.content.limits.body);
 			const units = unitsOf(clientAccount, head);
 			if (clientAccount) {
-				yield * this.passQuota(clientAccount, units);
+				yield * this.chargeQuota(clientAccount, units);
 			}
 
 			const deadline = Math.min(head.deadline ?? route.timeout, route.timeout);
@@ -173,9 +173,9 @@
 		});
 	}
 
-	private govern(incoming: IncomingMessage, head: RequestHead, table: RouteTable): Effect.Effect<Governed, Refusal> {
+	private authorise(incoming: IncomingMessage, head: RequestHead, table: RouteTable): Effect.Effect<RequestAccess, Refusal> {
 		const {guard} = this.services;
-		const stale = () => Effect.fail(Refusal.create('configuration-stale', 'The configuration may be out of date here.', {retryAfter: comeBackWhenKnown}));
+		const stale = () => Effect.fail(Refusal.create('configuration-stale', 'The configuration may be out of date here.', {retryAfter: configurationRetryAfter}));
 		const absent = (refusal: Refusal) => guard.believesAbsence ? Effect.fail(refusal) : stale();
 		const route = table.route(incoming.headers.host ?? '', incoming.url ?? '/');
 		if (!route) {
@@ -194,7 +194,7 @@
 		return guard.allowsKeys ? Effect.succeed({route, clientAccount}) : stale();
 	}
 
-	private passQuota(clientAccount: ClientAccount, units: number): Effect.Effect<void, Refusal> {
+	private chargeQuota(clientAccount: ClientAccount, units: number): Effect.Effect<void, Refusal> {
 		return Effect.suspend(() => {
 			const wait = this.services.quota.take(clientAccount.name, units);
 			return wait === 0
@@ -203,7 +203,7 @@
 		});
 	}
 
-	private giveBack(request: AdmittedRequest | undefined, {verdict}: Refusal): void {
+	private refundQuota(request: AdmittedRequest | undefined, {verdict}: Refusal): void {
 		if (request?.clientAccount && verdict === 'not-run') {
 			this.services.quota.giveBack(request.clientAccount.name, request.units);
 		}
--- a/src/relay/limit-queue.ts
+++ b/src/relay/limit-queue.ts
@@ -20,15 +20,15 @@
 	/** Zero is the most urgent. */
 	readonly urgency: number;
 	/** Milliseconds until the request could be sent. */
-	readonly untilRoom: number;
+	readonly untilCapacity: number;
 	/** Requests per second that this box may send to replicas of the service. */
 	readonly rate: number;
 };
 
 /** Longest retry delay in milliseconds, before jitter; limits end, and other boxes may have capacity. */
-const longestAbsence = 8000;
+const maxRetryDelay = 8000;
 /** Width of the jitter as a share of the retry delay; without it, clients that are refused together would return together. */
-const spread = 0.5;
+const jitterShare = 0.5;
 const millisecondsPerSecond = 1000;
 
 /** Waiting requests of all services. */
@@ -43,9 +43,9 @@
 	}
 
 	private readonly waiting = new Set<QueuedRequest>();
-	private joined = 0;
+	private lastNumber = 0;
 	/** Monotonic milliseconds until which this box's capacity is reserved for refused clients that will retry, by service and urgency. */
-	private readonly promised = new Map<string, Map<number, number>>();
+	private readonly reservedUntil = new Map<string, Map<number, number>>();
 
 	private constructor(private readonly clock: Clock, private readonly random: () => number) {}
 
@@ -55,8 +55,8 @@
 	 * @returns The waiting request; the caller must pass it to {@link leave}.
 	 */
 	join(service: string, urgency: number): QueuedRequest {
-		this.joined++;
-		const request = {service, urgency, number: this.joined};
+		this.lastNumber++;
+		const request = {service, urgency, number: this.lastNumber};
 		this.waiting.add(request);
 		return request;
 	}
@@ -70,16 +70,16 @@
 	 * @param request - A waiting request.
 	 * @returns Number of requests of its service ahead of it.
 	 */
-	placeOf(request: QueuedRequest): number {
-		return [...this.waiting].filter(other => isBefore(other, request)).length;
+	positionOf(request: QueuedRequest): number {
+		return [...this.waiting].filter(other => isAheadOf(other, request)).length;
 	}
 
 	/**
 	 * @param request - A waiting request, or one that has just arrived.
 	 * @returns Whether another request of its service is ahead of it.
 	 */
-	hasBefore(request: QueuedRequest): boolean {
-		return this.waiting.size > 0 && this.placeOf(request) > 0;
+	hasRequestAhead(request: QueuedRequest): boolean {
+		return this.waiting.size > 0 && this.positionOf(request) > 0;
 	}
 
 	/**
@@ -88,17 +88,17 @@
 	 * @param shortage - The refused request and the available rate.
 	 * @returns Milliseconds after which the client should retry.
 	 */
-	comeBackAfter({service, urgency, untilRoom, rate}: Shortage): number {
+	reserveRetryDelay({service, urgency, untilCapacity, rate}: Shortage): number {
 		const now = this.clock.monotonic();
-		const promises = getOrCreate(this.promised, service, () => new Map<number, number>());
-		const before = [...promises].filter(([other]) => other <= urgency).map(([, until]) => until);
-		const earliest = Math.max(now + Math.min(untilRoom, longestAbsence), ...before);
-		const wait = Math.min(longestAbsence, earliest - now + (rate > 0 ? millisecondsPerSecond / rate : longestAbsence));
-		promises.set(urgency, now + wait);
-		return wait * (1 + (spread * (this.random() - 0.5)));
+		const reservations = getOrCreate(this.reservedUntil, service, () => new Map<number, number>());
+		const before = [...reservations].filter(([other]) => other <= urgency).map(([, until]) => until);
+		const earliest = Math.max(now + Math.min(untilCapacity, maxRetryDelay), ...before);
+		const wait = Math.min(maxRetryDelay, earliest - now + (rate > 0 ? millisecondsPerSecond / rate : maxRetryDelay));
+		reservations.set(urgency, now + wait);
+		return wait * (1 + (jitterShare * (this.random() - 0.5)));
 	}
 }
 
-function isBefore(left: QueuedRequest, right: QueuedRequest): boolean {
+function isAheadOf(left: QueuedRequest, right: QueuedRequest): boolean {
 	return left.service === right.service && (left.urgency < right.urgency || (left.urgency === right.urgency && left.number < right.number));
 }
--- a/src/relay/relay-metrics.ts
+++ b/src/relay/relay-metrics.ts
@@ -26,19 +26,19 @@
 		name: 'waydrift_relay_refusals_total', help: 'Refusals by reason and verdict.', labelNames: ['reason', 'verdict'], registers: [this.registry],
 	});
 
-	readonly attempts = new Counter({
+	readonly attemptFailures = new Counter({
 		name: 'waydrift_relay_attempt_failures_total', help: 'Tries at replicas that failed, by reason.', labelNames: ['reason'], registers: [this.registry],
 	});
 
-	readonly limitedTries = new Counter({
+	readonly limitedAttempts = new Counter({
 		name: 'waydrift_relay_limited_tries_total', help: 'Requests that this box sent to replicas that had named a limit, by service.', labelNames: ['service'], registers: [this.registry],
 	});
 
-	readonly keptFromLimited = new Counter({
+	readonly limitExclusions = new Counter({
 		name: 'waydrift_relay_kept_from_limited_total', help: 'Requests kept from a replica for the limit that it had named, by service.', labelNames: ['service'], registers: [this.registry],
 	});
 
-	readonly keptFromPaused = new Counter({
+	readonly pauseExclusions = new Counter({
 		name: 'waydrift_relay_kept_from_paused_total', help: 'Requests kept from a replica that had asked this box for a pause, by service.', labelNames: ['service'], registers: [this.registry],
 	});
 
@@ -62,7 +62,7 @@
 		name: 'waydrift_relay_retries_denied_total', help: 'Requests not sent again, by what forbade it.', labelNames: ['because'], registers: [this.registry],
 	});
 
-	readonly streamsEndedInside = new Counter({
+	readonly streamsEndedInsideEvent = new Counter({
 		name: 'waydrift_relay_streams_ended_inside_event_total', help: 'Runs of a stream that ended inside an event.', registers: [this.registry],
 	});
 
@@ -102,7 +102,7 @@
 		name: 'waydrift_relay_entries_unreadable_total', help: 'Entries of the store that cannot be read, once a change, by kind.', labelNames: ['kind'], registers: [this.registry],
 	});
 
-	readonly replicaEnds = new Counter({
+	readonly replicaCrashes = new Counter({
 		name: 'waydrift_relay_replica_ends_total', help: 'Replicas that ended under requests of this box, by service.', labelNames: ['service'], registers: [this.registry],
 	});
 
--- a/src/relay/relay-run.ts
+++ b/src/relay/relay-run.ts
@@ -10,31 +10,31 @@
 import type {AdmittedRequest} from './admitted-request.js';
 import type {AttemptFailure} from './attempt-failure.js';
 import type {ClientAnswer} from './client-answer.js';
-import {DemandNotes} from './demand-notes.js';
+import {DemandRecorder} from './demand-recorder.js';
 import type {RelayServices} from './relay-services.js';
-import {ReplicaTry, type TryParts} from './replica-try.js';
+import {ReplicaAttempt, type AttemptParts} from './replica-attempt.js';
 import {RunChoice, type RunDecision} from './run-choice.js';
-import type {RunStory} from './run-story.js';
-import {RunSuspicion} from './run-suspicion.js';
+import type {RunRecord} from './run-record.js';
+import {CrashSuspicion} from './crash-suspicion.js';
 import {StreamPassage} from './stream-passage.js';
 
 /**
  * Maximum number of attempts for one request, whatever their outcome. Refused connections do not count: they send nothing, and a replica
  * whose process is gone stays listed for some heartbeats and is chosen first, since it has no work.
  */
-const mostTries = 4;
+const maxAttempts = 4;
 /** Milliseconds that must be left until the deadline for another attempt to be useful. */
-const shortestTry = 30;
+const minAttemptTime = 30;
 /** Shortest `Retry-After`, in seconds, of a request that no replica could serve. */
-const comeBack = 0.5;
+const minRetryAfter = 0.5;
 const millisecondsPerSecond = 1000;
 /**
  * Milliseconds for which a request waits in total while other requests that replicas crashed under run: the delay that its client would
  * otherwise be given as `Retry-After`.
  */
-const turnPatience = comeBack * millisecondsPerSecond;
+const maxTurnWait = minRetryAfter * millisecondsPerSecond;
 /** Milliseconds between two checks whether the request may run; short compared with the duration of such a run. */
-const turnPause = 20;
+const turnCheckInterval = 20;
 
 /** Decision to send the request to a replica. */
 type Chosen = Extract<RunDecision, {readonly kind: 'go'}>;
@@ -52,20 +52,20 @@
 	}
 
 	/** Outcome of the attempts so far. */
-	readonly story: RunStory = {
-		tries: 0, runs: 0, refusedConnections: 0, replica: undefined, failures: '', firstByteAt: undefined, keptFrom: 0, missingFor: undefined,
+	readonly record: RunRecord = {
+		attempts: 0, executions: 0, refusedConnections: 0, replica: undefined, failures: '', firstByteAt: undefined, excludedReplicas: 0, missingFor: undefined,
 	};
 
 	/** Whether the request is suspected of crashing replicas. */
-	readonly suspicion: RunSuspicion;
-	private readonly passage: StreamPassage;
+	readonly suspicion: CrashSuspicion;
+	private readonly streamPassage: StreamPassage;
 	private readonly choice: RunChoice;
-	private readonly parts: TryParts;
+	private readonly parts: AttemptParts;
 	/** Sends the error answer of an earlier attempt; used if no later attempt succeeds. */
 	private failedAnswer: (() => void) | undefined;
 	/** Monotonic milliseconds at which it first waited for suspected requests to finish. */
-	private waitsSince: number | undefined;
-	private readonly notes: DemandNotes;
+	private waitingSince: number | undefined;
+	private readonly demandRecorder: DemandRecorder;
 
 	private constructor(
 		private readonly services: RelayServices,
@@ -73,16 +73,16 @@
 		private readonly client: ClientAnswer,
 	) {
 		const {head} = request;
-		this.notes = DemandNotes.create({clock: services.clock, demand: () => services.demands.of(this.request.service), goal: () => this.request.route.goal});
-		this.suspicion = RunSuspicion.create({
+		this.demandRecorder = DemandRecorder.create({clock: services.clock, demand: () => services.demands.of(this.request.service), goal: () => this.request.route.goal});
+		this.suspicion = CrashSuspicion.create({
 			clock: services.clock,
 			quarantine: services.quarantine,
-			ends: services.ends,
+			crashDetector: services.ends,
 			identity: () => ({
 				method: request.incoming.method ?? 'GET', target: request.incoming.url ?? '/', clientAccount: request.clientAccount?.name, body: request.body,
 			}),
 		});
-		this.passage = StreamPassage.create({
+		this.streamPassage = StreamPassage.create({
 			client, format: services.format, metrics: services.metrics, lastEventId: request.route.isResumable ? head.lastEventId : undefined,
 		});
 		const choiceRequest = {promptTokens: head.promptTokens ?? 0, sharedParts: head.parts.slice(0, -1)};
@@ -90,36 +90,36 @@
 			services,
 			suspicion: this.suspicion,
 			choiceRequest,
-			story: this.story,
+			record: this.record,
 			request: () => this.request,
 			waitsForReplica: () => this.verdict === 'may-have-run' && !this.failedAnswer,
 		});
 		this.parts = {
-			services, client, passage: this.passage, suspicion: this.suspicion, notes: this.notes, choiceRequest, story: this.story,
+			services, client, passage: this.streamPassage, suspicion: this.suspicion, demandRecorder: this.demandRecorder, choiceRequest, record: this.record,
 		};
 	}
 
 	/** Stream fields for the log record of the request. */
 	get streamFields(): EventFields {
-		return this.passage.fields;
+		return this.streamPassage.fields;
 	}
 
 	/** Whether a replica may have run the request. */
 	get verdict(): Verdict {
-		return this.story.runs > 0 ? 'may-have-run' : 'not-run';
+		return this.record.executions > 0 ? 'may-have-run' : 'not-run';
 	}
 
 	/** @returns An effect that completes when the answer was sent; a refusal states whether the request may have run. */
 	serve(): Effect.Effect<void, Refusal> {
 		const timeLeft = Math.max(0, this.request.deadlineAt - this.services.clock.monotonic());
-		const late = Effect.sleep(timeLeft).pipe(Effect.andThen(Effect.suspend(() => Effect.fail(this.lateness()))));
-		return Effect.raceFirst(this.tryReplicas(), late).pipe(
+		const timeout = Effect.sleep(timeLeft).pipe(Effect.andThen(Effect.suspend(() => Effect.fail(this.timeoutRefusal()))));
+		return Effect.raceFirst(this.tryReplicas(), timeout).pipe(
 			Effect.catchTag('Refusal', refusal => this.sendFailedAnswer(refusal)),
 			Effect.tapError(refusal => Effect.sync(() => {
-				this.notes.noteRefusal(refusal);
+				this.demandRecorder.recordRefusal(refusal);
 			})),
 			Effect.onInterrupt(() => Effect.sync(() => {
-				this.notes.noteLeaving();
+				this.demandRecorder.recordClientLeft();
 			})),
 			Effect.ensuring(Effect.sync(() => {
 				this.choice.close();
@@ -143,9 +143,9 @@
 		return Effect.gen({self: this}, function * () {
 			this.services.budgets.of(this.request.service).noteRequest();
 			for (;;) {
-				yield * this.passWake();
-				yield * this.governAnew();
-				yield * this.passQuarantine();
+				yield * this.checkSuspension();
+				yield * this.reauthorise();
+				yield * this.checkQuarantine();
 				const chosen = yield * this.chooseReplica();
 				if (!chosen) {
 					continue;
@@ -157,8 +157,8 @@
 					return;
 				}
 
-				this.noteFailure(replica, failure);
-				const refusal = this.judge(failure);
+				this.recordFailure(replica, failure);
+				const refusal = this.refusalAfter(failure);
 				if (refusal) {
 					yield * Effect.fail(refusal);
 				}
@@ -170,14 +170,14 @@
 	 * Refuses a request that arrived before the machine was suspended: its remaining time is unknown, and its client has probably
 	 * disconnected.
 	 */
-	private passWake(): Effect.Effect<void, Refusal> {
+	private checkSuspension(): Effect.Effect<void, Refusal> {
 		return Effect.suspend(() => this.services.clock.lastWake() > this.request.receivedAt
 			? Effect.fail(this.refuse('no-upstream', 'This box stood still while it held the request.'))
 			: Effect.void);
 	}
 
 	/** Checks the request against the configuration again if that has changed since the request was admitted or last sent. */
-	private governAnew(): Effect.Effect<void, Refusal> {
+	private reauthorise(): Effect.Effect<void, Refusal> {
 		return Effect.suspend(() => {
 			const {table, guard} = this.services;
 			const {incoming, head, clientAccount, version} = this.request;
@@ -205,12 +205,12 @@
 	 * Refuses a quarantined request. A request that crashes replicas would crash those of all boxes one after the other; it is first run
 	 * in isolation, and then no longer run.
 	 */
-	private passQuarantine(): Effect.Effect<void, Refusal> {
+	private checkQuarantine(): Effect.Effect<void, Refusal> {
 		return Effect.suspend(() => {
 			const {suspicion} = this;
-			if (suspicion.look() === 'quarantined') {
+			if (suspicion.refreshStatus() === 'quarantined') {
 				const detail = 'Several replicas ended while they ran this request; it is not sent to others until their software changes or the time to come back has passed.';
-				return Effect.fail(this.refuse('quarantined', detail, Math.max(comeBack, Math.ceil(suspicion.keptFor / millisecondsPerSecond))));
+				return Effect.fail(this.refuse('quarantined', detail, Math.max(minRetryAfter, Math.ceil(suspicion.quarantinedFor / millisecondsPerSecond))));
 			}
 
 			return Effect.void;
@@ -221,10 +221,10 @@
 	private awaitTurn(): Effect.Effect<undefined, Refusal> {
 		return Effect.suspend(() => {
 			const now = this.services.clock.monotonic();
-			this.waitsSince ??= now;
-			return now - this.waitsSince < turnPatience
-				? Effect.sleep(turnPause).pipe(Effect.as(undefined))
-				: Effect.fail(this.refuse('quarantined', 'Replicas ended while they ran this request; it runs once at a time, apart from others of its sort, until one has served it.', comeBack));
+			this.waitingSince ??= now;
+			return now - this.waitingSince < maxTurnWait
+				? Effect.sleep(turnCheckInterval).pipe(Effect.as(undefined))
+				: Effect.fail(this.refuse('quarantined', 'Replicas ended while they ran this request; it runs once at a time, apart from others of its sort, until one has served it.', minRetryAfter));
 		});
 	}
 
@@ -245,7 +245,7 @@
 			}
 
 			case 'refuse': {
-				return Effect.fail(this.refuse(decision.reason, decision.detail, Math.max(comeBack, decision.comeBack / millisecondsPerSecond)));
+				return Effect.fail(this.refuse(decision.reason, decision.detail, Math.max(minRetryAfter, decision.retryDelay / millisecondsPerSecond)));
 			}
 		}
 	}
@@ -253,10 +253,10 @@
 	/** @returns Why the attempt failed; `undefined` if the answer was sent to the client. */
 	private tryReplica({replica, slot}: Chosen): Effect.Effect<AttemptFailure | undefined> {
 		return Effect.suspend(() => {
-			this.story.tries++;
-			this.story.replica = replica.entry.id;
-			const attempt = ReplicaTry.create(this.parts, {
-				request: this.request, replica, slot, mayFail: this.isRepeatable,
+			this.record.attempts++;
+			this.record.replica = replica.entry.id;
+			const attempt = ReplicaAttempt.create(this.parts, {
+				request: this.request, replica, slot, mayRetryError: this.isRepeatable,
 			});
 			return attempt.run().pipe(
 				Effect.as(undefined),
@@ -268,12 +268,12 @@
 		});
 	}
 
-	private noteFailure(replica: Replica, failure: AttemptFailure): void {
+	private recordFailure(replica: Replica, failure: AttemptFailure): void {
 		const {metrics, replicas} = this.services;
-		metrics.attempts.inc({reason: failure.reason});
-		this.story.failures += `${this.story.failures === '' ? '' : '; '}${replica.entry.id}: ${failure.reason}: ${failure.detail}`;
+		metrics.attemptFailures.inc({reason: failure.reason});
+		this.record.failures += `${this.record.failures === '' ? '' : '; '}${replica.entry.id}: ${failure.reason}: ${failure.detail}`;
 		if (failure.verdict === 'not-run' && failure.reason !== 'unreachable' && failure.reason !== 'withheld') {
-			this.story.runs--;
+			this.record.executions--;
 		}
 
 		if (failure.reason === 'elsewhere') {
@@ -283,12 +283,12 @@
 		}
 
 		if (failure.reason === 'cut') {
-			this.suspicion.noteCut(replica);
+			this.suspicion.recordCut(replica);
 		}
 	}
 
 	/** @returns The refusal that ends the request; `undefined` if another attempt is allowed. */
-	private judge(failure: AttemptFailure): Refusal | undefined {
+	private refusalAfter(failure: AttemptFailure): Refusal | undefined {
 		const {clock, metrics, budgets} = this.services;
 		const {route, service} = this.request;
 		const deny = (because: string): Refusal => {
@@ -300,17 +300,17 @@
 			return deny('kind');
 		}
 
-		if (this.story.runs >= route.maximumAttempts && failure.verdict !== 'not-run') {
+		if (this.record.executions >= route.maximumAttempts && failure.verdict !== 'not-run') {
 			return deny('attempts');
 		}
 
 		// The probe that decides whether this cut was a crash is still running; a request that is already suspected must not run again before.
-		if (failure.reason === 'cut' && this.suspicion.look() !== 'sound') {
+		if (failure.reason === 'cut' && this.suspicion.refreshStatus() !== 'sound') {
 			return deny('suspect');
 		}
 
-		const hasTries = this.story.tries - this.story.refusedConnections < mostTries;
-		if (!hasTries || this.request.deadlineAt - clock.monotonic() < shortestTry) {
+		const hasTries = this.record.attempts - this.record.refusedConnections < maxAttempts;
+		if (!hasTries || this.request.deadlineAt - clock.monotonic() < minAttemptTime) {
 			return deny('time');
 		}
 
@@ -347,15 +347,15 @@
 		return this.refuse(reason === 'refused' ? 'upstream-refused' : 'no-upstream', `The request was not run: ${detail}.`);
 	}
 
-	private refuse(reason: 'quarantined' | 'capacity-short' | 'replica-limit' | 'no-upstream' | 'upstream-refused' | 'configuration-stale', detail: string, retryAfter = comeBack): Refusal {
+	private refuse(reason: 'quarantined' | 'capacity-short' | 'replica-limit' | 'no-upstream' | 'upstream-refused' | 'configuration-stale', detail: string, retryAfter = minRetryAfter): Refusal {
 		return this.verdict === 'not-run'
 			? Refusal.create(reason, detail, {retryAfter})
 			: Refusal.create('upstream-cut', detail, {verdict: 'may-have-run'});
 	}
 
-	private lateness(): Refusal {
+	private timeoutRefusal(): Refusal {
 		return this.verdict === 'not-run'
-			? Refusal.create('capacity-short', 'No replica took the request in time; it was not run.', {retryAfter: comeBack})
+			? Refusal.create('capacity-short', 'No replica took the request in time; it was not run.', {retryAfter: minRetryAfter})
 			: Refusal.create('deadline-passed', 'No whole answer came in time.');
 	}
 }
--- a/src/relay/replica-try.ts
+++ b/src/relay/replica-attempt.ts
@@ -7,17 +7,17 @@
 import type {ChoiceRequest} from '../replicas/replica-choice.js';
 import type {Connection} from '../replicas/replica-connections.js';
 import type {AdmittedRequest} from './admitted-request.js';
-import {withoutLength} from './answer-headers.js';
+import {withoutContentLength} from './answer-headers.js';
 import {AttemptFailure} from './attempt-failure.js';
 import type {ClientAnswer} from './client-answer.js';
-import type {DemandNotes} from './demand-notes.js';
+import type {DemandRecorder} from './demand-recorder.js';
 import type {AnswerHead} from './relay-format.js';
 import type {RelayServices} from './relay-services.js';
 import {
 	abandon, openAnswer, readBody, type OpenAnswer, type OutgoingRequest,
 } from './replica-exchange.js';
-import type {RunStory} from './run-story.js';
-import type {RunSuspicion} from './run-suspicion.js';
+import type {RunRecord} from './run-record.js';
+import type {CrashSuspicion} from './crash-suspicion.js';
 import type {StreamPassage} from './stream-passage.js';
 
 const firstRedirection = 300;
@@ -26,76 +26,76 @@
 const notModified = 304;
 
 /** State that all attempts of one request share. */
-export type TryParts = {
+export type AttemptParts = {
 	readonly services: RelayServices;
 	readonly client: ClientAnswer;
 	readonly passage: StreamPassage;
-	readonly suspicion: RunSuspicion;
-	readonly notes: DemandNotes;
+	readonly suspicion: CrashSuspicion;
+	readonly demandRecorder: DemandRecorder;
 	readonly choiceRequest: ChoiceRequest;
-	readonly story: RunStory;
+	readonly record: RunRecord;
 };
 
 /** Parameters of one attempt. */
-export type TryPlan = {
+export type AttemptPlan = {
 	/** The request, with the route of the configuration that is now in force. */
 	readonly request: AdmittedRequest;
 	readonly replica: Replica;
 	/** The slot that it uses of the replica's rate limit; `undefined` if the replica had announced none. */
 	readonly slot: Slot | undefined;
 	/** Whether a server error from the replica may be followed by another attempt. */
-	readonly mayFail: boolean;
+	readonly mayRetryError: boolean;
 };
 
 /** One attempt at one replica. */
-export class ReplicaTry {
+export class ReplicaAttempt {
 	/**
 	 * @param parts - State that all attempts of the request share.
 	 * @param plan - Parameters of this attempt.
 	 * @returns An attempt; call {@link run} once.
 	 */
-	static create(parts: TryParts, plan: TryPlan): ReplicaTry {
-		return new ReplicaTry(parts, plan);
+	static create(parts: AttemptParts, plan: AttemptPlan): ReplicaAttempt {
+		return new ReplicaAttempt(parts, plan);
 	}
 
 	/** Sends the replica's error answer to the client; `undefined` if there is none or it was already sent. */
 	failedAnswer: (() => void) | undefined;
 	/** Tokens of the prompt that the replica has to read. */
-	private readonly tokens: number;
+	private readonly promptTokens: number;
 	/** Those tokens that still count as unread in the replica's work. */
-	private unread: number;
+	private unreadTokens: number;
 	private sentAt = 0;
 
-	private constructor(private readonly parts: TryParts, private readonly plan: TryPlan) {
-		this.tokens = parts.services.choice.unreadTokens(plan.replica, parts.choiceRequest);
-		this.unread = this.tokens;
+	private constructor(private readonly parts: AttemptParts, private readonly plan: AttemptPlan) {
+		this.promptTokens = parts.services.choice.unreadTokens(plan.replica, parts.choiceRequest);
+		this.unreadTokens = this.promptTokens;
 	}
 
 	/** @returns An effect that completes when the answer was sent to the client; a failure states whether the request may have run. */
 	run(): Effect.Effect<void, AttemptFailure> {
-		const {services, suspicion, notes, story} = this.parts;
+		const {services, suspicion, demandRecorder, record} = this.parts;
 		const {replica} = this.plan;
 		const beganAt = services.clock.monotonic();
-		let leave = (): void => undefined;
+		let endSuspicion = (): void => undefined;
 		return Effect.suspend(() => {
-			leave = suspicion.begin(replica);
-			notes.noteChoice(this.tokens);
-			replica.begin(this.tokens);
+			endSuspicion = suspicion.beginAttempt(replica);
+			demandRecorder.recordChoice(this.promptTokens);
+			replica.begin(this.promptTokens);
 			return this.connect().pipe(Effect.flatMap(connection => this.send(connection)));
 		}).pipe(Effect.ensuring(Effect.sync(() => {
 			this.markRead();
-			leave();
+			endSuspicion();
 			replica.end();
-			notes.noteEnd(beganAt, story.firstByteAt);
+			demandRecorder.recordAttemptEnd(beganAt, record.firstByteAt);
 		})));
 	}
 
 	private connect(): Effect.Effect<Connection, AttemptFailure> {
-		const {parts: {services, story}, plan: {request, replica}} = this;
+		const {parts: {services, record}, plan: {request, replica}} = this;
 		return services.connections.of(replica).acquire(request.route.kind !== 'repeatable')
 			.pipe(Effect.mapError(({detail, isRefused}) => {
 				if (isRefused) {
-					story.refusedConnections++;
+					record.refusedConnections++;
 					replica.noteRefusedConnection();
 				} else {
 					replica.noteFailure();
@@ -108,20 +108,20 @@
 	/** Repeats all checks before it sends: connecting may have taken long, or the process may have been suspended. */
 	private send({socket}: Connection): Effect.Effect<void, AttemptFailure> {
 		return Effect.suspend(() => {
-			const {services: {clock, connections, format, limits, statements, metrics}, story} = this.parts;
+			const {services: {clock, connections, format, limits, statements, metrics}, record} = this.parts;
 			const {replica} = this.plan;
 			const ofReplica = connections.of(replica);
-			const withheld = this.whyWithheld();
+			const withheld = this.withholdReason();
 			if (withheld !== undefined) {
 				ofReplica.release(socket, undefined);
 				return Effect.fail(AttemptFailure.notRun('withheld', withheld));
 			}
 
 			this.sentAt = clock.monotonic();
-			story.runs++;
-			story.missingFor = replica.isMissing ? Math.round(replica.missingFor) : undefined;
+			record.executions++;
+			record.missingFor = replica.isMissing ? Math.round(replica.missingFor) : undefined;
 			if (limits.limitOf(replica) !== undefined) {
-				metrics.limitedTries.inc({service: replica.entry.service});
+				metrics.limitedAttempts.inc({service: replica.entry.service});
 			}
 
 			const onHead = ({statement}: AnswerHead) => {
@@ -131,7 +131,7 @@
 			return openAnswer({
 				connections: ofReplica, socket, format, onHead,
 			}, this.outgoing).pipe(
-				Effect.flatMap(answer => this.passOn(answer)),
+				Effect.flatMap(answer => this.forward(answer)),
 				Effect.onInterrupt(() => Effect.sync(() => {
 					abandon(socket);
 				})),
@@ -139,7 +139,7 @@
 		});
 	}
 
-	private whyWithheld(): string | undefined {
+	private withholdReason(): string | undefined {
 		const {replicas, guard, limits, statements} = this.parts.services;
 		const {replica, slot} = this.plan;
 		if (!replicas.mayBeSent(replica)) {
@@ -177,59 +177,59 @@
 		};
 	}
 
-	private passOn(answer: OpenAnswer): Effect.Effect<void, AttemptFailure> {
+	private forward(answer: OpenAnswer): Effect.Effect<void, AttemptFailure> {
 		const isStream = this.plan.request.route.kind === 'stream' && answer.status < firstRedirection;
-		return isStream ? this.passStream(answer) : readBody(answer).pipe(Effect.flatMap(body => this.passWhole(answer, body)));
+		return isStream ? this.forwardStream(answer) : readBody(answer).pipe(Effect.flatMap(body => this.forwardBody(answer, body)));
 	}
 
-	private passStream(answer: OpenAnswer): Effect.Effect<void, AttemptFailure> {
-		const {services, passage, suspicion, notes, choiceRequest} = this.parts;
+	private forwardStream(answer: OpenAnswer): Effect.Effect<void, AttemptFailure> {
+		const {services, passage, suspicion, demandRecorder, choiceRequest} = this.parts;
 		const {replica} = this.plan;
 		return passage.pass(answer, {
 			onHeard() {
 				replica.noteHeard();
 			},
 			onFirstEvent: () => {
-				this.noteBeginning(false);
-				notes.noteRead(this.tokens, services.clock.monotonic() - this.sentAt);
+				this.recordAnswerStart(false);
+				demandRecorder.recordPromptRead(this.promptTokens, services.clock.monotonic() - this.sentAt);
 				services.choice.noteRead(replica, choiceRequest);
 			},
 		}).pipe(Effect.tap(() => Effect.sync(() => {
-			suspicion.noteCompletion();
+			suspicion.recordCompletion();
 		})));
 	}
 
-	private passWhole(answer: OpenAnswer, body: Uint8Array): Effect.Effect<void, AttemptFailure> {
+	private forwardBody(answer: OpenAnswer, body: Uint8Array): Effect.Effect<void, AttemptFailure> {
 		const {client, suspicion} = this.parts;
 		const {status} = answer;
 		const isError = status >= firstServerError;
-		this.noteBeginning(isError);
-		suspicion.noteCompletion();
+		this.recordAnswerStart(isError);
+		suspicion.recordCompletion();
 		if (client.hasBegun) {
 			return Effect.fail(AttemptFailure.mayHaveRun('failed', `the replica that was to go on answered ${status}`));
 		}
 
-		const sendIt = () => {
-			this.sendWhole(answer, body);
+		const sendToClient = () => {
+			this.sendBody(answer, body);
 		};
 
-		if (isError && this.plan.mayFail) {
-			this.failedAnswer = sendIt;
+		if (isError && this.plan.mayRetryError) {
+			this.failedAnswer = sendToClient;
 			return Effect.fail(AttemptFailure.mayHaveRun('failed', `the replica answered ${status}`));
 		}
 
-		sendIt();
+		sendToClient();
 		return Effect.void;
 	}
 
-	private noteBeginning(isError: boolean): void {
-		const {services: {clock, usage}, story, suspicion, notes} = this.parts;
+	private recordAnswerStart(isError: boolean): void {
+		const {services: {clock, usage}, record, suspicion, demandRecorder} = this.parts;
 		const {request: {clientAccount}, replica} = this.plan;
 		const now = clock.monotonic();
-		const isFirst = story.firstByteAt === undefined;
-		story.firstByteAt ??= now;
-		suspicion.noteAnswering();
-		notes.noteBeginning();
+		const isFirst = record.firstByteAt === undefined;
+		record.firstByteAt ??= now;
+		suspicion.recordAnswerStart();
+		demandRecorder.recordAnswerStart();
 		this.markRead();
 		replica.noteAnswer(now - this.sentAt, isError);
 		// Usage counts a request once, however many replicas begin to answer it.
@@ -239,14 +239,14 @@
 	}
 
 	private markRead(): void {
-		this.plan.replica.noteRead(this.unread);
-		this.unread = 0;
+		this.plan.replica.noteRead(this.unreadTokens);
+		this.unreadTokens = 0;
 	}
 
-	private sendWhole(answer: OpenAnswer, body: Uint8Array): void {
+	private sendBody(answer: OpenAnswer, body: Uint8Array): void {
 		const {services: {format}, client} = this.parts;
 		const headers = format.answerHeaders(answer.message);
 		const isBodiless = this.plan.request.incoming.method === 'HEAD' || answer.status === noContent || answer.status === notModified;
-		client.send(answer.status, isBodiless ? headers : withoutLength(headers), body, isBodiless);
+		client.send(answer.status, isBodiless ? headers : withoutContentLength(headers), body, isBodiless);
 	}
 }
--- a/src/relay/replica-exchange.ts
+++ b/src/relay/replica-exchange.ts
@@ -138,16 +138,16 @@
  * @param listener - Called once when the answer ends or its connection closes, with whether the answer is complete.
  */
 export function onceEnded({message, isWhole}: OpenAnswer, listener: (isWhole: boolean) => void): void {
-	let isTold = false;
-	const tell = () => {
-		if (!isTold) {
-			isTold = true;
+	let isNotified = false;
+	const notify = () => {
+		if (!isNotified) {
+			isNotified = true;
 			listener(isWhole());
 		}
 	};
 
-	message.once('end', tell);
-	message.once('close', tell);
+	message.once('end', notify);
+	message.once('close', notify);
 }
 
 /**
--- a/src/relay/request-story.ts
+++ b/src/relay/request-summary.ts
@@ -11,14 +11,14 @@
 import type {RelayServices} from './relay-services.js';
 
 /** The route and client account of a request, once both are known. */
-export type Governed = {
+export type RequestAccess = {
 	readonly route: Route;
 	/** `undefined` if the route needs no key. */
 	readonly clientAccount: ClientAccount | undefined;
 };
 
 /** What is known when a request arrives. */
-export type StoryBeginning = {
+export type RequestArrival = {
 	readonly services: RelayServices;
 	readonly head: RequestHead;
 	readonly client: ClientAnswer;
@@ -29,45 +29,45 @@
 const millisecondsPerSecond = 1000;
 
 /** Outcome summary of one request; fields that are not known yet are undefined. */
-export class RequestStory {
+export class RequestSummary {
 	/**
-	 * @param beginning - What is known at the request's arrival.
+	 * @param arrival - What is known at the request's arrival.
 	 * @returns A summary without an outcome.
 	 */
-	static create(beginning: StoryBeginning): RequestStory {
-		return new RequestStory(beginning);
+	static create(arrival: RequestArrival): RequestSummary {
+		return new RequestSummary(arrival);
 	}
 
-	governed: Governed | undefined;
+	access: RequestAccess | undefined;
 	admitted: AdmittedRequest | undefined;
 	run: RelayRun | undefined;
 
-	private constructor(private readonly beginning: StoryBeginning) {}
+	private constructor(private readonly arrival: RequestArrival) {}
 
 	private get kind(): string {
-		return this.governed?.route.kind ?? 'none';
+		return this.access?.route.kind ?? 'none';
 	}
 
 	/** Milliseconds from the request's arrival to the first byte of a replica's answer. */
 	private get firstByte(): number | undefined {
-		const at = this.run?.story.firstByteAt;
-		return at === undefined ? undefined : at - this.beginning.receivedAt;
+		const at = this.run?.record.firstByteAt;
+		return at === undefined ? undefined : at - this.arrival.receivedAt;
 	}
 
 	private get duration(): number {
-		return this.beginning.services.clock.monotonic() - this.beginning.receivedAt;
+		return this.arrival.services.clock.monotonic() - this.arrival.receivedAt;
 	}
 
 	/** Reports that the request was answered. */
-	tellAnswered(): void {
+	reportAnswered(): void {
 		this.count('answered');
-		this.beginning.services.log.write('requestAnswered', this.fields());
+		this.arrival.services.log.write('requestAnswered', this.fields());
 	}
 
 	/** Reports that the client disconnected before its answer was complete. */
-	tellLeft(): void {
+	reportLeft(): void {
 		this.count('left');
-		this.beginning.services.log.write('clientLeft', this.fields());
+		this.arrival.services.log.write('clientLeft', this.fields());
 	}
 
 	/**
@@ -75,17 +75,17 @@
 	 *
 	 * @param refusal - The refusal that was sent.
 	 */
-	tellRefused(refusal: Refusal): void {
+	reportRefused(refusal: Refusal): void {
 		const {reason, verdict, detail, retryAfter} = refusal;
 		this.count('refused');
-		this.beginning.services.metrics.refusals.inc({reason, verdict});
-		this.beginning.services.log.write('requestRefused', {
+		this.arrival.services.metrics.refusals.inc({reason, verdict});
+		this.arrival.services.log.write('requestRefused', {
 			...this.fields(), ...this.quotaFields(refusal), reason, verdict, detail, retryAfter,
 		});
 	}
 
 	private count(outcome: string): void {
-		const {metrics} = this.beginning.services;
+		const {metrics} = this.arrival.services;
 		const {kind, firstByte} = this;
 		metrics.requests.inc({kind, outcome});
 		metrics.duration.observe({kind}, this.duration / millisecondsPerSecond);
@@ -95,12 +95,12 @@
 	}
 
 	private fields(): EventFields {
-		const {services: {table}, head, client} = this.beginning;
+		const {services: {table}, head, client} = this.arrival;
 		const {firstByte} = this;
 		return {
 			request: head.id,
-			route: this.governed?.route.name,
-			clientAccount: this.governed?.clientAccount?.name,
+			route: this.access?.route.name,
+			clientAccount: this.access?.clientAccount?.name,
 			service: this.admitted?.service,
 			units: this.admitted?.units,
 			status: client.status,
@@ -115,8 +115,8 @@
 
 	/** The quota figures that a refusal is based on, and their age. */
 	private quotaFields({reason}: Refusal): EventFields {
-		const clientAccount = this.governed?.clientAccount;
-		const basis = reason === 'ceiling-reached' && clientAccount ? this.beginning.services.quota.basisOf(clientAccount.name) : undefined;
+		const clientAccount = this.access?.clientAccount;
+		const basis = reason === 'ceiling-reached' && clientAccount ? this.arrival.services.quota.basisOf(clientAccount.name) : undefined;
 		return basis
 			? {
 				quotaLevel: basis.level, quotaShare: basis.share, quotaToldAge: basis.toldAge, heardPart: basis.heardPart,
@@ -129,15 +129,15 @@
 		return run
 			? {
 				verdict: run.verdict,
-				replica: run.story.replica,
-				tries: run.story.tries,
-				refusedConnections: run.story.refusedConnections === 0 ? undefined : run.story.refusedConnections,
-				keptFrom: run.story.keptFrom === 0 ? undefined : run.story.keptFrom,
-				missingFor: run.story.missingFor,
-				failures: run.story.failures === '' ? undefined : run.story.failures,
+				replica: run.record.replica,
+				tries: run.record.attempts,
+				refusedConnections: run.record.refusedConnections === 0 ? undefined : run.record.refusedConnections,
+				keptFrom: run.record.excludedReplicas === 0 ? undefined : run.record.excludedReplicas,
+				missingFor: run.record.missingFor,
+				failures: run.record.failures === '' ? undefined : run.record.failures,
 				...run.streamFields,
-				fingerprint: run.suspicion.told,
-				standing: run.suspicion.standing === 'sound' ? undefined : run.suspicion.standing,
+				fingerprint: run.suspicion.reportedFingerprint,
+				standing: run.suspicion.status === 'sound' ? undefined : run.suspicion.status,
 			}
 			: {};
 	}
--- a/src/relay/run-choice.ts
+++ b/src/relay/run-choice.ts
@@ -5,12 +5,12 @@
 import type {Slot} from '../replicas/limit-slots.js';
 import type {Replica} from '../replicas/replica.js';
 import type {ChoiceRequest} from '../replicas/replica-choice.js';
-import {refusedFor} from './admission.js';
+import {retryDelayIfRefused} from './admission.js';
 import type {AdmittedRequest} from './admitted-request.js';
 import type {QueuedRequest} from './limit-queue.js';
 import type {RelayServices} from './relay-services.js';
-import type {RunStory} from './run-story.js';
-import type {RunSuspicion} from './run-suspicion.js';
+import type {RunRecord} from './run-record.js';
+import type {CrashSuspicion} from './crash-suspicion.js';
 
 /** The next step of a request. */
 export type RunDecision =
@@ -20,15 +20,15 @@
 	| {readonly kind: 'turn'}
 	/** Decide again after `wait` milliseconds, when a replica may have capacity. */
 	| {readonly kind: 'wait'; readonly wait: number}
-	/** Refuse it; the client may retry after `comeBack` milliseconds. */
-	| {readonly kind: 'refuse'; readonly reason: 'no-upstream' | 'capacity-short' | 'replica-limit'; readonly detail: string; readonly comeBack: number};
+	/** Refuse it; the client may retry after `retryDelay` milliseconds. */
+	| {readonly kind: 'refuse'; readonly reason: 'no-upstream' | 'capacity-short' | 'replica-limit'; readonly detail: string; readonly retryDelay: number};
 
 /** Dependencies of the choice. */
 export type RunChoiceServices = {
 	readonly services: RelayServices;
-	readonly suspicion: RunSuspicion;
+	readonly suspicion: CrashSuspicion;
 	readonly choiceRequest: ChoiceRequest;
-	readonly story: RunStory;
+	readonly record: RunRecord;
 	/** @returns The request, with the route of the configuration that is now in force. */
 	readonly request: () => AdmittedRequest;
 	/** @returns Whether to wait when no replica is available: a replica may have run the request, and there is no error answer to send instead. */
@@ -39,9 +39,9 @@
  * Number of refused connections after which a request no longer tries replicas that have recently refused connections: each attempt would
  * cost a connection and most likely fail.
  */
-const mostRefusedConnections = 8;
+const maxRefusedConnections = 8;
 /** Bounds, in milliseconds, of the interval between checks while a request waits for capacity: more urgent requests may arrive, and limits may end. */
-const looks = {least: 5, longest: 50} as const;
+const capacityCheckInterval = {min: 5, max: 50} as const;
 /** Milliseconds between checks for a replica that is newly listed or accepts connections again. */
 const replicaCheckInterval = 20;
 
@@ -58,7 +58,7 @@
 	private readonly tried = new Set<Replica>();
 	/** Set while the request waits for capacity at a replica. */
 	private queued: QueuedRequest | undefined;
-	private readonly wasKept = {limited: false, paused: false};
+	private readonly wasExcluded = {limited: false, paused: false};
 
 	private constructor(private readonly parts: RunChoiceServices) {}
 
@@ -75,14 +75,14 @@
 			return this.withoutReplica(`No replica of service ${service} can take the request.`);
 		}
 
-		const open = this.withRoom(ready);
+		const open = this.withCapacity(ready);
 		const candidates = this.candidatesAmong(open);
 		if (candidates) {
 			return this.chooseAmong(candidates);
 		}
 
 		const full = ready.filter(replica => !open.includes(replica));
-		return full.length > 0 ? this.awaitRoom(full) : this.withoutReplica(`All replicas of service ${service} refuse connections.`);
+		return full.length > 0 ? this.awaitCapacity(full) : this.withoutReplica(`All replicas of service ${service} refuse connections.`);
 	}
 
 	/** Leaves the queue of waiting requests. */
@@ -95,8 +95,8 @@
 
 	private chooseAmong(candidates: readonly Replica[]): RunDecision {
 		const {services: {choice}, suspicion, choiceRequest} = this.parts;
-		const bounded = suspicion.bounded(candidates);
-		return bounded.length > 0 ? this.admit(choice.choose(bounded, choiceRequest)) : {kind: 'turn'};
+		const eligible = suspicion.eligible(candidates);
+		return eligible.length > 0 ? this.admit(choice.choose(eligible, choiceRequest)) : {kind: 'turn'};
 	}
 
 	/**
@@ -107,60 +107,60 @@
 	 * @returns The preferred replicas; `undefined` if all of them refuse connections.
 	 */
 	private candidatesAmong(open: readonly Replica[]): readonly Replica[] | undefined {
-		const {services: {limits, statements}, story} = this.parts;
-		const mayBeRefused = story.refusedConnections < mostRefusedConnections;
+		const {services: {limits, statements}, record} = this.parts;
+		const mayBeRefused = record.refusedConnections < maxRefusedConnections;
 		const untried = open.filter(replica => !this.tried.has(replica) && (mayBeRefused || !replica.refusesConnections));
 		const responsive = untried.filter(({isSilent}) => !isSilent);
 		const listening = responsive.filter(({refusesConnections}) => !refusesConnections);
-		const sound = listening.filter(({isAvoided}) => !isAvoided);
-		const due = sound.filter(replica => limits.isDue(replica));
-		const willing = sound.filter(replica => statements.boxesPaused(replica) === 0);
+		const notAvoided = listening.filter(({isAvoided}) => !isAvoided);
+		const due = notAvoided.filter(replica => limits.isDue(replica));
+		const unpaused = notAvoided.filter(replica => statements.boxesPaused(replica) === 0);
 		const again = open.filter(replica => this.tried.has(replica) && !replica.refusesConnections);
-		return [due, willing, sound, listening, responsive, untried, again].find(({length}) => length > 0);
+		return [due, unpaused, notAvoided, listening, responsive, untried, again].find(({length}) => length > 0);
 	}
 
 	/** Excludes replicas without capacity. If all others have rate limits, requests that wait for them go first unless they are less urgent. */
-	private withRoom(ready: readonly Replica[]): readonly Replica[] {
+	private withCapacity(ready: readonly Replica[]): readonly Replica[] {
 		const {services: {limits, limitQueue, statements}, request} = this.parts;
 		const {service, urgency} = request();
 		const open = ready.filter(replica => statements.hasRoom(replica));
 		if (open.length < ready.length) {
-			this.noteKept(ready.filter(replica => !open.includes(replica)));
+			this.recordExcluded(ready.filter(replica => !open.includes(replica)));
 		}
 
 		const areAllLimited = open.every(replica => limits.limitOf(replica) !== undefined);
-		const mustQueue = areAllLimited && limitQueue.hasBefore(this.queued ?? {service, urgency, number: Number.POSITIVE_INFINITY});
+		const mustQueue = areAllLimited && limitQueue.hasRequestAhead(this.queued ?? {service, urgency, number: Number.POSITIVE_INFINITY});
 		return mustQueue ? [] : open;
 	}
 
-	private noteKept(full: readonly Replica[]): void {
-		const {services: {metrics, statements}, story, request} = this.parts;
+	private recordExcluded(full: readonly Replica[]): void {
+		const {services: {metrics, statements}, record, request} = this.parts;
 		const {service} = request();
 		const paused = full.filter(replica => statements.pauseLeft(replica) > 0).length;
-		story.keptFrom = Math.max(story.keptFrom, full.length);
-		if (paused > 0 && !this.wasKept.paused) {
-			this.wasKept.paused = true;
-			metrics.keptFromPaused.inc({service});
+		record.excludedReplicas = Math.max(record.excludedReplicas, full.length);
+		if (paused > 0 && !this.wasExcluded.paused) {
+			this.wasExcluded.paused = true;
+			metrics.pauseExclusions.inc({service});
 		}
 
-		if (paused < full.length && !this.wasKept.limited) {
-			this.wasKept.limited = true;
-			metrics.keptFromLimited.inc({service});
+		if (paused < full.length && !this.wasExcluded.limited) {
+			this.wasExcluded.limited = true;
+			metrics.limitExclusions.inc({service});
 		}
 	}
 
 	/** Refuses a request in favour of more urgent ones only before its first attempt. */
 	private admit(replica: Replica): RunDecision {
-		const {services: {demands, table, limits}, story, request} = this.parts;
+		const {services: {demands, table, limits}, record, request} = this.parts;
 		const {route, service, urgency} = request();
-		const wait = story.tries > 0
+		const wait = record.attempts > 0
 			? undefined
-			: refusedFor({
+			: retryDelayIfRefused({
 				replica, urgency, demand: demands.of(service), goal: route.goal, urgencies: table.inForce?.urgencies(service) ?? [],
 			});
 		if (wait !== undefined) {
 			return {
-				kind: 'refuse', reason: 'capacity-short', detail: `Replicas of service ${service} are taken by more urgent requests.`, comeBack: wait,
+				kind: 'refuse', reason: 'capacity-short', detail: `Replicas of service ${service} are taken by more urgent requests.`, retryDelay: wait,
 			};
 		}
 
@@ -173,14 +173,14 @@
 	 * Waits for this box's next slot if the answer can still be in time, and refuses the request otherwise. The slot is reserved for this
 	 * box, so waiting serves the client sooner than a retry would.
 	 */
-	private awaitRoom(ready: readonly Replica[]): RunDecision {
+	private awaitCapacity(ready: readonly Replica[]): RunDecision {
 		const {services: {limitQueue, statements}, request} = this.parts;
 		const {service, urgency} = request();
 		this.queued ??= limitQueue.join(service, urgency);
 		const timeLeft = this.timeLeftFor(ready);
-		const wait = statements.untilRoom(ready, limitQueue.placeOf(this.queued), Math.max(0, timeLeft));
+		const wait = statements.untilRoom(ready, limitQueue.positionOf(this.queued), Math.max(0, timeLeft));
 		if (wait <= timeLeft) {
-			return {kind: 'wait', wait: Math.min(looks.longest, Math.max(looks.least, wait))};
+			return {kind: 'wait', wait: Math.min(capacityCheckInterval.max, Math.max(capacityCheckInterval.min, wait))};
 		}
 
 		this.close();
@@ -188,27 +188,27 @@
 			kind: 'refuse',
 			reason: 'replica-limit',
 			detail: `All ${ready.length} replicas of service ${service} have asked this box for a pause, or have named limits of which its part is used.`,
-			comeBack: this.comeBackAfter(ready, Math.max(0, Number.isFinite(wait) ? wait : timeLeft)),
+			retryDelay: this.retryDelayFor(ready, Math.max(0, Number.isFinite(wait) ? wait : timeLeft)),
 		};
 	}
 
 	/** A pause applies to one box. If a replica has not asked all boxes to pause, another box may serve the client immediately. */
-	private comeBackAfter(full: readonly Replica[], untilRoom: number): number {
+	private retryDelayFor(full: readonly Replica[], untilCapacity: number): number {
 		const {services: {limits, limitQueue, statements, boxes}, request} = this.parts;
 		const {service, urgency} = request();
 		const mayServeElsewhere = full.some(replica => statements.pauseLeft(replica) > 0 && statements.boxesPaused(replica) < boxes());
 		return mayServeElsewhere
 			? 0
-			: limitQueue.comeBackAfter({
-				service, urgency, untilRoom, rate: sumOf(full.map(replica => limits.partOf(replica))),
+			: limitQueue.reserveRetryDelay({
+				service, urgency, untilCapacity, rate: sumOf(full.map(replica => limits.partOf(replica))),
 			});
 	}
 
 	/** Milliseconds that the request may wait so that its answer begins within the goal, or before the deadline if an attempt was made. */
 	private timeLeftFor(ready: readonly Replica[]): number {
-		const {services: {clock}, story, request} = this.parts;
+		const {services: {clock}, record, request} = this.parts;
 		const {route, receivedAt, deadlineAt} = request();
-		const end = story.tries > 0 ? deadlineAt : Math.min(deadlineAt, receivedAt + route.goal);
+		const end = record.attempts > 0 ? deadlineAt : Math.min(deadlineAt, receivedAt + route.goal);
 		return end - clock.monotonic() - Math.min(...ready.map(({latency}) => latency));
 	}
 
@@ -221,7 +221,7 @@
 		return this.parts.waitsForReplica()
 			? {kind: 'wait', wait: replicaCheckInterval}
 			: {
-				kind: 'refuse', reason: 'no-upstream', detail, comeBack: this.untilReplica,
+				kind: 'refuse', reason: 'no-upstream', detail, retryDelay: this.untilReplica,
 			};
 	}
 
--- a/src/relay/run-story.ts
+++ b/src/relay/run-record.ts
@@ -3,10 +3,10 @@
  */
 
 /** Outcome so far, updated by the attempts and written to the log record of the request. */
-export type RunStory = {
-	tries: number;
+export type RunRecord = {
+	attempts: number;
 	/** Attempts in which the replica may have run the request. */
-	runs: number;
+	executions: number;
 	/** Attempts at replicas whose addresses refused the connection. */
 	refusedConnections: number;
 	/** Id of the replica of the last attempt. */
@@ -16,7 +16,7 @@
 	/** Monotonic milliseconds of the first byte of an answer; `undefined` before. */
 	firstByteAt: number | undefined;
 	/** Greatest number of replicas that were excluded at one time because of their rate limits or requested pauses. */
-	keptFrom: number;
+	excludedReplicas: number;
 	/** Milliseconds for which the entry of the last replica had been missing when the request was sent; `undefined` if it was listed. */
 	missingFor: number | undefined;
 };
--- a/src/relay/stream-passage.ts
+++ b/src/relay/stream-passage.ts
@@ -4,7 +4,7 @@
 import * as Effect from 'effect/Effect';
 import type {EventFields} from '../base/event-log.js';
 import {EventSplitter, isComment} from '../upstream/event-splitter.js';
-import {withoutLength} from './answer-headers.js';
+import {withoutContentLength} from './answer-headers.js';
 import {AttemptFailure} from './attempt-failure.js';
 import type {ClientAnswer} from './client-answer.js';
 import {EventSequence, type EventMisfit} from './event-sequence.js';
@@ -45,11 +45,11 @@
 	}
 
 	/** Bytes of incomplete events at the end of runs; they are not forwarded. */
-	private heldBack = 0;
+	private incompleteBytes = 0;
 	/** Events that were not the next one or were too large. */
 	private misfits = 0;
 	/** Ids of the events after which later runs were asked to resume. */
-	private readonly resumedBehind: string[] = [];
+	private readonly resumedAfter: string[] = [];
 	private readonly sequence: EventSequence;
 
 	private constructor(private readonly parts: PassageParts) {
@@ -58,19 +58,19 @@
 
 	/** Id of the last event that was forwarded; `undefined` if none was. */
 	get lastEventId(): string | undefined {
-		return this.sequence.taken > 0 ? this.sequence.lastEventId : undefined;
+		return this.sequence.acceptedCount > 0 ? this.sequence.lastEventId : undefined;
 	}
 
 	/** Fields for the log record of the request; empty if nothing was streamed. */
 	get fields(): EventFields {
-		const {taken} = this.sequence;
-		return taken + this.heldBack + this.misfits === 0
+		const {acceptedCount} = this.sequence;
+		return acceptedCount + this.incompleteBytes + this.misfits === 0
 			? {}
 			: {
-				events: taken,
+				events: acceptedCount,
 				lastEvent: this.lastEventId,
-				resumedBehind: this.resumedBehind.length === 0 ? undefined : this.resumedBehind.join(' '),
-				heldBack: this.heldBack === 0 ? undefined : this.heldBack,
+				resumedBehind: this.resumedAfter.length === 0 ? undefined : this.resumedAfter.join(' '),
+				heldBack: this.incompleteBytes === 0 ? undefined : this.incompleteBytes,
 				misfits: this.misfits === 0 ? undefined : this.misfits,
 			};
 	}
@@ -87,15 +87,15 @@
 		return Effect.callback<void, AttemptFailure>(resume => {
 			const splitter = EventSplitter.create();
 			const {message} = answer;
-			const takenBefore = this.sequence.taken;
+			const acceptedBefore = this.sequence.acceptedCount;
 			let isOver = false;
 			const end = (failure?: AttemptFailure) => {
 				isOver = true;
-				this.noteEnd(splitter.heldBack);
+				this.recordRunEnd(splitter.heldBack);
 				resume(failure ? Effect.fail(failure) : Effect.void);
 			};
 
-			this.noteRun();
+			this.recordResumption();
 			// Each byte becomes one character, so that bytes that are not valid text reach the client unchanged.
 			message.setEncoding(byteEncoding);
 			message.on('data', (chunk: string) => {
@@ -104,20 +104,20 @@
 				}
 
 				listener.onHeard();
-				const hadEvents = this.sequence.taken > takenBefore;
-				const {fitting, misfit} = this.judge(splitter.split(chunk));
-				if (!hadEvents && this.sequence.taken > takenBefore) {
+				const hadEvents = this.sequence.acceptedCount > acceptedBefore;
+				const {fitting, misfit} = this.acceptEvents(splitter.split(chunk));
+				if (!hadEvents && this.sequence.acceptedCount > acceptedBefore) {
 					listener.onFirstEvent();
 				}
 
 				if (fitting.length > 0) {
 					this.passEvents(answer, fitting);
-					this.holdBack(answer);
+					this.applyBackpressure(answer);
 				}
 
 				if (misfit !== undefined || splitter.isOverfull) {
 					answer.abandon();
-					end(this.garbled(misfit ?? 'oversize'));
+					end(this.misfitFailure(misfit ?? 'oversize'));
 				}
 			});
 			onceEnded(answer, isWhole => {
@@ -127,11 +127,11 @@
 
 				// The framing may mark an answer as complete although its last event is incomplete.
 				if (!isWhole || splitter.heldBack > 0) {
-					end(AttemptFailure.mayHaveRun('cut', `the stream was cut after ${this.sequence.taken} events, ${splitter.heldBack} bytes into the next`));
+					end(AttemptFailure.mayHaveRun('cut', `the stream was cut after ${this.sequence.acceptedCount} events, ${splitter.heldBack} bytes into the next`));
 					return;
 				}
 
-				this.beginOnce(answer);
+				this.sendHeadOnce(answer);
 				this.parts.client.end();
 				end();
 			});
@@ -143,7 +143,7 @@
 	}
 
 	/** Accepts events up to the first that is not the next one: otherwise parts of two runs would look like one continuous stream. */
-	private judge(events: readonly string[]): {readonly fitting: readonly string[]; readonly misfit: EventMisfit | undefined} {
+	private acceptEvents(events: readonly string[]): {readonly fitting: readonly string[]; readonly misfit: EventMisfit | undefined} {
 		let misfit: EventMisfit | undefined;
 		const at = events.findIndex(event => {
 			misfit = this.misfitOf(event);
@@ -153,44 +153,44 @@
 	}
 
 	private misfitOf(event: string): EventMisfit | undefined {
-		const misfit = this.sequence.take(this.parts.format.eventId(event));
+		const misfit = this.sequence.accept(this.parts.format.eventId(event));
 		return misfit === 'unnumbered' && isComment(event) ? undefined : misfit;
 	}
 
-	private garbled(reason: EventMisfit | 'oversize'): AttemptFailure {
+	private misfitFailure(reason: EventMisfit | 'oversize'): AttemptFailure {
 		this.misfits++;
 		this.parts.metrics.eventMisfits.inc({reason});
-		return AttemptFailure.mayHaveRun('garbled', `an event came that is ${reason}, after ${this.sequence.taken} events`);
+		return AttemptFailure.mayHaveRun('garbled', `an event came that is ${reason}, after ${this.sequence.acceptedCount} events`);
 	}
 
-	private noteRun(): void {
+	private recordResumption(): void {
 		if (this.lastEventId !== undefined) {
-			this.resumedBehind.push(this.lastEventId);
+			this.resumedAfter.push(this.lastEventId);
 		}
 	}
 
-	private noteEnd(heldBack: number): void {
-		this.heldBack += heldBack;
+	private recordRunEnd(heldBack: number): void {
+		this.incompleteBytes += heldBack;
 		if (heldBack > 0) {
-			this.parts.metrics.streamsEndedInside.inc();
+			this.parts.metrics.streamsEndedInsideEvent.inc();
 		}
 	}
 
 	private passEvents(answer: OpenAnswer, events: readonly string[]): void {
-		this.beginOnce(answer);
+		this.sendHeadOnce(answer);
 		this.parts.client.write(events.join(''), byteEncoding);
 	}
 
 	/** Omits `Content-Length`: the length that the first replica sent is wrong if the stream continues at another replica. */
-	private beginOnce({message, status}: OpenAnswer): void {
+	private sendHeadOnce({message, status}: OpenAnswer): void {
 		const {client, format} = this.parts;
 		if (!client.hasBegun) {
-			client.begin(status, withoutLength(format.answerHeaders(message)));
+			client.begin(status, withoutContentLength(format.answerHeaders(message)));
 		}
 	}
 
 	/** Applies backpressure: a client that reads slowly slows down its replica instead of filling this box's memory. */
-	private holdBack({message}: OpenAnswer): void {
+	private applyBackpressure({message}: OpenAnswer): void {
 		const {client} = this.parts;
 		if (client.isCongested) {
 			message.pause();
--- a/src/relay/test/admission.test.ts
+++ b/src/relay/test/admission.test.ts
@@ -3,7 +3,7 @@
 import {MovedClock} from '../../../development/harness/moved-clock.js';
 import {Replica} from '../../replicas/replica.js';
 import {ServiceDemands} from '../../replicas/service-demand.js';
-import {refusedFor} from '../admission.js';
+import {retryDelayIfRefused} from '../admission.js';
 
 const clock = new MovedClock(1000);
 const urgencies = [0, 1, 2];
@@ -23,7 +23,7 @@
 	return {replica, demand};
 };
 
-const refused = (urgency: number, unreadTokens: number, requests?: number) => refusedFor({
+const refused = (urgency: number, unreadTokens: number, requests?: number) => retryDelayIfRefused({
 	...shortage(unreadTokens, requests), goal: 200, urgency, urgencies,
 });
 
@@ -40,10 +40,10 @@
 });
 
 test('no request is refused if all have the same urgency, or before anything was measured for the service', () => {
-	assert.equal(refusedFor({
+	assert.equal(retryDelayIfRefused({
 		...shortage(400_000), goal: 200, urgency: 2, urgencies: [2],
 	}), undefined);
-	assert.equal(refusedFor({
+	assert.equal(retryDelayIfRefused({
 		...shortage(400_000), demand: ServiceDemands.create(clock).of('s'), goal: 200, urgency: 2, urgencies,
 	}), undefined);
 });
--- a/src/relay/test/end-watch.test.ts
+++ b/src/relay/test/end-watch.test.ts
@@ -48,42 +48,42 @@
 	};
 }
 
-const endsIn = ({lines}: KeepingLog): readonly unknown[] => lines.filter(({eventName}) => eventName === 'replicaEnded').map(({suspects}) => suspects);
+const crashesIn = ({lines}: KeepingLog): readonly unknown[] => lines.filter(({eventName}) => eventName === 'replicaEnded').map(({suspects}) => suspects);
 
 test('a cut connection is not reported as a crash while the replica still listens', async () => {
 	const {standin, replica, watch, log, close} = await watched();
-	watch.noteCut(replica, first);
+	watch.recordCut(replica, first);
 	await until(() => standin.connections === 1);
 	await pause(20);
 	watch.noteGone(replica);
-	assert.deepEqual(endsIn(log), []);
+	assert.deepEqual(crashesIn(log), []);
 	await close();
 });
 
 test('a replica that refuses the probe is reported as crashed, with all requests that were cut there', async () => {
 	const {standin, replica, watch, log} = await watched();
 	await standin.close();
-	watch.noteCut(replica, first);
-	watch.noteCut(replica, second);
-	await until(() => endsIn(log).length > 0);
-	assert.deepEqual(endsIn(log), [`${first.fingerprint} ${second.fingerprint}`]);
+	watch.recordCut(replica, first);
+	watch.recordCut(replica, second);
+	await until(() => crashesIn(log).length > 0);
+	assert.deepEqual(crashesIn(log), [`${first.fingerprint} ${second.fingerprint}`]);
 });
 
 test('a replica that is leaving exits as planned, and no request is suspected', async () => {
 	const {standin, replica, watch, log} = await watched();
 	await standin.close();
 	replica.leave();
-	watch.noteCut(replica, first);
+	watch.recordCut(replica, first);
 	await pause(60);
-	assert.deepEqual(endsIn(log), []);
+	assert.deepEqual(crashesIn(log), []);
 });
 
 test('a replica whose entry is removed after a cut is reported as crashed, without a result of the probe', async () => {
 	const {standin, replica, watch, log, close} = await watched();
-	watch.noteCut(replica, first);
+	watch.recordCut(replica, first);
 	// The probe has not completed yet.
 	watch.noteGone(replica);
-	assert.deepEqual(endsIn(log), [first.fingerprint]);
+	assert.deepEqual(crashesIn(log), [first.fingerprint]);
 	await pause(40);
 	assert.equal(standin.connections, 0, 'a replica whose entry is removed is not probed');
 	await close();
--- a/src/relay/test/stream-exchange.test.ts
+++ b/src/relay/test/stream-exchange.test.ts
@@ -27,7 +27,7 @@
 
 const seed = 33;
 const numberRuns = 150;
-const mostEvents = 7;
+const maxEvents = 7;
 /** Bytes of data per event that are enough to fill the buffers between replica and client. */
 const largeData = 400_000;
 
@@ -35,9 +35,9 @@
 type Run = {
 	readonly framing: 'chunked' | 'length' | 'none';
 	/** Where it resumes: at the event after the requested one, at the first event, or one event too far. */
-	readonly goesOn: 'behind' | 'anew' | 'too-far';
+	readonly resumption: 'behind' | 'anew' | 'too-far';
 	/** An event that is sent wrongly: omitted, without an id, or twice. */
-	readonly slip: {readonly event: number; readonly how: 'left-out' | 'nameless' | 'twice'} | undefined;
+	readonly fault: {readonly event: number; readonly how: 'left-out' | 'nameless' | 'twice'} | undefined;
 	readonly hasComments: boolean;
 	/** Share of all bytes after which the connection ends; `undefined` if all are sent. */
 	readonly breaksAt: number | undefined;
@@ -66,8 +66,8 @@
 const seldom = <T>(value: fc.Arbitrary<T>): fc.Arbitrary<T | undefined> => fc.oneof({weight: 6, arbitrary: fc.constant(undefined)}, {weight: 1, arbitrary: value});
 const runs: fc.Arbitrary<Run> = fc.record({
 	framing: often<Run['framing']>('chunked', 'none'),
-	goesOn: often<Run['goesOn']>('behind', 'anew', 'too-far'),
-	slip: seldom(fc.record({event: fc.integer({min: 1, max: mostEvents}), how: fc.constantFrom('left-out' as const, 'nameless' as const, 'twice' as const)})),
+	resumption: often<Run['resumption']>('behind', 'anew', 'too-far'),
+	fault: seldom(fc.record({event: fc.integer({min: 1, max: maxEvents}), how: fc.constantFrom('left-out' as const, 'nameless' as const, 'twice' as const)})),
 	hasComments: fc.boolean(),
 	breaksAt: fc.oneof(fc.constant(undefined), share),
 	stopsAt: seldom(share),
@@ -77,7 +77,7 @@
 	isBytewiseAtBreak: fc.boolean(),
 });
 const plans: fc.Arbitrary<Plan> = fc.record({
-	events: fc.integer({min: 1, max: mostEvents}),
+	events: fc.integer({min: 1, max: maxEvents}),
 	dataBytes: often(20, largeData),
 	lastEventId: often<string | undefined>(undefined, '1', '0'),
 	isSlow: fc.boolean(),
@@ -90,12 +90,12 @@
 
 /** @returns The events that a run sends, one element each. */
 const eventsOf = (plan: Plan, index: number, behind: number): readonly string[] => {
-	const {goesOn, slip, hasComments} = plan.runs[index]!;
-	const first = goesOn === 'anew' ? 1 : behind + 1 + (goesOn === 'too-far' && behind > 0 ? 1 : 0);
+	const {resumption, fault, hasComments} = plan.runs[index]!;
+	const first = resumption === 'anew' ? 1 : behind + 1 + (resumption === 'too-far' && behind > 0 ? 1 : 0);
 	const numbers = Array.from({length: Math.max(0, plan.events - first + 1)}, (_, at) => first + at);
 	return numbers.flatMap(event => {
 		const text = eventOf(index, event, plan.dataBytes);
-		const how = slip?.event === event ? slip.how : 'none';
+		const how = fault?.event === event ? fault.how : 'none';
 		const made = {
 			none: [text], 'left-out': [], nameless: [text.slice(text.indexOf('\n') + 1)], twice: [text, text],
 		}[how];
@@ -107,8 +107,8 @@
 const frame = ({framing}: Run, body: Uint8Array, id: string): Uint8Array => {
 	const common = `HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nContent-Type: text/event-stream\r\n`;
 	if (framing !== 'chunked') {
-		const told = framing === 'length' ? `Content-Length: ${body.length}` : 'Connection: close';
-		return Buffer.concat([Buffer.from(`${common}${told}\r\n\r\n`), body]);
+		const lengthHeader = framing === 'length' ? `Content-Length: ${body.length}` : 'Connection: close';
+		return Buffer.concat([Buffer.from(`${common}${lengthHeader}\r\n\r\n`), body]);
 	}
 
 	// Chunk boundaries do not coincide with event boundaries.
@@ -119,14 +119,14 @@
 };
 
 /** Number of bytes before a break that are written one at a time. */
-const bytewise = 6;
+const bytewiseCount = 6;
 
 const writeRun = async (socket: Socket, run: Run, bytes: Uint8Array): Promise<void> => {
 	const end = run.breaksAt === undefined ? bytes.length : Math.floor(run.breaksAt * bytes.length);
 	let at = 0;
 	for (let step = 0; at < end && !socket.destroyed; step++) {
 		const usual = step > 40 ? end : run.pieces[step % run.pieces.length]!;
-		const size = run.isBytewiseAtBreak && end - at <= bytewise ? 1 : Math.max(1, Math.min(usual, end - at - (run.isBytewiseAtBreak ? bytewise : 0)));
+		const size = run.isBytewiseAtBreak && end - at <= bytewiseCount ? 1 : Math.max(1, Math.min(usual, end - at - (run.isBytewiseAtBreak ? bytewiseCount : 0)));
 		socket.write(bytes.subarray(at, at + size));
 		at += size;
 		await pause(1);
@@ -313,7 +313,7 @@
 };
 
 /** @returns Whether a reader has no evidence that the run's answer is incomplete. */
-const isProved = (run: Run, {events, stopped, all}: Served['bodies'][number]): boolean => {
+const isPlausiblyComplete = (run: Run, {events, stopped, all}: Served['bodies'][number]): boolean => {
 	if (run.framing === 'none') {
 		// Without framing, a reader cannot tell a cut between two events from the end of the answer.
 		return true;
@@ -343,7 +343,7 @@
 		return `the answer is ${isWhole ? 'complete' : 'cut'}, and the complete run is ${succeeded ?? 'none'}`;
 	}
 
-	if (succeeded !== undefined && !isProved(plan.runs[succeeded]!, bodies[succeeded]!)) {
+	if (succeeded !== undefined && !isPlausiblyComplete(plan.runs[succeeded]!, bodies[succeeded]!)) {
 		return `run ${succeeded} was accepted but incomplete`;
 	}
 
@@ -370,7 +370,7 @@
 
 test('a stream whose first replica sent a Content-Length is completed by another replica, even if its total length differs', async () => {
 	const run: Run = {
-		framing: 'chunked', goesOn: 'behind', slip: undefined, hasComments: false, breaksAt: undefined, stopsAt: undefined,
+		framing: 'chunked', resumption: 'behind', fault: undefined, hasComments: false, breaksAt: undefined, stopsAt: undefined,
 		ending: 'close', hasSurplus: false, pieces: [200_000], isBytewiseAtBreak: false,
 	};
 	const plan: Plan = {
--- a/src/relay/test/stream-passage.test.ts
+++ b/src/relay/test/stream-passage.test.ts
@@ -56,17 +56,17 @@
 	const passage = StreamPassage.create({
 		client: ClientAnswer.create(connection as unknown as ServerResponse, () => false), format: PlatformRelayFormat.create(), metrics: RelayMetrics.create(), lastEventId,
 	});
-	const told = {firstEvents: 0, abandoned: 0};
+	const counts = {firstEvents: 0, abandoned: 0};
 	/** @returns The failure of a run that sends these pieces; `undefined` if it succeeds. */
 	const run = async (pieces: ReadonlyArray<string | Uint8Array>): Promise<AttemptFailure | undefined> => {
 		const message = Object.assign(new PassThrough(), {rawHeaders: []});
 		const passing = Effect.runPromise(passage.pass({
 			message: message as unknown as IncomingMessage, head, status: 200, isWhole: () => true, abandon() {
-				told.abandoned++;
+				counts.abandoned++;
 			},
 		}, {
 			onFirstEvent() {
-				told.firstEvents++;
+				counts.firstEvents++;
 			},
 			onHeard: () => undefined,
 		}).pipe(Effect.as(undefined), Effect.catchTag('AttemptFailure', failure => Effect.succeed(failure))));
@@ -79,7 +79,7 @@
 	};
 
 	return {
-		connection, passage, run, told,
+		connection, passage, run, told: counts,
 	};
 };
 
