--- a/src/routing/prefix-belief.ts
+++ b/src/routing/prefix-belief.ts
@@ -1,26 +1,26 @@
 /**
- * What this box believes an engine has cached, from the prompts it sent there.
+ * Estimates which prompt prefixes an engine has cached, from the prompts that this box sent to it.
  */
 import {hashText} from '../base/rendezvous.js';
 
-/** Characters of a prompt that stand or fall together. */
+/** Characters in a block of a prompt; a block is either cached completely or not at all. */
 const blockLength = 256;
 const charactersPerToken = 4;
-/** Blocks remembered for each engine; an engine's own cache is larger than one box's part of it. */
+/** Maximum number of blocks remembered for each engine; an engine's own cache is larger than one box's share of it. */
 const rememberedBlocks = 8192;
 const longestHashedPrompt = 64 * blockLength;
 
-/** A prompt, cut into blocks each of which depends on all before it. */
+/** A prompt, divided into blocks. The hash of each block depends on all blocks before it. */
 export type Prompt = {
 	readonly tokens: number;
 	readonly blocks: readonly number[];
 };
 
 /**
- * Cuts a prompt into blocks.
+ * Divides a prompt into blocks.
  *
- * @param text - The whole prompt.
- * @returns Its length in tokens, roughly, and the names of its blocks.
+ * @param text - The complete prompt.
+ * @returns Its estimated length in tokens, and the hashes of its blocks.
  */
 export function describePrompt(text: string): Prompt {
 	const hashed = text.slice(0, longestHashedPrompt);
@@ -32,15 +32,15 @@
 	return {tokens: Math.ceil(text.length / charactersPerToken), blocks};
 }
 
-/** The belief about one engine. */
+/** The cache estimate for one engine. */
 export class PrefixBelief {
-	/** @returns A belief that nothing is cached. */
+	/** @returns An estimate that nothing is cached. */
 	static create(): PrefixBelief {
 		return new PrefixBelief();
 	}
 
 	private readonly blocks = new Map<number, true>();
-	/** Part of the belief that still holds; falls when the engine answers with fewer cached tokens than believed. */
+	/** Factor from 0.1 to 1 applied to the estimate; falls when the engine reports fewer cached tokens than estimated. */
 	private confidence = 1;
 
 	private constructor() {
@@ -48,8 +48,8 @@
 	}
 
 	/**
-	 * @param prompt - What would be sent.
-	 * @returns Tokens of it that the engine probably has.
+	 * @param prompt - The prompt to be sent.
+	 * @returns Number of its tokens that the engine probably has cached.
 	 */
 	cachedTokens(prompt: Prompt): number {
 		const missing = prompt.blocks.findIndex(block => !this.blocks.has(block));
@@ -58,9 +58,9 @@
 	}
 
 	/**
-	 * Notes that a prompt was sent.
+	 * Records that a prompt was sent.
 	 *
-	 * @param prompt - What was sent.
+	 * @param prompt - The prompt.
 	 */
 	note(prompt: Prompt): void {
 		for (const block of prompt.blocks) {
@@ -75,10 +75,10 @@
 	}
 
 	/**
-	 * Compares the belief with what the engine said afterwards.
+	 * Adjusts the confidence by the cached tokens that the engine reported.
 	 *
-	 * @param believed - Tokens believed cached when the request was sent.
-	 * @param cached - Tokens the engine had cached.
+	 * @param believed - Tokens estimated as cached when the request was sent.
+	 * @param cached - Tokens that the engine had cached.
 	 */
 	correct(believed: number, cached: number): void {
 		if (believed > 0) {
@@ -87,7 +87,7 @@
 		}
 	}
 
-	/** Forgets everything: the upstream is a new one. */
+	/** Resets the estimate, for an upstream that was replaced. */
 	clear(): void {
 		this.blocks.clear();
 		this.confidence = 1;
--- a/src/routing/routing-policy.ts
+++ b/src/routing/routing-policy.ts
@@ -5,40 +5,41 @@
 import type {Prompt} from './prefix-belief.js';
 import type {UpstreamState} from './upstream-state.js';
 
-/** What a decision needs to know of a request. */
+/** The properties of a request that routing depends on. */
 export type RoutedRequest = {
 	readonly prompt: Prompt;
-	/** From the service: how much latency counts against price and recomputed tokens. */
+	/** Weight of latency relative to price and recomputed tokens, from the configuration of the service. */
 	readonly latencyWeight: number;
 };
 
 /** Decides which upstream gets a request. */
 export abstract class RoutingPolicy {
 	/**
-	 * @param candidates - Upstreams that may get it; at least one.
+	 * @param candidates - Eligible upstreams; at least one.
 	 * @param request - The request.
-	 * @returns The one that gets it.
+	 * @returns The upstream that gets the request.
 	 */
 	abstract choose(candidates: readonly UpstreamState[], request: RoutedRequest): UpstreamState;
 }
 
 /** Milliseconds to compute one prompt token that is not cached. */
 const millisecondsPerPromptToken = 0.05;
-/** Milliseconds of waiting that one price unit an hour outweighs, at a latency weight of one. */
+/** Milliseconds of waiting that are equivalent to one price unit per hour, at a latency weight of one. */
 const millisecondsPerPriceUnit = 2;
 const randomCandidates = 2;
-/** Candidates from which on only some are looked at. */
+/** Largest number of candidates that are all compared; of more, only a sample is. */
 const manyCandidates = 8;
 
 /**
- * Takes the upstream with the least cost: expected wait, prompt tokens to compute again, and price.
- * Of many candidates it looks at the home of the prompt's first block and at two random ones.
+ * Chooses the upstream with the lowest cost: expected wait, prompt tokens to recompute, and price.
+ * Of many candidates it compares only two random ones and the home of the prompt, which is the upstream with the highest rendezvous hash
+ * for its first block.
  *
  * @remarks Source: docs/DESIGN.md, "Routing".
  */
 export class ExpectedCostPolicy extends RoutingPolicy {
 	/**
-	 * @param random - Numbers from 0 to 1; a seeded source in tests.
+	 * @param random - Returns numbers from 0 to 1; seeded in tests.
 	 * @returns The policy.
 	 */
 	static create(random: () => number = Math.random): ExpectedCostPolicy {
@@ -66,7 +67,7 @@
 	}
 }
 
-/** The same on every box, so that boxes agree where a prefix is cached without talking. */
+/** Returns the same upstream on every box, so that boxes agree on where a prefix is cached without communication. */
 function homeOf(candidates: readonly UpstreamState[], prompt: Prompt): UpstreamState | undefined {
 	const [first] = prompt.blocks;
 	if (first === undefined) {
--- a/src/routing/test/upstream-subset.test.ts
+++ b/src/routing/test/upstream-subset.test.ts
@@ -10,14 +10,14 @@
 		self, boxes, upstreams, target,
 	})]));
 
-test('a small pool is linked whole', () => {
+test('every box links to all upstreams of a small pool', () => {
 	const upstreams = names('engine', 13);
 	for (const links of linksOf(names('entry', 9), upstreams).values()) {
 		assert.deepEqual([...links], upstreams);
 	}
 });
 
-test('at the planned size every upstream has as many boxes as any other, and every box about the target', () => {
+test('at the planned size every upstream is linked by the same number of boxes, and every box has about the target number of links', () => {
 	const boxes = names('entry', 340);
 	const upstreams = names('engine', 2200);
 	const links = linksOf(boxes, upstreams);
@@ -31,7 +31,7 @@
 	assert.ok(Math.min(...sizes) >= 12 && Math.max(...sizes) <= 60, `from ${Math.min(...sizes)} to ${Math.max(...sizes)} links`);
 });
 
-test('one upstream more changes the links of the boxes that take it, and few others', () => {
+test('adding an upstream does not make any box drop an existing link', () => {
 	const boxes = names('entry', 40);
 	const before = linksOf(boxes, names('engine', 200));
 	const after = linksOf(boxes, names('engine', 201));
--- a/src/routing/upstream-state.ts
+++ b/src/routing/upstream-state.ts
@@ -1,27 +1,27 @@
 /**
- * What this box knows of one upstream: its lagged report, corrected by this box's own dispatches since.
+ * This box's view of one upstream: its last load report, which is delayed, plus this box's own dispatches since then.
  */
 import type {Clock} from '../base/clock.js';
 import type {Box} from '../external/box-list.js';
 import type {LoadReport} from '../upstream/load-report.js';
 import {PrefixBelief} from './prefix-belief.js';
 
-/** Milliseconds an upstream is avoided after its first failure; doubles with each further one. */
+/** Milliseconds for which an upstream is avoided after its first failure; doubled with each consecutive failure. */
 const firstAvoidance = 500;
 const longestAvoidance = 15_000;
-/** Weight of the newest measurement in a moving mean. */
+/** Weight of the newest measurement in an exponential moving average. */
 const meanWeight = 0.2;
-/** Milliseconds of a request before any was measured. */
+/** Assumed duration of a request in milliseconds until one has been measured. */
 const assumedServiceTime = 300;
-/** Requests that may be tried on an upstream that comes back, until one succeeds. */
+/** Maximum number of concurrent requests to an upstream after an avoidance, until one succeeds. */
 const trialRequests = 1;
 
-/** One upstream, as this box sees it. */
+/** This box's view of one upstream. */
 export class UpstreamState {
 	/**
 	 * @param box - The upstream.
-	 * @param clock - For ages and avoidance.
-	 * @returns A state that knows nothing yet.
+	 * @param clock - For the avoidance after failures.
+	 * @returns A state without reports or measurements.
 	 */
 	static create(box: Box, clock: Clock): UpstreamState {
 		return new UpstreamState(box, clock);
@@ -38,32 +38,32 @@
 
 	private constructor(readonly box: Box, private readonly clock: Clock) {}
 
-	/** Requests this box has there. */
+	/** Requests of this box that are in progress at the upstream. */
 	get inFlight(): number {
 		return this.ownInFlight;
 	}
 
-	/** Requests that are there in all, as far as can be told. */
+	/** Estimated number of requests of all boxes that are running or queued at the upstream. */
 	get outstanding(): number {
 		return Math.max(this.ownInFlight, this.report.running + this.report.queued + this.dispatchedSinceReport);
 	}
 
-	/** Requests that wait there, as far as can be told. */
+	/** Estimated number of requests that are queued at the upstream. */
 	get queued(): number {
 		return this.report.queued === 0 ? 0 : this.report.queued + this.dispatchedSinceReport;
 	}
 
-	/** Mean milliseconds of a request. */
+	/** Mean duration of a request in milliseconds. */
 	get meanServiceTime(): number {
 		return this.serviceTime;
 	}
 
-	/** Mean milliseconds to the first token or to the answer. */
+	/** Mean milliseconds to the first token, or to the answer if it is not streamed. */
 	get meanFirstTokenTime(): number {
 		return this.firstTokenTime;
 	}
 
-	/** Whether it may be given work: not avoided, or due for a trial. */
+	/** Whether it may get requests: it is not avoided, or its avoidance has passed and it may get a trial request. */
 	get isUsable(): boolean {
 		if (this.consecutiveFailures === 0) {
 			return true;
@@ -72,28 +72,28 @@
 		return this.clock.monotonic() >= this.avoidedUntil && this.ownInFlight < trialRequests;
 	}
 
-	/** Takes a report. What was dispatched before it is in it, but for the lag: half is kept. */
+	/** Applies a report. Because reports are delayed, half of the dispatches since the last one are assumed to be missing from it. */
 	takeReport(report: LoadReport): void {
 		this.report = report;
 		this.dispatchedSinceReport = Math.floor(this.dispatchedSinceReport / 2);
 	}
 
-	/** Notes that a request goes there. */
+	/** Records that a request is sent to the upstream. */
 	begin(): void {
 		this.ownInFlight++;
 		this.dispatchedSinceReport++;
 	}
 
-	/** Notes that a request has ended there, whatever its outcome. */
+	/** Records that a request has ended at the upstream, whatever its outcome. */
 	end(): void {
 		this.ownInFlight--;
 		this.dispatchedSinceReport = Math.max(0, this.dispatchedSinceReport - 1);
 	}
 
 	/**
-	 * Notes a first token or an answer.
+	 * Records the time to a first token or to an answer.
 	 *
-	 * @param milliseconds - Since the request was sent.
+	 * @param milliseconds - Time since the request was sent.
 	 */
 	noteFirstToken(milliseconds: number): void {
 		this.firstTokenTime = (this.firstTokenTime * (1 - meanWeight)) + (milliseconds * meanWeight);
@@ -101,16 +101,20 @@
 	}
 
 	/**
-	 * Notes that a request succeeded.
+	 * Records that a request succeeded.
 	 *
-	 * @param milliseconds - How long it took.
+	 * @param milliseconds - Duration of the request.
 	 */
 	noteSuccess(milliseconds: number): void {
 		this.serviceTime = (this.serviceTime * (1 - meanWeight)) + (milliseconds * meanWeight);
 		this.consecutiveFailures = 0;
 	}
 
-	/** @returns Whether the upstream is avoided from now on because of this failure. */
+	/**
+	 * Records a failure and avoids the upstream for a while.
+	 *
+	 * @returns Whether this is the first of consecutive failures, from which the upstream is avoided.
+	 */
 	noteFailure(): boolean {
 		this.consecutiveFailures++;
 		const pause = Math.min(longestAvoidance, firstAvoidance * (2 ** (this.consecutiveFailures - 1)));
--- a/src/routing/upstream-subset.ts
+++ b/src/routing/upstream-subset.ts
@@ -1,29 +1,28 @@
 /**
- * Which upstreams a box keeps links to, when there are too many for all of them. Each upstream picks, by
- * rendezvous hash, as many boxes as it needs; so all upstreams are used alike, and the coming or going of one
- * box or upstream changes few links.
+ * Chooses the upstreams that a box keeps links to when there are too many to link to all. Each upstream is assigned the same number of
+ * boxes by rendezvous hash, so all upstreams get a similar load, and adding or removing a box or an upstream changes few links.
  */
 import type {BoxId} from '../base/identifiers.js';
 import {hashText, mixHashes} from '../base/rendezvous.js';
 
-/** Upstreams of a pool that a box keeps links to, about; up to this many it keeps them all. */
+/** Approximate number of upstreams of a pool that a box keeps links to; a pool of at most this size is linked completely. */
 export const targetLinks = 32;
-/** Boxes at least that keep a link to an upstream. */
+/** Minimum number of boxes that keep a link to an upstream. */
 const fewestBoxes = 3;
 
-/** What the choice rests on; the same on every box but for `self`. */
+/** Input of the choice; the same on every box except for `self`. */
 export type SubsetFacts = {
 	readonly self: BoxId;
-	/** All entry boxes, this one too. */
+	/** All entry boxes, including this one. */
 	readonly boxes: readonly BoxId[];
-	/** Upstreams of one pool that may get new work. */
+	/** Upstreams of one pool that may get new requests. */
 	readonly upstreams: readonly BoxId[];
-	/** See {@link targetLinks}. */
+	/** Approximate number of links for each box; see {@link targetLinks}. */
 	readonly target: number;
 };
 
 /**
- * @param facts - What the choice rests on.
+ * @param facts - Input of the choice.
  * @returns The upstreams that this box keeps links to.
  */
 export function chooseSubset({self, boxes, upstreams, target}: SubsetFacts): ReadonlySet<BoxId> {
