--- a/src/routing/prefix-belief.ts
+++ b/src/routing/prefix-belief.ts
@@ -7,8 +7,8 @@
 const blockLength = 256;
 const charactersPerToken = 4;
 /** Maximum number of blocks remembered for each engine; an engine's own cache is larger than one box's share of it. */
-const rememberedBlocks = 8192;
-const longestHashedPrompt = 64 * blockLength;
+const maxRememberedBlocks = 8192;
+const maxHashedCharacters = 64 * blockLength;
 
 /** A prompt, divided into blocks. The hash of each block depends on all blocks before it. */
 export type Prompt = {
@@ -23,7 +23,7 @@
  * @returns Its estimated length in tokens, and the hashes of its blocks.
  */
 export function describePrompt(text: string): Prompt {
-	const hashed = text.slice(0, longestHashedPrompt);
+	const hashed = text.slice(0, maxHashedCharacters);
 	let previous = 0;
 	const blocks = Array.from({length: Math.floor(hashed.length / blockLength)}, (_, index) => {
 		previous = hashText(`${previous}:${hashed.slice(index * blockLength, (index + 1) * blockLength)}`);
@@ -33,10 +33,10 @@
 }
 
 /** The cache estimate for one engine. */
-export class PrefixBelief {
+export class PrefixCacheEstimate {
 	/** @returns An estimate that nothing is cached. */
-	static create(): PrefixBelief {
-		return new PrefixBelief();
+	static create(): PrefixCacheEstimate {
+		return new PrefixCacheEstimate();
 	}
 
 	private readonly blocks = new Map<number, true>();
@@ -68,7 +68,7 @@
 			this.blocks.set(block, true);
 		}
 
-		const surplus = this.blocks.size - rememberedBlocks;
+		const surplus = this.blocks.size - maxRememberedBlocks;
 		for (const block of [...this.blocks.keys()].slice(0, Math.max(0, surplus))) {
 			this.blocks.delete(block);
 		}
@@ -77,12 +77,12 @@
 	/**
 	 * Adjusts the confidence by the cached tokens that the engine reported.
 	 *
-	 * @param believed - Tokens estimated as cached when the request was sent.
+	 * @param estimated - Tokens estimated as cached when the request was sent.
 	 * @param cached - Tokens that the engine had cached.
 	 */
-	correct(believed: number, cached: number): void {
-		if (believed > 0) {
-			const ratio = Math.min(1, cached / believed);
+	correct(estimated: number, cached: number): void {
+		if (estimated > 0) {
+			const ratio = Math.min(1, cached / estimated);
 			this.confidence = Math.max(0.1, Math.min(1, (this.confidence * 0.8) + (ratio * 0.2)));
 		}
 	}
--- a/src/routing/routing-policy.ts
+++ b/src/routing/routing-policy.ts
@@ -28,7 +28,7 @@
 const millisecondsPerPriceUnit = 2;
 const randomCandidates = 2;
 /** Largest number of candidates that are all compared; of more, only a sample is. */
-const manyCandidates = 8;
+const maxComparedCandidates = 8;
 
 /**
  * Chooses the upstream with the lowest cost: expected wait, prompt tokens to recompute, and price.
@@ -58,7 +58,7 @@
 	}
 
 	private sample(candidates: readonly UpstreamState[], home: UpstreamState | undefined): readonly UpstreamState[] {
-		if (candidates.length <= manyCandidates) {
+		if (candidates.length <= maxComparedCandidates) {
 			return candidates;
 		}
 
--- a/src/routing/upstream-state.ts
+++ b/src/routing/upstream-state.ts
@@ -4,17 +4,17 @@
 import type {Clock} from '../base/clock.js';
 import type {Box} from '../external/box-list.js';
 import type {LoadReport} from '../upstream/load-report.js';
-import {PrefixBelief} from './prefix-belief.js';
+import {PrefixCacheEstimate} from './prefix-belief.js';
 
 /** Milliseconds for which an upstream is avoided after its first failure; doubled with each consecutive failure. */
-const firstAvoidance = 500;
-const longestAvoidance = 15_000;
+const initialAvoidance = 500;
+const maxAvoidance = 15_000;
 /** Weight of the newest measurement in an exponential moving average. */
 const meanWeight = 0.2;
 /** Assumed duration of a request in milliseconds until one has been measured. */
 const assumedServiceTime = 300;
 /** Maximum number of concurrent requests to an upstream after an avoidance, until one succeeds. */
-const trialRequests = 1;
+const maxTrialRequests = 1;
 
 /** This box's view of one upstream. */
 export class UpstreamState {
@@ -27,7 +27,7 @@
 		return new UpstreamState(box, clock);
 	}
 
-	readonly prefixes = PrefixBelief.create();
+	readonly prefixes = PrefixCacheEstimate.create();
 	private report: LoadReport = {running: 0, queued: 0, isLeaving: false};
 	private dispatchedSinceReport = 0;
 	private ownInFlight = 0;
@@ -69,7 +69,7 @@
 			return true;
 		}
 
-		return this.clock.monotonic() >= this.avoidedUntil && this.ownInFlight < trialRequests;
+		return this.clock.monotonic() >= this.avoidedUntil && this.ownInFlight < maxTrialRequests;
 	}
 
 	/** Applies a report. Because reports are delayed, half of the dispatches since the last one are assumed to be missing from it. */
@@ -117,7 +117,7 @@
 	 */
 	noteFailure(): boolean {
 		this.consecutiveFailures++;
-		const pause = Math.min(longestAvoidance, firstAvoidance * (2 ** (this.consecutiveFailures - 1)));
+		const pause = Math.min(maxAvoidance, initialAvoidance * (2 ** (this.consecutiveFailures - 1)));
 		this.avoidedUntil = this.clock.monotonic() + (pause * (0.75 + (Math.random() / 2)));
 		return this.consecutiveFailures === 1;
 	}
--- a/src/routing/upstream-subset.ts
+++ b/src/routing/upstream-subset.ts
@@ -8,7 +8,7 @@
 /** Approximate number of upstreams of a pool that a box keeps links to; a pool of at most this size is linked completely. */
 export const targetLinks = 32;
 /** Minimum number of boxes that keep a link to an upstream. */
-const fewestBoxes = 3;
+const minBoxesPerUpstream = 3;
 
 /** Input of the choice; the same on every box except for `self`. */
 export type SubsetFacts = {
@@ -32,7 +32,7 @@
 
 	const others = boxes.filter(box => box !== self).map(box => hashText(box));
 	const own = hashText(self);
-	const boxesEach = Math.max(fewestBoxes, Math.ceil(target * (others.length + 1) / upstreams.length));
+	const boxesEach = Math.max(minBoxesPerUpstream, Math.ceil(target * (others.length + 1) / upstreams.length));
 	return new Set(upstreams.filter(upstream => {
 		const hash = hashText(upstream);
 		const score = mixHashes(own, hash);
