--- a/src/relay/end-watch.ts
+++ b/src/relay/end-watch.ts
@@ -1,5 +1,5 @@
 /**
- * Tells the end of a replica from a connection that was merely cut, and which requests of this box it took with it.
+ * Distinguishes a crash of a replica from a lost connection, and reports which requests of this box the crash cut off.
  */
 import * as Effect from 'effect/Effect';
 import type {Clock} from '../base/clock.js';
@@ -14,15 +14,15 @@
 import type {RelayMetrics} from './relay-metrics.js';
 
 /**
- * Milliseconds after a cut until the replica is looked for: a process that ends closes its connections one after the other, its
- * listener perhaps last.
+ * Milliseconds between a cut connection and the probe of the replica. A process that exits closes its sockets one after the other, and
+ * its listening socket may be the last.
  */
 const probeDelay = 20;
-/** Milliseconds after a cut in which the loss of the replica's entry still explains it: more than three heartbeats. */
-const explainedWithin = 6000;
+/** Milliseconds after a cut within which the removal of the replica's entry counts as a crash: more than three heartbeats. */
+const entryRemovalWindow = 6000;
 
-/** What the watch needs. */
-export type EndWatchServices = {
+/** Dependencies of the detector. */
+export type CrashDetectorServices = {
 	readonly clock: Clock;
 	readonly log: EventLog;
 	readonly metrics: RelayMetrics;
@@ -33,64 +33,65 @@
 type Cut = {
 	readonly at: number;
 	readonly suspects: Map<Fingerprint, Suspect>;
-	hasEnded: boolean;
-	isProbed: boolean;
+	hasCrashed: boolean;
+	isProbing: boolean;
 };
 
-/** The watch of one box over all replicas. */
+/** Detects crashes of replicas that this box sends requests to. */
 export class EndWatch {
 	/**
-	 * @param services - What it needs.
-	 * @returns A watch that knows of no cut.
+	 * @param services - Its dependencies.
+	 * @returns A detector without recorded cuts.
 	 */
-	static create(services: EndWatchServices): EndWatch {
+	static create(services: CrashDetectorServices): EndWatch {
 		return new EndWatch(services);
 	}
 
-	/** Cuts by start of the replica. */
+	/** Cut connections, keyed by the start of the replica. */
 	private readonly cuts = new Map<string, Cut>();
 
-	private constructor(private readonly services: EndWatchServices) {}
+	private constructor(private readonly services: CrashDetectorServices) {}
 
 	/**
-	 * Notes that a request was cut at a replica. One that is leaving ends as planned, and whatever it runs is not to blame.
+	 * Records that the connection to a replica was cut during a request. A replica that is leaving exits as planned, so its requests are
+	 * not suspected.
 	 *
 	 * @param replica - The replica.
 	 * @param suspect - The request.
 	 */
-	noteCut(replica: Replica, suspect: Suspect): void {
+	recordCut(replica: Replica, suspect: Suspect): void {
 		const known = this.cuts.get(replica.start);
 		if (replica.isLeaving && !known) {
 			return;
 		}
 
 		const cut = getOrCreate(this.cuts, replica.start, () => ({
-			at: this.services.clock.monotonic(), suspects: new Map<Fingerprint, Suspect>(), hasEnded: false, isProbed: false,
+			at: this.services.clock.monotonic(), suspects: new Map<Fingerprint, Suspect>(), hasCrashed: false, isProbing: false,
 		}));
 		cut.suspects.set(suspect.fingerprint, suspect);
-		if (cut.hasEnded) {
-			this.tell(replica, cut);
-		} else if (!cut.isProbed) {
-			cut.isProbed = true;
+		if (cut.hasCrashed) {
+			this.reportCrash(replica, cut);
+		} else if (!cut.isProbing) {
+			cut.isProbing = true;
 			Effect.runFork(this.probe(replica, cut));
 		}
 	}
 
-	/** @param replica - A replica whose entry is gone; where it was cut just before, it has ended. */
+	/** @param replica - A replica whose entry was removed; after a recent cut this counts as a crash. */
 	noteGone(replica: Replica): void {
 		const cut = this.cuts.get(replica.start);
 		this.cuts.delete(replica.start);
-		if (cut && !cut.hasEnded && this.services.clock.monotonic() - cut.at < explainedWithin) {
-			this.tell(replica, cut);
+		if (cut && !cut.hasCrashed && this.services.clock.monotonic() - cut.at < entryRemovalWindow) {
+			this.reportCrash(replica, cut);
 		}
 	}
 
 	/**
-	 * @param fingerprint - A request that was cut.
-	 * @returns Whether it is not known yet if that was the end of a replica.
+	 * @param fingerprint - A request whose connection was cut.
+	 * @returns Whether a probe is still to decide if the replica crashed.
 	 */
-	isLookingFor(fingerprint: Fingerprint): boolean {
-		return [...this.cuts.values()].some(({isProbed, hasEnded, suspects}) => isProbed && !hasEnded && suspects.has(fingerprint));
+	isProbePending(fingerprint: Fingerprint): boolean {
+		return [...this.cuts.values()].some(({isProbing, hasCrashed, suspects}) => isProbing && !hasCrashed && suspects.has(fingerprint));
 	}
 
 	private probe(replica: Replica, cut: Cut): Effect.Effect<void> {
@@ -98,13 +99,13 @@
 		return Effect.sleep(probeDelay).pipe(
 			Effect.andThen(Effect.suspend(() => this.cuts.get(replica.start) === cut ? connections.of(replica).probe() : Effect.succeed<ProbeResult>('silent'))),
 			Effect.map(result => {
-				cut.isProbed = false;
+				cut.isProbing = false;
 				if (this.cuts.get(replica.start) !== cut) {
 					return;
 				}
 
 				if (result === 'refused') {
-					this.tell(replica, cut);
+					this.reportCrash(replica, cut);
 				} else if (result === 'standing') {
 					this.cuts.delete(replica.start);
 				}
@@ -112,14 +113,14 @@
 		);
 	}
 
-	private tell(replica: Replica, cut: Cut): void {
+	private reportCrash(replica: Replica, cut: Cut): void {
 		const {log, metrics, quarantine} = this.services;
 		const {entry, start} = replica;
-		if (!cut.hasEnded) {
-			metrics.replicaEnds.inc({service: entry.service});
+		if (!cut.hasCrashed) {
+			metrics.replicaCrashes.inc({service: entry.service});
 		}
 
-		cut.hasEnded = true;
+		cut.hasCrashed = true;
 		log.write('replicaEnded', {
 			replica: entry.id, start, service: entry.service, software: entry.software, suspects: [...cut.suspects.keys()].join(' '),
 		});
--- a/src/relay/relay-metrics.ts
+++ b/src/relay/relay-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * What a relay counts and measures, for its metrics address.
+ * Metrics of a relay, served at its metrics address.
  */
 import process from 'node:process';
 import {
@@ -10,12 +10,12 @@
 
 /** The metrics of one relay. */
 export class RelayMetrics {
-	/** @returns Metrics in a registry of their own. */
+	/** @returns Metrics in a new registry. */
 	static create(): RelayMetrics {
 		return new RelayMetrics();
 	}
 
-	/** What the metrics address prints. */
+	/** The registry that the metrics address serves. */
 	readonly registry = new Registry();
 
 	readonly requests = new Counter({
@@ -26,19 +26,19 @@
 		name: 'waydrift_relay_refusals_total', help: 'Refusals by reason and verdict.', labelNames: ['reason', 'verdict'], registers: [this.registry],
 	});
 
-	readonly attempts = new Counter({
+	readonly attemptFailures = new Counter({
 		name: 'waydrift_relay_attempt_failures_total', help: 'Tries at replicas that failed, by reason.', labelNames: ['reason'], registers: [this.registry],
 	});
 
-	readonly limitedTries = new Counter({
+	readonly limitedAttempts = new Counter({
 		name: 'waydrift_relay_limited_tries_total', help: 'Requests that this box sent to replicas that had named a limit, by service.', labelNames: ['service'], registers: [this.registry],
 	});
 
-	readonly keptFromLimited = new Counter({
+	readonly limitExclusions = new Counter({
 		name: 'waydrift_relay_kept_from_limited_total', help: 'Requests kept from a replica for the limit that it had named, by service.', labelNames: ['service'], registers: [this.registry],
 	});
 
-	readonly keptFromPaused = new Counter({
+	readonly pauseExclusions = new Counter({
 		name: 'waydrift_relay_kept_from_paused_total', help: 'Requests kept from a replica that had asked this box for a pause, by service.', labelNames: ['service'], registers: [this.registry],
 	});
 
@@ -62,7 +62,7 @@
 		name: 'waydrift_relay_retries_denied_total', help: 'Requests not sent again, by what forbade it.', labelNames: ['because'], registers: [this.registry],
 	});
 
-	readonly streamsEndedInside = new Counter({
+	readonly streamsEndedInsideEvent = new Counter({
 		name: 'waydrift_relay_streams_ended_inside_event_total', help: 'Runs of a stream that ended inside an event.', registers: [this.registry],
 	});
 
@@ -102,7 +102,7 @@
 		name: 'waydrift_relay_entries_unreadable_total', help: 'Entries of the store that cannot be read, once a change, by kind.', labelNames: ['kind'], registers: [this.registry],
 	});
 
-	readonly replicaEnds = new Counter({
+	readonly replicaCrashes = new Counter({
 		name: 'waydrift_relay_replica_ends_total', help: 'Replicas that ended under requests of this box, by service.', labelNames: ['service'], registers: [this.registry],
 	});
 
@@ -130,7 +130,7 @@
 		name: 'waydrift_relay_log_lines_left_out_total', help: 'Log lines left out because the reader was too slow.', registers: [this.registry],
 	});
 
-	/** The library's own default metrics wake the process a hundred times a second: memory alone is told. */
+	/** Memory is the only process metric: the library's default metrics would wake the process a hundred times a second. */
 	readonly memory = new Gauge({
 		name: 'waydrift_relay_resident_bytes',
 		help: 'Resident memory of the process.',
--- /dev/null
+++ b/src/relay/request-summary.ts
@@ -0,0 +1,144 @@
+/**
+ * Outcome summary of one request, reported once in the log and in the metrics.
+ */
+import type {EventFields} from '../base/event-log.js';
+import type {Refusal} from '../base/verdict.js';
+import type {Route, ClientAccount} from '../routes/route-table.js';
+import type {AdmittedRequest} from './admitted-request.js';
+import type {ClientAnswer} from './client-answer.js';
+import type {RequestHead} from './relay-format.js';
+import type {RelayRun} from './relay-run.js';
+import type {RelayServices} from './relay-services.js';
+
+/** The route and client account of a request, once both are known. */
+export type RequestAccess = {
+	readonly route: Route;
+	/** `undefined` if the route needs no key. */
+	readonly clientAccount: ClientAccount | undefined;
+};
+
+/** What is known when a request arrives. */
+export type RequestArrival = {
+	readonly services: RelayServices;
+	readonly head: RequestHead;
+	readonly client: ClientAnswer;
+	/** Arrival time in monotonic milliseconds. */
+	readonly receivedAt: number;
+};
+
+const millisecondsPerSecond = 1000;
+
+/** Outcome summary of one request; fields that are not known yet are undefined. */
+export class RequestSummary {
+	/**
+	 * @param arrival - What is known at the request's arrival.
+	 * @returns A summary without an outcome.
+	 */
+	static create(arrival: RequestArrival): RequestSummary {
+		return new RequestSummary(arrival);
+	}
+
+	access: RequestAccess | undefined;
+	admitted: AdmittedRequest | undefined;
+	run: RelayRun | undefined;
+
+	private constructor(private readonly arrival: RequestArrival) {}
+
+	private get kind(): string {
+		return this.access?.route.kind ?? 'none';
+	}
+
+	/** Milliseconds from the request's arrival to the first byte of a replica's answer. */
+	private get firstByte(): number | undefined {
+		const at = this.run?.record.firstByteAt;
+		return at === undefined ? undefined : at - this.arrival.receivedAt;
+	}
+
+	private get duration(): number {
+		return this.arrival.services.clock.monotonic() - this.arrival.receivedAt;
+	}
+
+	/** Reports that the request was answered. */
+	reportAnswered(): void {
+		this.count('answered');
+		this.arrival.services.log.write('requestAnswered', this.fields());
+	}
+
+	/** Reports that the client disconnected before its answer was complete. */
+	reportLeft(): void {
+		this.count('left');
+		this.arrival.services.log.write('clientLeft', this.fields());
+	}
+
+	/**
+	 * Reports that the request was refused.
+	 *
+	 * @param refusal - The refusal that was sent.
+	 */
+	reportRefused(refusal: Refusal): void {
+		const {reason, verdict, detail, retryAfter} = refusal;
+		this.count('refused');
+		this.arrival.services.metrics.refusals.inc({reason, verdict});
+		this.arrival.services.log.write('requestRefused', {
+			...this.fields(), ...this.quotaFields(refusal), reason, verdict, detail, retryAfter,
+		});
+	}
+
+	private count(outcome: string): void {
+		const {metrics} = this.arrival.services;
+		const {kind, firstByte} = this;
+		metrics.requests.inc({kind, outcome});
+		metrics.duration.observe({kind}, this.duration / millisecondsPerSecond);
+		if (firstByte !== undefined) {
+			metrics.firstByte.observe({kind}, firstByte / millisecondsPerSecond);
+		}
+	}
+
+	private fields(): EventFields {
+		const {services: {table}, head, client} = this.arrival;
+		const {firstByte} = this;
+		return {
+			request: head.id,
+			route: this.access?.route.name,
+			clientAccount: this.access?.clientAccount?.name,
+			service: this.admitted?.service,
+			units: this.admitted?.units,
+			status: client.status,
+			version: table.version,
+			proofAge: Math.round(table.proofAge),
+			firstByte: firstByte === undefined ? undefined : Math.round(firstByte),
+			took: Math.round(this.duration),
+			bytes: client.bytes,
+			...this.runFields(),
+		};
+	}
+
+	/** The quota figures that a refusal is based on, and their age. */
+	private quotaFields({reason}: Refusal): EventFields {
+		const clientAccount = this.access?.clientAccount;
+		const basis = reason === 'ceiling-reached' && clientAccount ? this.arrival.services.quota.basisOf(clientAccount.name) : undefined;
+		return basis
+			? {
+				quotaLevel: basis.level, quotaShare: basis.share, quotaToldAge: basis.toldAge, heardPart: basis.heardPart,
+			}
+			: {};
+	}
+
+	private runFields(): EventFields {
+		const {run} = this;
+		return run
+			? {
+				verdict: run.verdict,
+				replica: run.record.replica,
+				tries: run.record.attempts,
+				refusedConnections: run.record.refusedConnections === 0 ? undefined : run.record.refusedConnections,
+				keptFrom: run.record.excludedReplicas === 0 ? undefined : run.record.excludedReplicas,
+				missingFor: run.record.missingFor,
+				failures: run.record.failures === '' ? undefined : run.record.failures,
+				...run.streamFields,
+				fingerprint: run.suspicion.reportedFingerprint,
+				standing: run.suspicion.status === 'sound' ? undefined : run.suspicion.status,
+			}
+			: {};
+	}
+}
--- /dev/null
+++ b/src/relay/run-record.ts
@@ -0,0 +1,22 @@
+/**
+ * Outcome of a request's attempts at replicas.
+ */
+
+/** Outcome so far, updated by the attempts and written to the log record of the request. */
+export type RunRecord = {
+	attempts: number;
+	/** Attempts in which the replica may have run the request. */
+	executions: number;
+	/** Attempts at replicas whose addresses refused the connection. */
+	refusedConnections: number;
+	/** Id of the replica of the last attempt. */
+	replica: string | undefined;
+	/** Failures of the attempts in order, separated by semicolons. */
+	failures: string;
+	/** Monotonic milliseconds of the first byte of an answer; `undefined` before. */
+	firstByteAt: number | undefined;
+	/** Greatest number of replicas that were excluded at one time because of their rate limits or requested pauses. */
+	excludedReplicas: number;
+	/** Milliseconds for which the entry of the last replica had been missing when the request was sent; `undefined` if it was listed. */
+	missingFor: number | undefined;
+};
