--- a/development/bench/limits.ts
+++ b/development/bench/limits.ts
@@ -23,10 +23,10 @@
 	const choice = LeastWaitChoice.create({dataCentre: 'a', now: () => clock.monotonic()});
 	for (const limited of limitedCounts) {
 		const limits = ReplicaLimits.create({
-			clock, log: SilentEventLog.create(), commonTime: () => clock.wall(), stretch: () => ({from: 0.3, length: 1 / boxes}), listed: start => replicas.find(replica => replica.start === start),
+			clock, log: SilentEventLog.create(), commonTime: () => clock.wall(), slotRange: () => ({from: 0.3, length: 1 / boxes}), listed: start => replicas.find(replica => replica.start === start),
 		});
 		for (const replica of replicas.slice(0, limited)) {
-			limits.noteAnswer(replica, 5, clock.monotonic());
+			limits.recordResponse(replica, 5, clock.monotonic());
 		}
 
 		const choose = (candidates: readonly Replica[]): void => {
--- a/development/bench/streams.ts
+++ b/development/bench/streams.ts
@@ -12,8 +12,8 @@
 import {PlatformRelayFormat} from '../../platform/relay-format.js';
 import {ClientAnswer} from '../../src/relay/client-answer.js';
 import {RelayMetrics} from '../../src/relay/relay-metrics.js';
-import {StreamPassage} from '../../src/relay/stream-passage.js';
-import {noStatement} from '../../src/replicas/replica-statement.js';
+import {StreamForwarder} from '../../src/relay/stream-forwarder.js';
+import {emptyStatement} from '../../src/replicas/replica-statement.js';
 
 const eventsPerStream = 64;
 const streamsAtOnce = 50;
@@ -22,7 +22,7 @@
 /** A usual event: some words of an answer. */
 const dataBytes = 48;
 const head = {
-	id: undefined, isNotRun: false, isElsewhere: false, isPlain: true, idleLifetime: undefined, statement: noStatement,
+	id: undefined, isNotRun: false, isMisdirected: false, isPlain: true, idleLifetime: undefined, statement: emptyStatement,
 };
 
 const textOf = (event: number): string => `id: ${event}\ndata: ${'w'.repeat(dataBytes)}\n\n`;
@@ -65,13 +65,13 @@
 	const metrics = RelayMetrics.create();
 	const messages = await Promise.all(Array.from({length: streamsAtOnce}, async () => openMessage(server)));
 	const passages = messages.map(message => {
-		const passage = StreamPassage.create({
+		const passage = StreamForwarder.create({
 			client: ClientAnswer.create(new NobodyReads() as never, () => false), format: PlatformRelayFormat.create(), metrics, lastEventId: undefined,
 		});
 		const answer = {
 			message, status: 200, isWhole: () => true, head, abandon: () => undefined,
 		};
-		return {passage, passing: Effect.runPromise(passage.pass(answer, {onFirstEvent: () => undefined, onHeard: () => undefined}))};
+		return {passage, passing: Effect.runPromise(passage.forward(answer, {onFirstEvent: () => undefined, onBytes: () => undefined}))};
 	});
 	const texts = pieces.map(piece => Buffer.from(piece).toString('latin1'));
 	const before = process.cpuUsage();
--- a/development/fuzz/ceiling-suite.ts
+++ b/development/fuzz/ceiling-suite.ts
@@ -45,7 +45,7 @@
 			for (const owner of reachable) {
 				const askedAt = this.time.now + (this.ids.indexOf(asker.id) * 1_000_000);
 				const demands = asker.ceilings.demandsFor(owner.id, reachable.map(({id}) => id));
-				asker.ceilings.takeGrants(owner.id, owner.owner.grant(asker.id, demands), askedAt);
+				asker.ceilings.applyGrants(owner.id, owner.owner.grant(asker.id, demands), askedAt);
 			}
 		}
 	}
--- a/development/fuzz/decoder-suite.ts
+++ b/development/fuzz/decoder-suite.ts
@@ -13,7 +13,7 @@
 import type {GossipMessage} from '../../src/gossip/gossip-message.js';
 import {ReplicaRole} from '../../src/node/replica-role.js';
 import type {PlatformLink} from '../../src/node/platform-link.js';
-import {EndLedger, mostEndsTold} from '../../src/quarantine/end-ledger.js';
+import {CrashLedger, maxCrashesSent} from '../../src/quarantine/crash-ledger.js';
 import {Fingerprint} from '../../src/quarantine/fingerprint.js';
 import {ReplicaDirectory} from '../../src/replicas/replica-directory.js';
 import {RouteTable} from '../../src/routes/route-table.js';
@@ -49,7 +49,7 @@
 	}], work: [{replica: 'i', requests: 1, unreadTokens: 2}], departed: [{id: 'i', revision: 1}],
 	usage: [{window: 1, counts: [['t', 1]]}], members: [],
 	ends: {
-		ends: [{
+		crashes: [{
 			start: 'i/1', service: 's', software: '1', age: 5, suspects: [{fingerprint: Fingerprint('abcdefghijkl'), ranFor: 60}],
 		}], completions: [{fingerprint: Fingerprint('abcdefghijkm'), age: 1}],
 	},
@@ -63,7 +63,7 @@
 
 class DecoderWorld {
 	faults = 0;
-	readonly ledger: EndLedger;
+	readonly ledger: CrashLedger;
 	readonly role: ReplicaRole;
 	private readonly replicas: ReplicaDirectory;
 	private revision = 10;
@@ -71,12 +71,12 @@
 	constructor(time: VirtualTime) {
 		const clock = VirtualClock.create(time);
 		const log = SilentEventLog.create();
-		this.ledger = EndLedger.create(clock);
+		this.ledger = CrashLedger.create(clock);
 		this.replicas = ReplicaDirectory.create(clock, log);
 		this.role = ReplicaRole.create({
-			link: {names: {replicaKind: 'replicas', decodeReplica}} as unknown as PlatformLink, clock, log, replicas: this.replicas, leads: () => true, patience: 5000, ...usualAvailability(clock),
+			link: {names: {replicaKind: 'replicas', decodeReplica}} as unknown as PlatformLink, clock, log, replicas: this.replicas, followsStore: () => true, fallbackDelay: 5000, ...usualAvailability(clock),
 		});
-		this.role.takeListing({at: this.revision, objects: ['good-1', 'good-2'].map(name => ({name, revision: 1, spec: goodReplica}))}, 0);
+		this.role.applyListing({at: this.revision, objects: ['good-1', 'good-2'].map(name => ({name, revision: 1, spec: goodReplica}))}, 0);
 	}
 
 	/** An entry of another writer arrives as a change that a peer tells, or in a list. */
@@ -86,9 +86,9 @@
 		const object = {name: 'odd', revision: this.revision, spec};
 		if (isList) {
 			const good = ['good-1', 'good-2'].map(name => ({name, revision: 1, spec: goodReplica}));
-			this.role.takeListing({at: this.revision, objects: [good[0]!, object, good[1]!]}, 0);
+			this.role.applyListing({at: this.revision, objects: [good[0]!, object, good[1]!]}, 0);
 		} else {
-			this.role.take({name: 'peer', host: '127.0.0.1', port: 1}, {at: this.revision, age: 0}, {at: this.revision, changes: [{object, isGone: false}]});
+			this.role.applyPeerUpdate({name: 'peer', host: '127.0.0.1', port: 1}, {at: this.revision, age: 0}, {at: this.revision, changes: [{object, isGone: false}]});
 		}
 
 		// What is handed on can be read by others.
@@ -126,8 +126,8 @@
 			return;
 		}
 
-		this.ledger.take(message.ends ?? {ends: [], completions: []});
-		const told = this.ledger.told(true, mostEndsTold.small);
+		this.ledger.merge(message.ends ?? {crashes: [], completions: []});
+		const told = this.ledger.collectUpdate(true, maxCrashesSent.small);
 		const handedOn = decodeGossip(encodeGossip({...goodMessage, ...(told ? {ends: told} : {})}));
 		assert.ok(handedOn, 'what is handed on can be read');
 		for (const change of message.digest?.changes?.changes ?? []) {
--- a/development/fuzz/stream-suite.ts
+++ b/development/fuzz/stream-suite.ts
@@ -26,7 +26,7 @@
 import type {Box} from '../../src/external/box-list.js';
 import {RecordBook} from '../../src/records/record-book.js';
 import {RequestRecord} from '../../src/records/request-record.js';
-import {describePrompt} from '../../src/routing/prefix-belief.js';
+import {describePrompt} from '../../src/routing/prefix-cache-estimate.js';
 import {ExpectedCostPolicy} from '../../src/routing/routing-policy.js';
 import {rowName, type Row, type Service} from '../../src/table/table.js';
 import {TableView} from '../../src/table/table-view.js';
--- a/development/harness/departure-fleet.ts
+++ b/development/harness/departure-fleet.ts
@@ -137,11 +137,11 @@
 		const table = tableOf(clock);
 		const availability = StoreAvailability.create(clock, () => lapseTime(heartbeat));
 		const followed = {
-			link: {store: door, names} as unknown as PlatformLink, clock, log, availability, leads: () => topology.isAggregator,
+			link: {store: door, names} as unknown as PlatformLink, clock, log, availability, followsStore: () => topology.isAggregator,
 		};
-		const configuration = ConfigurationRole.create({...followed, table, patience: 3000 + (100 * index)});
+		const configuration = ConfigurationRole.create({...followed, table, fallbackDelay: 3000 + (100 * index)});
 		const role = ReplicaRole.create({
-			...followed, replicas, drain: () => this.shape.bound, patience: 4500 + (100 * index), openFetch: (_, take) => this.fetchFor(take),
+			...followed, replicas, drain: () => this.shape.bound, fallbackDelay: 4500 + (100 * index), openFetch: (_, take) => this.fetchFor(take),
 		});
 		// Only what the list of replicas needs is there.
 		const parts = {
@@ -192,7 +192,7 @@
 		peers.isLarge = topology.isLarge;
 		peers.heardWithin = topology.heardWithin;
 		box.round++;
-		const message = this.messageOf(box, state.local(true));
+		const message = this.messageOf(box, state.localState(true));
 		const targets = topology.targets(box.round);
 		for (const [place, {address}] of targets.entries()) {
 			peers.noteTold(address.name);
@@ -214,15 +214,15 @@
 
 		if (message.digest) {
 			peers.noteFleetSize(message.digest.boxes);
-			state.takeDigest(message, message.digest);
+			state.applyDigest(message, message.digest);
 			return;
 		}
 
-		state.take(message, meeting);
+		state.applyMessage(message, meeting);
 		if (topology.isLarge) {
 			const isWhole = message.asksDigest === true;
 			const answer = this.messageOf(box, {
-				...state.news(isWhole), quota: [], isWhole: false, work: [], usage: [], digest: state.digestFor(peers.named(sender.address.name)!, isWhole),
+				...state.commonUpdate(isWhole), quota: [], isWhole: false, work: [], usage: [], digest: state.digestFor(peers.named(sender.address.name)!, isWhole),
 			});
 			this.deliver(() => {
 				this.hear(sender, box, encodeGossip(answer));
--- a/development/harness/exchange-fleet.ts
+++ b/development/harness/exchange-fleet.ts
@@ -78,7 +78,7 @@
 		const {aggregator} = this;
 		this.rounds++;
 		const others = this.boxes.filter(box => box !== aggregator);
-		const heard = others.map(box => encodeGossip({...this.headOf(box, membersNamed, false), ...box.state.local(this.rounds % roundsBetweenWholeStates === 0), asksDigest: true}));
+		const heard = others.map(box => encodeGossip({...this.headOf(box, membersNamed, false), ...box.state.localState(this.rounds % roundsBetweenWholeStates === 0), asksDigest: true}));
 		const beganAt = performance.now();
 		const sent = heard.map((data, index) => this.answerTo(data, index % aggregatorCount === 0));
 		this.spent += performance.now() - beganAt;
@@ -91,7 +91,7 @@
 		for (const {address, quarantine, replicas} of this.boxes) {
 			for (const replica of replicas.all) {
 				const suspects = ['common-to-all', `${address.name}${replica.start}`].map(text => ({fingerprint: Fingerprint(text.slice(-fingerprintLength)), ranFor: 60}));
-				quarantine.noteEnd(replica, suspects, this.clock.monotonic());
+				quarantine.recordCrash(replica, suspects, this.clock.monotonic());
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 	limitReplicas(): void {
 		for (const {limits, replicas} of this.boxes) {
 			for (const replica of replicas.all) {
-				limits.noteAnswer(replica, 12.5, this.clock.monotonic());
+				limits.recordResponse(replica, 12.5, this.clock.monotonic());
 			}
 		}
 	}
@@ -116,12 +116,12 @@
 		peers.learn(message.members);
 		const meeting = peers.take(message);
 		if (meeting !== undefined) {
-			state.take(message, meeting);
+			state.applyMessage(message, meeting);
 		}
 
 		return encodeGossip({
 			...this.headOf(aggregator, isWhole ? membersNamed : membersAcknowledged, isWhole),
-			...state.news(isWhole),
+			...state.commonUpdate(isWhole),
 			quota: [], isWhole: false, work: [], usage: [],
 			digest: state.digestFor(peers.named(message.sender.name)!, isWhole),
 		});
@@ -156,14 +156,14 @@
 			clock, log, replicas, isOwner: () => true, released: () => [],
 		});
 		const quota = QuotaLedger.create({
-			bound: () => ({rate: 100_000, burst: 200_000}), heardPart: () => topology.isAggregator ? peers.heardPart : 1 / peers.boxes, burstPart: () => 0.9,
+			bound: () => ({rate: 100_000, burst: 200_000}), reachableFraction: () => topology.isAggregator ? peers.heardPart : 1 / peers.boxes, burstFraction: () => 0.9,
 		}, clock, true);
 		const demands = ServiceDemands.create(clock);
 		const stretches = LimitStretches.create({
 			self: address.name, clock, peers, topology, demands,
 		});
 		const limits = ReplicaLimits.create({
-			clock, log, commonTime: () => peers.commonTime, stretch: service => stretches.of(service), listed: start => replicas.ofStart(start),
+			clock, log, commonTime: () => peers.commonTime, slotRange: service => stretches.of(service), listed: start => replicas.byStart(start),
 		});
 		const statements = ReplicaStatements.create({
 			clock, log, limits, replicas,
@@ -171,13 +171,13 @@
 		const usage = UsageCounts.create(() => clock.wall(), () => 5000);
 		for (let index = 0; index < shape.clientAccounts; index++) {
 			quota.take(`acct${index}`, 5000);
-			usage.note(`acct${index}`);
+			usage.recordRequest(`acct${index}`);
 		}
 
 		const first = addresses.indexOf(address) * shape.inProgress;
 		for (let index = 0; index < shape.inProgress; index++) {
 			replicas.all[(first + index) % shape.replicas]!.begin(3000);
-			demands.of(`service-${index % 2}`).noteArrival(3000, 1000);
+			demands.of(`service-${index % 2}`).recordArrival(3000, 1000);
 		}
 
 		const table = {version: 33, proofAge: 420};
--- a/development/harness/limit-fleet.ts
+++ b/development/harness/limit-fleet.ts
@@ -12,7 +12,7 @@
 import type {Replica} from '../../src/replicas/replica.js';
 import {ReplicaDirectory} from '../../src/replicas/replica-directory.js';
 import {ReplicaLimits} from '../../src/replicas/replica-limits.js';
-import {mostStatementsTold} from '../../src/replicas/replica-statement.js';
+import {maxStatementsPerMessage} from '../../src/replicas/replica-statement.js';
 import {ReplicaStatements} from '../../src/replicas/replica-statements.js';
 import {ServiceDemands} from '../../src/replicas/service-demand.js';
 import {mostWithin} from './most-within.js';
@@ -134,7 +134,7 @@
 			isDraining: false, isReclaimable: true, leavesIn: undefined,
 		});
 		const limits = ReplicaLimits.create({
-			clock, log, commonTime: () => peers.commonTime, stretch: name => stretches.of(name), listed: start => replicas.ofStart(start),
+			clock, log, commonTime: () => peers.commonTime, slotRange: name => stretches.of(name), listed: start => replicas.byStart(start),
 		});
 		const statements = ReplicaStatements.create({
 			clock, log, limits, replicas,
@@ -174,10 +174,10 @@
 		}
 
 		const replica = box.replicas.all[0]!;
-		box.demands.of(service).noteArrival(100, 1000);
-		box.demands.of(service).noteOutcome(true);
+		box.demands.of(service).recordArrival(100, 1000);
+		box.demands.of(service).recordOutcome(true);
 		if (box.limits.hasRoom(replica)) {
-			this.send(box, replica, box.limits.take(replica));
+			this.send(box, replica, box.limits.acquireSlot(replica));
 		}
 	}
 
@@ -200,7 +200,7 @@
 				this.events.push({
 					at: this.now + answerTime, happen: () => {
 						box.toldAt = limit === undefined ? box.toldAt : Math.min(box.toldAt, this.now);
-						box.limits.noteAnswer(replica, limit, sentAt);
+						box.limits.recordResponse(replica, limit, sentAt);
 					},
 				});
 			},
@@ -215,9 +215,9 @@
 		box.round++;
 		box.nextRoundAt = this.now + topology.pause(this.random());
 		const isWhole = !topology.isLarge || box.round % roundsBetweenWholeStates === 0;
-		box.limits.lookForSlots();
-		const told = box.statements.told(isWhole, ['answer'], topology.isLarge ? mostStatementsTold.large : mostStatementsTold.small);
-		const message = this.messageOf(box, {demand: box.demands.told, ...(told ? {statements: told} : {})});
+		box.limits.openDueSlots();
+		const told = box.statements.updates(isWhole, ['answer'], topology.isLarge ? maxStatementsPerMessage.large : maxStatementsPerMessage.small);
+		const message = this.messageOf(box, {demand: box.demands.snapshots, ...(told ? {statements: told} : {})});
 		const targets = topology.targets(box.round);
 		for (const [place, {address}] of targets.entries()) {
 			peers.noteTold(address.name);
@@ -236,19 +236,19 @@
 			return;
 		}
 
-		statements.takeTold(sender.address.name, message.statements ?? [], message.digest ? 'digest' : 'box');
+		statements.merge(sender.address.name, message.statements ?? [], message.digest ? 'digest' : 'box');
 		if (message.digest) {
 			peers.noteFleetSize(message.digest.boxes);
-			stretches.take(message.digest.stretches ?? []);
+			stretches.applyReceived(message.digest.stretches ?? []);
 			return;
 		}
 
 		if (topology.isLarge) {
-			const told = statements.told(isAsked, ['answer', 'box'], mostStatementsTold.large);
+			const told = statements.updates(isAsked, ['answer', 'box'], maxStatementsPerMessage.large);
 			const answer = this.messageOf(box, {
 				wall: peers.commonTime,
 				...(told ? {statements: told} : {}),
-				digest: {boxes: peers.knownBoxes, ...(topology.isAggregator ? {stretches: stretches.toldTo(sender.address.name, limits.services)} : {})},
+				digest: {boxes: peers.knownBoxes, ...(topology.isAggregator ? {stretches: stretches.stretchesFor(sender.address.name, limits.services)} : {})},
 			});
 			this.deliver(box, sender, () => {
 				this.hear(sender, box, answer, false);
--- a/src/claims/claim.ts
+++ b/src/claims/claim.ts
@@ -7,13 +7,13 @@
 import type {AttemptId, ClientAccountName, RequestKey} from '../base/identifiers.js';
 
 /** A stored answer, so that a repeated request gets the same one. */
-export const KeptAnswer = Schema.Struct({
+export const StoredAnswer = Schema.Struct({
 	status: Schema.Number,
 	contentType: Schema.String,
 	/** The body in base64. */
 	body: Schema.String,
 });
-export type KeptAnswer = typeof KeptAnswer.Type;
+export type StoredAnswer = typeof StoredAnswer.Type;
 
 /** The entry of one request in a claim shard. */
 export const ClaimEntry = Schema.Struct({
@@ -25,7 +25,7 @@
 	state: Schema.Literals(['claimed', 'released', 'ran']),
 	/** Time of the claim on the store's clock, in milliseconds. */
 	claimedAt: Schema.Number,
-	answer: Schema.optionalKey(KeptAnswer),
+	answer: Schema.optionalKey(StoredAnswer),
 });
 export type ClaimEntry = typeof ClaimEntry.Type;
 
@@ -75,11 +75,11 @@
 }
 
 /** Final result of a claimed request: it did not run, or it ran, with its answer if one is stored. */
-export type ClaimEnd = Data.TaggedEnum<{
+export type ClaimSettlement = Data.TaggedEnum<{
 	readonly Released: Readonly<Record<never, never>>;
-	readonly Ran: {readonly answer: KeptAnswer | undefined};
+	readonly Ran: {readonly answer: StoredAnswer | undefined};
 }>;
-export const ClaimEnd = Data.taggedEnum<ClaimEnd>();
+export const ClaimSettlement = Data.taggedEnum<ClaimSettlement>();
 
 /** Records claims durably. */
 export abstract class ClaimLedger {
@@ -104,5 +104,5 @@
 	 * @param settlement - Its result.
 	 * @returns Completes when the result is recorded.
 	 */
-	abstract settle(request: ClaimRequest, settlement: ClaimEnd): Effect.Effect<void, ClaimUnavailable>;
+	abstract settle(request: ClaimRequest, settlement: ClaimSettlement): Effect.Effect<void, ClaimUnavailable>;
 }
--- a/src/claims/store-claim-ledger.ts
+++ b/src/claims/store-claim-ledger.ts
@@ -4,7 +4,7 @@
 import * as Effect from 'effect/Effect';
 import {hashText} from '../base/rendezvous.js';
 import {
-	ClaimEnd, ClaimLedger, ClaimOutcome, type ClaimEntry, type ClaimName, type ClaimRequest, type ClaimUnavailable,
+	ClaimSettlement, ClaimLedger, ClaimOutcome, type ClaimEntry, type ClaimName, type ClaimRequest, type ClaimUnavailable,
 } from './claim.js';
 import {ClaimShard, type ClaimDecision, type ClaimShardServices} from './claim-shard.js';
 
@@ -56,7 +56,7 @@
 		return this.shardFor(name).run(entryName(name), entry => ({write: undefined, outcome: entry}));
 	}
 
-	override settle(request: ClaimRequest, settlement: ClaimEnd): Effect.Effect<void, ClaimUnavailable> {
+	override settle(request: ClaimRequest, settlement: ClaimSettlement): Effect.Effect<void, ClaimUnavailable> {
 		// A caller waits for a release, but no caller waits for the record that a request ran.
 		return this.shardFor(request).run(entryName(request), entry => decideSettlement(request, settlement, entry), settlement._tag === 'Ran' ? 'patient' : 'urgent');
 	}
@@ -87,13 +87,13 @@
 	};
 }
 
-function decideSettlement(request: ClaimRequest, settlement: ClaimEnd, entry: ClaimEntry | undefined): ClaimDecision<void> {
+function decideSettlement(request: ClaimRequest, settlement: ClaimSettlement, entry: ClaimEntry | undefined): ClaimDecision<void> {
 	if (entry?.attempt !== request.attempt || entry.state !== 'claimed') {
 		return {write: undefined, outcome: undefined};
 	}
 
 	return {
-		write: ClaimEnd.$match(settlement, {
+		write: ClaimSettlement.$match(settlement, {
 			Released: (): ClaimEntry => ({...entry, state: 'released'}),
 			Ran: ({answer}): ClaimEntry => ({...entry, state: 'ran', ...(answer ? {answer} : {})}),
 		}),
--- a/src/command/relay-command.ts
+++ b/src/command/relay-command.ts
@@ -25,7 +25,7 @@
 export async function relay(file: string | undefined): Promise<ExitCode> {
 	const metrics = RelayMetrics.create();
 	const log = BoundedEventLog.create(process.stdout, () => {
-		metrics.linesLeftOut.inc();
+		metrics.droppedLogLines.inc();
 	});
 	const settings = SettingsFile.create(file ?? process.env[settingsVariable] ?? '', log);
 	const reading = Effect.sync(() => {
--- a/src/dispatch/chat-attempt.ts
+++ b/src/dispatch/chat-attempt.ts
@@ -98,7 +98,7 @@
 				return stream.completed;
 			}),
 			Effect.map(() => {
-				this.link.state.noteSuccess(this.services.clock.monotonic() - this.startedAt);
+				this.link.state.recordSuccess(this.services.clock.monotonic() - this.startedAt);
 				return AttemptOutcome.Finished();
 			}),
 			Effect.catch(error => Effect.succeed(AttemptOutcome.Failed({failure: error}))),
@@ -114,7 +114,7 @@
 		this.lastTokenAt = now;
 		if (this.firstTokenAt === undefined) {
 			this.firstTokenAt = now;
-			this.link.state.noteFirstToken(now - this.startedAt);
+			this.link.state.recordFirstToken(now - this.startedAt);
 			this.services.metrics.firstToken.observe((now - this.startedAt) / 1000);
 		}
 
--- a/src/dispatch/chat-run.ts
+++ b/src/dispatch/chat-run.ts
@@ -5,7 +5,7 @@
 import {AttemptId} from '../base/identifiers.js';
 import {Refusal} from '../base/verdict.js';
 import type {RequestRecord} from '../records/request-record.js';
-import type {Prompt} from '../routing/prefix-belief.js';
+import type {Prompt} from '../routing/prefix-cache-estimate.js';
 import {rowName, type Row, type Service} from '../table/table.js';
 import type {UpstreamFailure} from '../upstream/upstream-failure.js';
 import {ChatAttempt, type AttemptOutcome} from './chat-attempt.js';
@@ -92,7 +92,7 @@
 		}
 
 		const cost = this.plan.prompt.tokens + this.plan.maximumTokens;
-		const passed = this.services.gates.gate(service.pool).pass(row, cost, this.claimed()).pipe(Effect.ensuring(Effect.sync(() => {
+		const passed = this.services.gates.gate(service.pool).run(row, cost, this.claimed()).pipe(Effect.ensuring(Effect.sync(() => {
 			this.services.ceilings.giveBack(rowName(row), this.plan.maximumTokens - this.record.position);
 		})));
 		return passCeiling(this.services, row, cost).pipe(Effect.andThen(passed));
@@ -170,8 +170,8 @@
 
 	private attempt(link: EngineLink): Effect.Effect<AttemptOutcome> {
 		const {record, plan} = this;
-		const believed = link.state.prefixes.cachedTokens(plan.prompt);
-		link.state.prefixes.note(plan.prompt);
+		const believed = link.state.prefixCache.cachedTokens(plan.prompt);
+		link.state.prefixCache.recordSent(plan.prompt);
 		const offset = record.position;
 		const attempt = ChatAttempt.create(this.services, link, record, {
 			request: {
@@ -186,7 +186,7 @@
 		});
 		return attempt.run().pipe(Effect.tap(outcome => Effect.sync(() => {
 			if (outcome._tag === 'Finished' && offset === 0 && record.usage) {
-				link.state.prefixes.correct(believed, record.usage.cachedTokens);
+				link.state.prefixCache.correct(believed, record.usage.cachedTokens);
 			}
 		})));
 	}
--- a/src/dispatch/claimed-run.ts
+++ b/src/dispatch/claimed-run.ts
@@ -5,7 +5,7 @@
 import * as Effect from 'effect/Effect';
 import {Refusal} from '../base/verdict.js';
 import {
-	ClaimEnd, type ClaimEntry, type ClaimLedger, type ClaimRequest, type KeptAnswer,
+	ClaimSettlement, type ClaimEntry, type ClaimLedger, type ClaimRequest, type StoredAnswer,
 } from '../claims/claim.js';
 
 /** Milliseconds a refusal waits for the release of its claim, so that asking again at once finds it free. */
@@ -15,7 +15,7 @@
 
 /** The request ran before, and its answer was kept. */
 export class KeptAnswerFound extends Data.TaggedError('KeptAnswerFound')<{
-	readonly answer: KeptAnswer;
+	readonly answer: StoredAnswer;
 }> {}
 
 /**
@@ -31,7 +31,7 @@
 	ledger: ClaimLedger,
 	claim: ClaimRequest,
 	run: Effect.Effect<Answer, Refusal>,
-	answerOf: (answer: Answer) => KeptAnswer | undefined,
+	answerOf: (answer: Answer) => StoredAnswer | undefined,
 ): Effect.Effect<Answer, Refusal | KeptAnswerFound> {
 	return ledger.claim(claim).pipe(
 		Effect.catch(error => Effect.sync(() => {
@@ -54,12 +54,12 @@
 	ledger: ClaimLedger,
 	claim: ClaimRequest,
 	run: Effect.Effect<Answer, Refusal>,
-	answerOf: (answer: Answer) => KeptAnswer | undefined,
+	answerOf: (answer: Answer) => StoredAnswer | undefined,
 ): Effect.Effect<Answer, Refusal> {
 	return run.pipe(
 		// The caller does not wait: a claim that stays `claimed` is safe, it only tells less.
 		Effect.tap(answer => Effect.sync(() => {
-			Effect.runFork(Effect.ignore(ledger.settle(claim, ClaimEnd.Ran({answer: answerOf(answer)}))));
+			Effect.runFork(Effect.ignore(ledger.settle(claim, ClaimSettlement.Ran({answer: answerOf(answer)}))));
 		})),
 		Effect.tapError(refusal => refusal.verdict === 'not-run'
 			? Effect.sync(() => Effect.runFork(release(ledger, claim))).pipe(Effect.flatMap(releasing => Effect.callback<void>(resume => {
@@ -77,7 +77,7 @@
 
 /** Gives the claim back, trying for a while: until then whoever asks again is told that it may have run. */
 function release(ledger: ClaimLedger, claim: ClaimRequest): Effect.Effect<void> {
-	const once = ledger.settle(claim, ClaimEnd.Released());
+	const once = ledger.settle(claim, ClaimSettlement.Released());
 	const again = (left: number): Effect.Effect<void> => once.pipe(Effect.catch(() => left === 0
 		? Effect.void
 		: Effect.sleep(releasePause).pipe(Effect.andThen(Effect.suspend(() => again(left - 1))))));
--- a/src/dispatch/dispatch-outcome.ts
+++ b/src/dispatch/dispatch-outcome.ts
@@ -119,7 +119,7 @@
 		return;
 	}
 
-	if (failure.reason !== 'bad-answer' && upstream.noteFailure()) {
+	if (failure.reason !== 'bad-answer' && upstream.recordFailure()) {
 		log.write('upstreamUnreachable', {upstream: box.id, reason: failure.reason, detail: failure.detail});
 	}
 }
--- a/src/dispatch/service-run.ts
+++ b/src/dispatch/service-run.ts
@@ -7,7 +7,7 @@
 	AttemptId, ClientAccountName, RequestKey,
 } from '../base/identifiers.js';
 import {Refusal} from '../base/verdict.js';
-import type {ClaimRequest, KeptAnswer} from '../claims/claim.js';
+import type {ClaimRequest, StoredAnswer} from '../claims/claim.js';
 import {rowName, type Row, type Service} from '../table/table.js';
 import type {PlainAnswer} from '../upstream/plain-service.js';
 import type {UpstreamFailure} from '../upstream/upstream-failure.js';
@@ -39,11 +39,11 @@
 /** An answer, and whether it was kept from an earlier run. */
 export type ServiceAnswer = PlainAnswer & {readonly isReplayed: boolean};
 
-const keep = (answer: PlainAnswer): KeptAnswer | undefined => answer.body.length > largestKeptAnswer
+const keep = (answer: PlainAnswer): StoredAnswer | undefined => answer.body.length > largestKeptAnswer
 	? undefined
 	: {status: answer.status, contentType: answer.contentType, body: Buffer.from(answer.body).toString('base64')};
 
-const replay = (answer: KeptAnswer): ServiceAnswer => ({
+const replay = (answer: StoredAnswer): ServiceAnswer => ({
 	status: answer.status, contentType: answer.contentType, body: Buffer.from(answer.body, 'base64'), isReplayed: true,
 });
 
@@ -68,7 +68,7 @@
 	/** @returns The answer; a refusal says whether the call may have run. */
 	run(): Effect.Effect<ServiceAnswer, Refusal> {
 		const {row, service} = this.plan;
-		const passed = this.services.gates.gate(service.pool).pass(row, 1, this.claimed());
+		const passed = this.services.gates.gate(service.pool).run(row, 1, this.claimed());
 		return passCeiling(this.services, row, 1).pipe(Effect.andThen(passed));
 	}
 
@@ -130,8 +130,8 @@
 				timeout: Math.max(1, this.plan.deadlineAt - startedAt),
 			}).pipe(Effect.map(answer => {
 				const took = clock.monotonic() - startedAt;
-				state.noteFirstToken(took);
-				state.noteSuccess(took);
+				state.recordFirstToken(took);
+				state.recordSuccess(took);
 				this.services.gates.budget(this.plan.service.pool).deposit();
 				return {...answer, isReplayed: false};
 			}));
--- a/src/dispatch/upstream-links.ts
+++ b/src/dispatch/upstream-links.ts
@@ -199,7 +199,7 @@
 	private report(box: Box, state: UpstreamState, upstream: Upstream): Effect.Effect<void> {
 		return upstream.load().pipe(
 			Effect.map(report => {
-				state.takeReport(report);
+				state.applyReport(report);
 				if (report.isLeaving) {
 					this.services.directory.markLeaving(box.id, 'upstream', undefined);
 				}
--- a/src/door/chat-request.ts
+++ b/src/door/chat-request.ts
@@ -8,7 +8,7 @@
 import {createDecoder} from '../base/faults.js';
 import {RequestKind, type ServiceName} from '../base/identifiers.js';
 import {Refusal} from '../base/verdict.js';
-import {describePrompt, type Prompt} from '../routing/prefix-belief.js';
+import {describePrompt, type Prompt} from '../routing/prefix-cache-estimate.js';
 
 const largestAnswer = 131_072;
 const defaultAnswer = 1024;
--- a/src/duties/duty-campaign.ts
+++ b/src/duties/duty-campaign.ts
@@ -37,7 +37,7 @@
  * @param facts - Input of the decision.
  * @returns Whether the holder of the duties appears to be working, as seen from this box.
  */
-export function isHolderAtWork({self, incarnation, record, outdatedFor, heard}: CampaignFacts): boolean {
+export function isHolderActive({self, incarnation, record, outdatedFor, heard}: CampaignFacts): boolean {
 	if (!record || record.holder === '' || outdatedFor > renewalGrace) {
 		return false;
 	}
@@ -75,6 +75,6 @@
  * @param facts - Input of the decision.
  * @returns Whether this box must first check that the holder no longer writes to the store.
  */
-export function mustLookForLife({heardPart, record, self}: CampaignFacts): boolean {
+export function mustCheckHolder({heardPart, record, self}: CampaignFacts): boolean {
 	return heardPart < majorityPart && record !== undefined && record.holder !== '' && record.holder !== self;
 }
--- a/src/duties/duty-lease.ts
+++ b/src/duties/duty-lease.ts
@@ -110,7 +110,7 @@
 	}
 
 	/** @returns Completes when the record has been read from the store. */
-	look(): Effect.Effect<void, StoreUnavailable> {
+	read(): Effect.Effect<void, StoreUnavailable> {
 		return this.services.store.read(dutyKind, dutyName).pipe(Effect.map(object => {
 			const wasHeld = this.isHeld;
 			const decoded = object && decodeDutyRecord(object.spec);
@@ -128,7 +128,7 @@
 	acquire(): Effect.Effect<void, StoreUnavailable | RevisionConflict> {
 		return Effect.gen({self: this}, function * () {
 			const {self, incarnation, log, store, amendRestored = unchanged} = this.services;
-			yield * this.look();
+			yield * this.read();
 			if (this.isHeld) {
 				return;
 			}
@@ -156,7 +156,7 @@
 		return Effect.gen({self: this}, function * () {
 			const {self, clock, store} = this.services;
 			if (this.isRecordStale || this.syncedAt <= clock.lastWake()) {
-				yield * this.look();
+				yield * this.read();
 			}
 
 			if (!this.isHeld) {
@@ -221,7 +221,7 @@
 	}
 
 	private readAfterConflict(): Effect.Effect<never, StoreUnavailable | DutyTaken> {
-		return this.look().pipe(Effect.andThen(Effect.suspend(() => Effect.fail(new DutyTaken({holder: this.record?.holder ?? ''})))));
+		return this.read().pipe(Effect.andThen(Effect.suspend(() => Effect.fail(new DutyTaken({holder: this.record?.holder ?? ''})))));
 	}
 
 	private write(record: DutyRecord): Effect.Effect<void, StoreUnavailable | RevisionConflict> {
--- a/src/duties/first-fleet-count.ts
+++ b/src/duties/first-fleet-count.ts
@@ -36,7 +36,7 @@
 	 * @returns Whether the count may be used: an earlier holder has counted, or no new replica has registered recently.
 	 */
 	isDue(record: DutyRecord): boolean {
-		return record.baseline.length > 0 || this.replicas.settledFor > settleTime;
+		return record.baseline.length > 0 || this.replicas.timeSinceLastAdded > settleTime;
 	}
 
 	/**
--- a/src/duties/holder-life.ts
+++ b/src/duties/holder-liveness.ts
@@ -13,14 +13,14 @@
 const readInterval = 1000;
 
 /** Watches the usage draft for changes. */
-export class HolderLife {
+export class HolderLiveness {
 	/**
 	 * @param store - The store that holds the draft.
 	 * @param clock - Measures the time without a change.
 	 * @returns A watch that has not read the draft yet.
 	 */
-	static create(store: MetadataStore, clock: Clock): HolderLife {
-		return new HolderLife(store, clock);
+	static create(store: MetadataStore, clock: Clock): HolderLiveness {
+		return new HolderLiveness(store, clock);
 	}
 
 	private seen: {readonly revision: number; readonly changedAt: number} | undefined;
@@ -29,7 +29,7 @@
 	private constructor(private readonly store: MetadataStore, private readonly clock: Clock) {}
 
 	/** @returns Whether the holder may be alive; `true` until the draft was watched for 4 s without a change. */
-	mayLive(): Effect.Effect<boolean, StoreUnavailable> {
+	mayBeAlive(): Effect.Effect<boolean, StoreUnavailable> {
 		return Effect.suspend(() => {
 			const now = this.clock.monotonic();
 			// An observation that was interrupted has to start again.
--- a/src/duties/test/duty-campaign.test.ts
+++ b/src/duties/test/duty-campaign.test.ts
@@ -5,10 +5,10 @@
 import {StoreStandin} from '../../../development/relay/store-standin.js';
 import {HttpMetadataStore} from '../../../platform/metadata-store.js';
 import {
-	isCandidate, isHolderAtWork, mustLookForLife, type CampaignFacts,
+	isCandidate, isHolderActive, mustCheckHolder, type CampaignFacts,
 } from '../duty-campaign.js';
 import {firstRecord} from '../duty-record.js';
-import {HolderLife} from '../holder-life.js';
+import {HolderLiveness} from '../holder-liveness.js';
 
 const facts = (changes: Partial<CampaignFacts>): CampaignFacts => ({
 	self: 'box-2', incarnation: 'one', record: {
@@ -18,10 +18,10 @@
 });
 
 test('in a network partition the minority checks whether the holder is alive before it acquires the duties, the majority does not', () => {
-	assert.equal(mustLookForLife(facts({heardPart: 0.35})), true);
-	assert.equal(mustLookForLife(facts({heardPart: 0.65})), false);
-	assert.equal(mustLookForLife(facts({heardPart: 0.35, record: firstRecord})), false, 'no box holds the duties');
-	assert.equal(mustLookForLife(facts({heardPart: 0.35, self: 'box-1'})), false, 'this box held the duties last');
+	assert.equal(mustCheckHolder(facts({heardPart: 0.35})), true);
+	assert.equal(mustCheckHolder(facts({heardPart: 0.65})), false);
+	assert.equal(mustCheckHolder(facts({heardPart: 0.35, record: firstRecord})), false, 'no box holds the duties');
+	assert.equal(mustCheckHolder(facts({heardPart: 0.35, self: 'box-1'})), false, 'this box held the duties last');
 });
 
 test('a box that does not receive the gossip of all other boxes is not a candidate', () => {
@@ -32,14 +32,14 @@
 test('a holder counts as alive while it writes its draft, and as stopped after 4 s without a write', async () => {
 	const standin = await StoreStandin.start();
 	const clock = new MovedClock(10_000);
-	const life = HolderLife.create(HttpMetadataStore.create('127.0.0.1', standin.port), clock);
+	const life = HolderLiveness.create(HttpMetadataStore.create('127.0.0.1', standin.port), clock);
 	const look = async (write: boolean): Promise<boolean> => {
 		clock.now += 1100;
 		if (write) {
 			standin.put('waydrift-duties', 'usage', {starts: [], at: clock.now});
 		}
 
-		return Effect.runPromise(life.mayLive());
+		return Effect.runPromise(life.mayBeAlive());
 	};
 
 	for (let round = 0; round < 8; round++) {
@@ -58,9 +58,9 @@
 	const last = {incarnation: 'x', isStopping: false, storeAge: 100};
 	const peer = {address: named, last} as unknown as CampaignFacts['heard'][number];
 	const self = facts({self: 'box-1', incarnation: 'x', outdatedFor: 1});
-	assert.deepEqual([isHolderAtWork(self), isCandidate(self)], [false, true]);
+	assert.deepEqual([isHolderActive(self), isCandidate(self)], [false, true]);
 	const other = {self: 'box-0', heard: [peer], rivals: [peer]};
-	assert.equal(isHolderAtWork(facts({...other, outdatedFor: 500})), true);
+	assert.equal(isHolderActive(facts({...other, outdatedFor: 500})), true);
 	const waited = facts({...other, outdatedFor: 2500});
-	assert.deepEqual([isHolderAtWork(waited), isCandidate(waited)], [false, true]);
+	assert.deepEqual([isHolderActive(waited), isCandidate(waited)], [false, true]);
 });
--- a/src/duties/test/duty-lease.test.ts
+++ b/src/duties/test/duty-lease.test.ts
@@ -107,7 +107,7 @@
 	const copy = standin.copy();
 	const before = await Effect.runPromise(lease.decide(record => ({...record, report: reportOf(7), orders: [order]})));
 	standin.restore(copy);
-	await Effect.runPromise(lease.look());
+	await Effect.runPromise(lease.read());
 	assert.deepEqual([lease.isHeld, lease.mayAct, before.isValid()], [false, false, false]);
 	await acquire(lease);
 	assert.deepEqual([lease.isHeld, lease.mayAct], [true, false], 'another box may have held the duties and made calls');
--- a/src/duties/test/usage-draft.test.ts
+++ b/src/duties/test/usage-draft.test.ts
@@ -13,21 +13,21 @@
 	const clock = new MovedClock(10_000);
 	const countsOf = () => UsageCounts.create(() => clock.now, () => 5000);
 	const first = countsOf();
-	first.note('basin');
-	first.note('basin');
-	first.take('other/one', [{window: first.currentWindow, counts: [['basin', 3]]}]);
+	first.recordRequest('basin');
+	first.recordRequest('basin');
+	first.merge('other/one', [{window: first.currentWindow, counts: [['basin', 3]]}]);
 	const draft = UsageDraft.create({
 		start: 'self/one', store, counts: first, clock,
 	});
 	// A single step must be enough, since the box may be lost before the next one.
 	await Effect.runPromise(draft.step());
 	const second = countsOf();
-	second.note('basin');
+	second.recordRequest('basin');
 	const next = UsageDraft.create({
 		start: 'self/two', store, counts: second, clock,
 	});
 	await Effect.runPromise(next.step());
-	second.take('other/one', [{window: second.currentWindow, counts: [['basin', 3]]}]);
+	second.merge('other/one', [{window: second.currentWindow, counts: [['basin', 3]]}]);
 	assert.deepEqual(second.total(second.currentWindow).counts, [['basin', 6]]);
 	await standin.close();
 });
--- a/src/duties/test/usage-restored.test.ts
+++ b/src/duties/test/usage-restored.test.ts
@@ -49,7 +49,7 @@
 			wait: () => wait, isFenced: () => false, amendRestored: record => duty.afterRestore(record),
 		});
 		const duty: UsageDuty = UsageDuty.create({
-			lease, calls, counts, clock, log: SilentEventLog.create(), trueTime: () => clock.now, windowLength: () => windowLength, delay: () => 10_000, hasHeardAll: () => true,
+			lease, calls, counts, clock, log: SilentEventLog.create(), trueTime: () => clock.now, windowLength: () => windowLength, delay: () => 10_000, hasGossipFromAll: () => true,
 		});
 		return {counts, lease, duty};
 	};
@@ -58,7 +58,7 @@
 		for (let passed = 0; passed < time; passed += step) {
 			clock.now += step;
 			for (let request = 0; request < each; request++) {
-				counts.note('basin');
+				counts.recordRequest('basin');
 			}
 
 			if (lease.mayAct) {
--- a/src/duties/usage-counts.ts
+++ b/src/duties/usage-counts.ts
@@ -41,13 +41,13 @@
 	}
 
 	/** The counts that this box sends to the other boxes. */
-	get told(): readonly WindowUsage[] {
+	get ownUsage(): readonly WindowUsage[] {
 		return usageOf(this.own).slice(-windowsSent);
 	}
 
 	/** The subset of the current and the previous window, whose counts may still change. */
-	get recent(): readonly WindowUsage[] {
-		return this.told.filter(({window}) => window >= this.currentWindow - 1);
+	get recentOwnUsage(): readonly WindowUsage[] {
+		return this.ownUsage.filter(({window}) => window >= this.currentWindow - 1);
 	}
 
 	/** Counts received from the other boxes and from earlier processes, by process. */
@@ -60,7 +60,7 @@
 	 *
 	 * @param clientAccount - Client account that sent the request.
 	 */
-	note(clientAccount: string): void {
+	recordRequest(clientAccount: string): void {
 		const window = this.currentWindow;
 		const counts = this.own.get(window) ?? new Map<string, number>();
 		this.own.set(window, counts);
@@ -74,7 +74,7 @@
 	 * @param start - The process: name of the box and incarnation.
 	 * @param usage - Its counts.
 	 */
-	take(start: string, usage: readonly WindowUsage[]): void {
+	merge(start: string, usage: readonly WindowUsage[]): void {
 		const windows = this.others.get(start) ?? new Map<number, Map<string, number>>();
 		this.others.set(start, windows);
 		for (const {window, counts} of usage) {
--- a/src/duties/usage-draft.ts
+++ b/src/duties/usage-draft.ts
@@ -73,7 +73,7 @@
 			const decoded = object && decodeDraft(object.spec);
 			const starts = decoded && Result.isSuccess(decoded) ? decoded.success.starts : [];
 			for (const {start, usage} of starts.filter(entry => entry.start !== own)) {
-				counts.take(start, usage);
+				counts.merge(start, usage);
 			}
 		}));
 	}
@@ -81,7 +81,7 @@
 	private write(): Effect.Effect<void, StoreUnavailable | RevisionConflict> {
 		const {store, counts, clock, start} = this.services;
 		const oldest = counts.currentWindow - windowsDrafted;
-		const starts = [...counts.othersUsage, {start, usage: counts.told}].flatMap(entry => recentOf(entry, oldest));
+		const starts = [...counts.othersUsage, {start, usage: counts.ownUsage}].flatMap(entry => recentOf(entry, oldest));
 		this.writtenAt = clock.monotonic();
 		const written = this.revision === undefined
 			? store.create(draftKind, draftName, {starts})
--- a/src/duties/usage-duty.ts
+++ b/src/duties/usage-duty.ts
@@ -33,7 +33,7 @@
 	/** @returns Milliseconds after the end of a window at which a report is too late. */
 	readonly delay: () => number;
 	/** @returns Whether gossip arrived from every known box within the given milliseconds. */
-	readonly hasHeardAll: (within: number) => boolean;
+	readonly hasGossipFromAll: (within: number) => boolean;
 };
 
 /** Reports usage to the platform. */
@@ -86,13 +86,13 @@
 	}
 
 	private dueWindow(last: number | undefined): number | undefined {
-		const {trueTime, windowLength, delay, hasHeardAll} = this.services;
+		const {trueTime, windowLength, delay, hasGossipFromAll} = this.services;
 		const current = Math.floor(trueTime() / windowLength());
 		const oldest = current - Math.ceil(delay() / windowLength());
 		const next = Math.max(last === undefined ? this.firstWindow : last + 1, oldest, this.services.lease.known?.reportsFrom ?? 0);
 		const age = this.ageOf(next);
 		// Gossip from every box must have arrived at least 300 ms after the end of the window.
-		const isDue = age >= maxReportAge || (age >= minReportAge && hasHeardAll(age - 300));
+		const isDue = age >= maxReportAge || (age >= minReportAge && hasGossipFromAll(age - 300));
 		return isDue && age < delay() ? next : undefined;
 	}
 
--- a/src/gossip/gossip-codec.ts
+++ b/src/gossip/gossip-codec.ts
@@ -6,9 +6,9 @@
 import * as Result from 'effect/Result';
 import * as Schema from 'effect/Schema';
 import {createDecoder} from '../base/faults.js';
-import type {EndNews} from '../quarantine/end-ledger.js';
+import type {CrashLedgerUpdate} from '../quarantine/crash-ledger.js';
 import {Fingerprint} from '../quarantine/fingerprint.js';
-import {statementKinds, type ToldStatement} from '../replicas/replica-statement.js';
+import {statementKinds, type StatementUpdate} from '../replicas/replica-statement.js';
 import type {GossipMessage, MemberAddress, ReplicaLoad} from './gossip-message.js';
 
 /** Name, host, port, capacity. */
@@ -149,8 +149,8 @@
 	};
 }
 
-function statementLayoutOf(statements: readonly ToldStatement[]): NonNullable<Layout['statements']> {
-	const rowsOf = (kind: ToldStatement['kind']) => statements
+function statementLayoutOf(statements: readonly StatementUpdate[]): NonNullable<Layout['statements']> {
+	const rowsOf = (kind: StatementUpdate['kind']) => statements
 		.filter(statement => statement.kind === kind)
 		.map(({start, value, age}) => [start, value ?? null, age] as const);
 	const [limits, leaving, pauses] = statementKinds;
@@ -158,7 +158,7 @@
 }
 
 /** @returns The statement; none where its value is below zero. */
-function statementOf(kind: ToldStatement['kind'], [start, value, age]: typeof StatementRow.Type): readonly ToldStatement[] {
+function statementOf(kind: StatementUpdate['kind'], [start, value, age]: typeof StatementRow.Type): readonly StatementUpdate[] {
 	return value === null || value >= 0
 		? [{
 			start, kind, value: value ?? undefined, age: Math.max(0, age),
@@ -166,16 +166,16 @@
 		: [];
 }
 
-function endLayoutOf({ends, completions}: EndNews): NonNullable<Layout['ends']> {
+function endLayoutOf({crashes: ends, completions}: CrashLedgerUpdate): NonNullable<Layout['ends']> {
 	return [
 		ends.map(({start, service, software, age, suspects}) => [start, service, software, age, suspects.map(({fingerprint, ranFor}) => [fingerprint, ranFor] as const)] as const),
 		completions.map(({fingerprint, age}) => [fingerprint, age] as const),
 	];
 }
 
-function endNewsOf([ends, completions]: NonNullable<Layout['ends']>): EndNews {
+function endNewsOf([ends, completions]: NonNullable<Layout['ends']>): CrashLedgerUpdate {
 	return {
-		ends: ends.map(([start, service, software, age, suspects]) => ({
+		crashes: ends.map(([start, service, software, age, suspects]) => ({
 			start, service, software, age: Math.max(0, age), suspects: suspects.map(([fingerprint, ranFor]) => ({fingerprint: Fingerprint(fingerprint), ranFor})),
 		})),
 		completions: completions.map(([fingerprint, age]) => ({fingerprint: Fingerprint(fingerprint), age: Math.max(0, age)})),
--- a/src/gossip/gossip-message.ts
+++ b/src/gossip/gossip-message.ts
@@ -2,11 +2,11 @@
  * What boxes tell each other, one datagram at a time; gossip-codec.ts lays it out.
  */
 import {largestPort} from '../base/port.js';
-import type {EndNews} from '../quarantine/end-ledger.js';
-import type {Stretch} from '../replicas/limit-slots.js';
+import type {CrashLedgerUpdate} from '../quarantine/crash-ledger.js';
+import type {RingRange} from '../replicas/limit-slots.js';
 import type {ReplicaWork} from '../replicas/replica.js';
 import type {Departure} from '../replicas/replica-directory.js';
-import type {ToldStatement} from '../replicas/replica-statement.js';
+import type {StatementUpdate} from '../replicas/replica-statement.js';
 import type {Demand} from '../replicas/service-demand.js';
 import type {Changes} from '../follow/metadata-store.js';
 
@@ -31,7 +31,7 @@
 export type ReplicaLoad = ReplicaWork & {readonly replica: string};
 
 /** The receiver's part of the slots at replicas of a service that have named limits. */
-export type ServiceStretch = Stretch & {readonly service: string};
+export type ServiceStretch = RingRange & {readonly service: string};
 
 /** What is asked of one service at the sender. */
 export type ServiceLoad = Demand & {readonly service: string};
@@ -115,9 +115,9 @@
 	/** Replicas that began to leave lately. */
 	readonly departed: readonly Departure[];
 	/** Replicas that ended under requests, and such requests that were served since; absent where there are none. */
-	readonly ends?: EndNews;
+	readonly ends?: CrashLedgerUpdate;
 	/** What replicas said of themselves in answers to the sender, in an answer of an aggregator to any box; absent where there is nothing. */
-	readonly statements?: readonly ToldStatement[];
+	readonly statements?: readonly StatementUpdate[];
 	readonly usage: readonly WindowUsage[];
 	/** Some of the boxes that the sender knows. */
 	readonly members: readonly MemberAddress[];
--- a/src/gossip/test/gossip-codec.test.ts
+++ b/src/gossip/test/gossip-codec.test.ts
@@ -33,7 +33,7 @@
 		},
 	],
 	ends: {
-		ends: [{
+		crashes: [{
 			start: 'i-3/1700000000000', service: 's', software: '2', age: 250, suspects: [{fingerprint: Fingerprint('AbC-_1234567'), ranFor: 75}],
 		}],
 		completions: [{fingerprint: Fingerprint('AbC-_7654321'), age: 10}],
--- a/src/limits/ceilings.ts
+++ b/src/limits/ceilings.ts
@@ -106,7 +106,7 @@
 	 * @param grants - The grants.
 	 * @param askedAt - Monotonic milliseconds, taken before the request to the owner was sent.
 	 */
-	takeGrants(owner: BoxId, grants: readonly CeilingGrant[], askedAt: number): void {
+	applyGrants(owner: BoxId, grants: readonly CeilingGrant[], askedAt: number): void {
 		for (const {row, rate} of grants) {
 			const usage = this.usages.get(row);
 			if (usage && askedAt >= usage.grantedAt) {
--- a/src/limits/pool-gate.ts
+++ b/src/limits/pool-gate.ts
@@ -87,7 +87,7 @@
 	 * @param use - Runs the request.
 	 * @returns The result of `use`; fails with a refusal at once when the expected wait is too long.
 	 */
-	pass<Answer, Failure>(row: Row, cost: number, use: Effect.Effect<Answer, Failure>): Effect.Effect<Answer, Failure | Refusal> {
+	run<Answer, Failure>(row: Row, cost: number, use: Effect.Effect<Answer, Failure>): Effect.Effect<Answer, Failure | Refusal> {
 		return Effect.uninterruptibleMask(restore => restore(this.admit(row, cost)).pipe(Effect.flatMap(() => restore(use).pipe(Effect.ensuring(Effect.sync(() => {
 			this.finish();
 		}))))));
--- a/src/limits/test/ceiling-start.test.ts
+++ b/src/limits/test/ceiling-start.test.ts
@@ -30,7 +30,7 @@
 
 	ask(asker: BoxId, owner: BoxId): void {
 		const {ceilings} = this.boxes.get(asker)!;
-		ceilings.takeGrants(owner, this.boxes.get(owner)!.owner.grant(asker, ceilings.demandsFor(owner, [...this.boxes.keys()])), this.now);
+		ceilings.applyGrants(owner, this.boxes.get(owner)!.owner.grant(asker, ceilings.demandsFor(owner, [...this.boxes.keys()])), this.now);
 	}
 
 	exchange(): void {
@@ -75,7 +75,7 @@
 	fleet.start(first);
 	const {ceilings} = fleet.boxes.get(first)!;
 	ceilings.demandsFor(first, [first]);
-	ceilings.takeGrants(first, [{row, rate: 0}], fleet.now);
+	ceilings.applyGrants(first, [{row, rate: 0}], fleet.now);
 	const wait = fleet.take(first, 1);
 	assert.ok(wait > 0 && wait <= grantLifetime, `${wait} ms`);
 });
--- a/src/limits/test/pool-gate.test.ts
+++ b/src/limits/test/pool-gate.test.ts
@@ -23,7 +23,7 @@
 			gate.tick();
 		}, 250);
 		await use(governing => {
-			Effect.runFork(gate.pass(governing, 1, Effect.sleep(100)).pipe(
+			Effect.runFork(gate.run(governing, 1, Effect.sleep(100)).pipe(
 				Effect.map(() => undefined),
 				Effect.catch(error => Effect.succeed(error)),
 				Effect.map(refusal => outcomes.push({account: governing.account, refusal, at: time.now})),
@@ -83,7 +83,7 @@
 		}
 
 		await time.settle();
-		const fiber = Effect.runFork(gate.pass(row('gone', 1), 1, Effect.sleep(100)));
+		const fiber = Effect.runFork(gate.run(row('gone', 1), 1, Effect.sleep(100)));
 		await time.settle();
 		assert.equal(gate.waitingCount, 1);
 		fiber.interruptUnsafe();
--- a/src/node/configuration-role.ts
+++ b/src/node/configuration-role.ts
@@ -39,9 +39,9 @@
 	readonly table: RouteTableView;
 	readonly availability: StoreAvailability;
 	/** @returns Whether this box follows the store even when other boxes do. */
-	readonly leads: () => boolean;
+	readonly followsStore: () => boolean;
 	/** Milliseconds without a proof from other boxes after which this box reads the store itself. */
-	readonly patience: number;
+	readonly fallbackDelay: number;
 };
 
 /** Follows the configuration in the store and serves it to peers. */
@@ -68,9 +68,9 @@
 
 	/** @returns An effect that watches the configuration in the store until interrupted. */
 	follow(): Effect.Effect<never> {
-		const {link: {store, names}, clock, log, leads, availability} = this.services;
+		const {link: {store, names}, clock, log, followsStore, availability} = this.services;
 		return KindFollower.create(names.configurationKind, {
-			store, clock, log, watchWait, isNeeded: leads,
+			store, clock, log, watchWait, isNeeded: followsStore,
 		}, {
 			onAnswer() {
 				availability.noteOwnAnswer();
@@ -104,7 +104,7 @@
 				Effect.catchTag('StoreUnavailable', () => Effect.sleep(failurePause)),
 			);
 		});
-		const pause = Effect.suspend(() => Effect.sleep(this.services.leads() ? checkInterval : idleCheckInterval));
+		const pause = Effect.suspend(() => Effect.sleep(this.services.followsStore() ? checkInterval : idleCheckInterval));
 		const checkOnce = Effect.suspend(() => this.needsProof ? readStore : Effect.void).pipe(Effect.andThen(pause));
 		// The first list of `follow` is a proof too, so this starts later.
 		return Effect.sleep(firstCheckDelay).pipe(Effect.andThen(Effect.forever(checkOnce)));
@@ -112,9 +112,9 @@
 
 	/** A box that follows the store reads early; another box reads only when no proof has arrived from those for a while. */
 	private get needsProof(): boolean {
-		const {table, leads, patience, clock} = this.services;
+		const {table, followsStore, fallbackDelay, clock} = this.services;
 		const age = Math.min(table.proofAge, clock.monotonic() - this.startedAt);
-		return leads() ? table.proofAge > maxProofAge + (Math.random() * proofAgeSpread) : age > patience;
+		return followsStore() ? table.proofAge > maxProofAge + (Math.random() * proofAgeSpread) : age > fallbackDelay;
 	}
 
 	/**
--- a/src/node/duty-roles.ts
+++ b/src/node/duty-roles.ts
@@ -6,13 +6,13 @@
 import type {EventLog} from '../base/event-log.js';
 import type {Role} from '../daemon/role.js';
 import {
-	isCandidate, isHolderAtWork, mustLookForLife, type CampaignFacts,
+	isCandidate, isHolderActive, mustCheckHolder, type CampaignFacts,
 } from '../duties/duty-campaign.js';
 import type {DutyCalls} from '../duties/duty-calls.js';
 import {DutyLease} from '../duties/duty-lease.js';
 import {FleetDuty} from '../duties/fleet-duty.js';
 import {MeasuredLoadPolicy} from '../duties/fleet-plan.js';
-import {HolderLife} from '../duties/holder-life.js';
+import {HolderLiveness} from '../duties/holder-liveness.js';
 import {UsageDraft} from '../duties/usage-draft.js';
 import {UsageDuty} from '../duties/usage-duty.js';
 import type {StoreAvailability} from '../follow/store-availability.js';
@@ -70,7 +70,7 @@
 	private readonly usage: UsageDuty;
 	private readonly fleet: FleetDuty;
 	private readonly draft: UsageDraft;
-	private readonly life: HolderLife;
+	private readonly life: HolderLiveness;
 	/** Monotonic milliseconds at which this box was last an aggregator. */
 	private lastAggregatorAt = Number.NEGATIVE_INFINITY;
 	/** Monotonic milliseconds at which the load was last observed. */
@@ -91,9 +91,9 @@
 			trueTime: () => peers.commonTime,
 			windowLength: () => settings().bounds.reportWindow,
 			delay: () => settings().bounds.reportDelay,
-			hasHeardAll: within => peers.hasHeardAllWithin(within),
+			hasGossipFromAll: within => peers.hasHeardAllWithin(within),
 		});
-		this.life = HolderLife.create(store, clock);
+		this.life = HolderLiveness.create(store, clock);
 		this.draft = UsageDraft.create({
 			start: `${self}/${incarnation}`, store, counts: services.usage, clock, onAnswer() {
 				parts.availability.noteOwnAnswer();
@@ -103,7 +103,7 @@
 			lease: this.lease, calls, clock, log, table: services.table, replicas: services.replicas, policy: MeasuredLoadPolicy.create(),
 			demand: service => this.demandFor(service),
 			limitOf: replica => services.limits.limitOf(replica),
-			pausedPart: replica => Math.min(1, services.statements.boxesPaused(replica) / peers.boxes),
+			pausedPart: replica => Math.min(1, services.statements.pausedBoxCount(replica) / peers.boxes),
 		});
 	}
 
@@ -133,7 +133,7 @@
 	private demandFor(service: string): FleetDemand {
 		const {peers, services: {demands}} = this.parts;
 		return pooledDemand([
-			demands.of(service).now,
+			demands.of(service).current,
 			...peers.heard.flatMap(({last}) => last?.demand?.filter(entry => entry.service === service) ?? []),
 		]);
 	}
@@ -175,15 +175,15 @@
 	private campaign() {
 		return Effect.gen({self: this}, function * () {
 			if (!this.lease.known) {
-				yield * this.lease.look();
+				yield * this.lease.read();
 			}
 
-			if (isHolderAtWork(this.facts()) || !isCandidate(this.facts())) {
+			if (isHolderActive(this.facts()) || !isCandidate(this.facts())) {
 				return;
 			}
 
-			yield * this.lease.look();
-			if (isHolderAtWork(this.facts()) || (mustLookForLife(this.facts()) && (yield * this.life.mayLive()))) {
+			yield * this.lease.read();
+			if (isHolderActive(this.facts()) || (mustCheckHolder(this.facts()) && (yield * this.life.mayBeAlive()))) {
 				return;
 			}
 
--- a/src/node/exchange-state.ts
+++ b/src/node/exchange-state.ts
@@ -10,8 +10,8 @@
 	type FleetDigest, type GossipMessage, type ReplicaLoad,
 } from '../gossip/gossip-message.js';
 import type {Meeting, Peer, PeerTable} from '../gossip/peer-table.js';
-import {mostEndsTold} from '../quarantine/end-ledger.js';
-import {mostStatementsTold, newsTime, type StatementSource} from '../replicas/replica-statement.js';
+import {maxCrashesSent} from '../quarantine/crash-ledger.js';
+import {maxStatementsPerMessage, recentWindow, type StatementSource} from '../replicas/replica-statement.js';
 import type {RelayServices} from '../relay/relay-services.js';
 import type {ConfigurationRole} from './configuration-role.js';
 import type {LimitStretches} from './limit-stretches.js';
@@ -59,18 +59,18 @@
 	 * @param sources - Sources of the replica statements to include; a reply also passes on those received from other boxes.
 	 * @returns The fields that every message of this box has.
 	 */
-	news(isWhole: boolean, sources: readonly StatementSource[] = ['answer', 'box']): LocalNews {
+	commonUpdate(isWhole: boolean, sources: readonly StatementSource[] = ['answer', 'box']): LocalNews {
 		const {
 			services: {table, replicas, quarantine, statements: replicaStatements}, availability, replicaRole, isStopping, topology,
 		} = this.parts;
-		const ends = quarantine.told(isWhole, topology.isLarge ? mostEndsTold.large : mostEndsTold.small);
-		const statements = replicaStatements.told(isWhole, sources, topology.isLarge ? mostStatementsTold.large : mostStatementsTold.small);
+		const ends = quarantine.collectUpdate(isWhole, topology.isLarge ? maxCrashesSent.large : maxCrashesSent.small);
+		const statements = replicaStatements.updates(isWhole, sources, topology.isLarge ? maxStatementsPerMessage.large : maxStatementsPerMessage.small);
 		return {
 			version: table.version,
 			...(Number.isFinite(table.proofAge) ? {proofAge: Math.ceil(table.proofAge)} : {}),
 			isStopping: isStopping(),
 			storeAge: Math.min(unknownAge, Math.round(availability.ownSilence)),
-			departed: replicas.departedWithin(topology.isLarge ? newsTime : undefined),
+			departed: replicas.departedWithin(topology.isLarge ? recentWindow : undefined),
 			...(replicaRole.listState ? {replicas: replicaRole.listState} : {}),
 			...(ends ? {ends} : {}),
 			...(statements ? {statements} : {}),
@@ -81,20 +81,20 @@
 	 * @param isWhole - Whether to include all counters, not only those that changed recently.
 	 * @returns The state of this box itself.
 	 */
-	local(isWhole: boolean): LocalState {
+	localState(isWhole: boolean): LocalState {
 		const {
 			replicas, quota, usage, demands, limits,
 		} = this.parts.services;
-		limits.lookForSlots();
+		limits.openDueSlots();
 		const busy = replicas.all.filter(({ownWork}) => ownWork.requests > 0);
 		this.logRoleChange();
 		return {
-			...this.news(isWhole, ['answer']),
+			...this.commonUpdate(isWhole, ['answer']),
 			quota: isWhole ? quota.counts : quota.recentCounts,
 			isWhole,
 			work: busy.map(({entry, ownWork}) => ({replica: entry.id, ...ownWork})),
-			demand: demands.told,
-			usage: isWhole ? usage.told : usage.recent,
+			demand: demands.snapshots,
+			usage: isWhole ? usage.ownUsage : usage.recentOwnUsage,
 		};
 	}
 
@@ -108,7 +108,7 @@
 		const changes = replicaRole.changesSince(last?.replicas?.at ?? Number.NEGATIVE_INFINITY);
 		const limited = topology.isLarge && topology.isAggregator ? limits.services : [];
 		const update = {
-			...(limited.length > 0 ? {stretches: stretches.toldTo(address.name, limited)} : {}),
+			...(limited.length > 0 ? {stretches: stretches.stretchesFor(address.name, limited)} : {}),
 			boxes: topology.isAggregator ? peers.knownBoxes : peers.boxes,
 			...(changes ? {changes} : {}),
 		};
@@ -130,14 +130,14 @@
 	 * @param message - The message.
 	 * @param meeting - How the sender was known before; see `QuotaLedger.takeCounts`.
 	 */
-	take(message: GossipMessage, meeting: Meeting): void {
+	applyMessage(message: GossipMessage, meeting: Meeting): void {
 		const {services: {replicas, quota, usage}, topology, peers} = this.parts;
 		const {sender, work} = message;
 		const start = processNameOf(message);
 		this.applyCommonUpdate(message, 'box');
 		// A sender that is known from its digests alone counts as new to the quota, so that requests that it admitted earlier are not charged now.
-		quota.takeCounts(start, message.quota, quota.knows(start) ? meeting : peers.meetAnew(message), message.isWhole);
-		usage.take(start, message.usage);
+		quota.applyCounts(start, message.quota, quota.knows(start) ? meeting : peers.meetAnew(message), message.isWhole);
+		usage.merge(start, message.usage);
 		if (!topology.isAggregator) {
 			return;
 		}
@@ -146,7 +146,7 @@
 		for (const replica of replicas.all) {
 			const found = workByReplica.get(replica.entry.id);
 			if (found) {
-				replica.notePeerWork(sender.name, found);
+				replica.setPeerWork(sender.name, found);
 			} else {
 				replica.clearPeerWork(sender.name);
 			}
@@ -159,14 +159,14 @@
 	 * @param message - The message.
 	 * @param digest - Its part about all boxes.
 	 */
-	takeDigest(message: GossipMessage, digest: FleetDigest): void {
+	applyDigest(message: GossipMessage, digest: FleetDigest): void {
 		const {services: {replicas, quota}, topology, peers} = this.parts;
 		this.applyCommonUpdate(message, 'digest');
 		if (!topology.isLarge) {
 			return;
 		}
 
-		this.parts.stretches.take(digest.stretches ?? []);
+		this.parts.stretches.applyReceived(digest.stretches ?? []);
 		const {isAggregator} = topology;
 		if (!isAggregator || peers.uptime < quotaAdoptionTime) {
 			quota.adopt(digest.quota ?? []);
@@ -178,7 +178,7 @@
 
 		const workByReplica = new Map(digest.work.map(entry => [entry.replica, entry]));
 		for (const replica of replicas.all) {
-			replica.noteOthersWork(workByReplica.get(replica.entry.id) ?? {requests: 0, unreadTokens: 0});
+			replica.setAggregateWork(workByReplica.get(replica.entry.id) ?? {requests: 0, unreadTokens: 0});
 		}
 	}
 
@@ -191,19 +191,19 @@
 		}
 
 		for (const departure of message.departed) {
-			replicas.noteLeaving(departure, 'peer');
+			replicas.markLeaving(departure, 'peer');
 		}
 
 		if (message.ends) {
-			quarantine.take(message.ends);
+			quarantine.merge(message.ends);
 		}
 
 		if (message.statements) {
-			statements.takeTold(message.sender.name, message.statements, source);
+			statements.merge(message.sender.name, message.statements, source);
 		}
 
 		if (message.replicas) {
-			replicaRole.take(message.sender, message.replicas, message.digest?.changes);
+			replicaRole.applyPeerUpdate(message.sender, message.replicas, message.digest?.changes);
 		}
 	}
 
--- a/src/node/limit-stretches.ts
+++ b/src/node/limit-stretches.ts
@@ -8,7 +8,7 @@
 import type {ExchangeTopology} from '../gossip/exchange-topology.js';
 import type {ServiceStretch} from '../gossip/gossip-message.js';
 import type {PeerTable} from '../gossip/peer-table.js';
-import {divideLine, type Stretch} from '../replicas/limit-slots.js';
+import {divideRing, type RingRange} from '../replicas/limit-slots.js';
 import type {Demand, ServiceDemands} from '../replicas/service-demand.js';
 
 /** Dependencies of the stretches. */
@@ -28,9 +28,9 @@
 const divisionLifetime = 100;
 /** Minimum weight of a box, as a part of the mean demand of all boxes: a box without demand may get requests in the next second. */
 const minWeightPart = 0.2;
-const emptyStretch: Stretch = {from: 0, length: 0};
+const emptyStretch: RingRange = {from: 0, length: 0};
 
-type Division = {readonly stretches: ReadonlyMap<string, Stretch>; readonly at: number};
+type Division = {readonly stretches: ReadonlyMap<string, RingRange>; readonly at: number};
 
 /** The stretches of one box. */
 export class LimitStretches {
@@ -42,7 +42,7 @@
 		return new LimitStretches(services);
 	}
 
-	private readonly received = new Map<string, {readonly stretch: Stretch; readonly at: number}>();
+	private readonly received = new Map<string, {readonly stretch: RingRange; readonly at: number}>();
 	private readonly divisions = new Map<string, Division>();
 
 	private constructor(private readonly services: LimitStretchServices) {}
@@ -51,7 +51,7 @@
 	 * @param service - Name of a service.
 	 * @returns The stretch of this box.
 	 */
-	of(service: string): Stretch {
+	of(service: string): RingRange {
 		const {self, clock, peers, topology} = this.services;
 		if (peers.uptime < settlingTime) {
 			return emptyStretch;
@@ -72,32 +72,32 @@
 	 * @param services - Names of services that have limited replicas.
 	 * @returns The stretches to send to it.
 	 */
-	toldTo(box: string, services: readonly string[]): readonly ServiceStretch[] {
+	stretchesFor(box: string, services: readonly string[]): readonly ServiceStretch[] {
 		return services.map(service => ({service, ...this.stretchOf(box, service)}));
 	}
 
 	/** @param stretches - The stretches of this box, received from an aggregator. */
-	take(stretches: readonly ServiceStretch[]): void {
+	applyReceived(stretches: readonly ServiceStretch[]): void {
 		for (const {service, from, length} of stretches) {
 			this.received.set(service, {stretch: {from, length}, at: this.services.clock.monotonic()});
 		}
 	}
 
 	/** Shortens the stretch where the fleet has more boxes than this box knows by name, so that those keep their part. */
-	private stretchOf(box: string, service: string): Stretch {
+	private stretchOf(box: string, service: string): RingRange {
 		const {peers} = this.services;
 		const {from, length} = this.divisionFor(service).get(box) ?? emptyStretch;
 		return {from, length: length * peers.knownBoxes / peers.boxes};
 	}
 
-	private divisionFor(service: string): ReadonlyMap<string, Stretch> {
+	private divisionFor(service: string): ReadonlyMap<string, RingRange> {
 		const now = this.services.clock.monotonic();
 		const known = this.divisions.get(service);
 		if (known && now - known.at < divisionLifetime) {
 			return known.stretches;
 		}
 
-		const stretches = divideLine(this.weightsOf(service));
+		const stretches = divideRing(this.weightsOf(service));
 		this.divisions.set(service, {stretches, at: now});
 		return stretches;
 	}
@@ -106,7 +106,7 @@
 	private weightsOf(service: string): ReadonlyMap<string, number> {
 		const {self, peers, demands} = this.services;
 		const rates = new Map<string, number | undefined>([
-			[self, rateOf(demands.told, service) ?? 0],
+			[self, rateOf(demands.snapshots, service) ?? 0],
 			...peers.all.map(({address, last}) => [address.name, last && (rateOf(last.demand ?? [], service) ?? 0)] as const),
 		]);
 		const knownRates = [...rates.values()].filter(rate => rate !== undefined);
--- a/src/node/relay-node.ts
+++ b/src/node/relay-node.ts
@@ -19,14 +19,14 @@
 import {PeerTable} from '../gossip/peer-table.js';
 import {Quarantine} from '../quarantine/quarantine.js';
 import {QuotaLedger} from '../quota/quota-ledger.js';
-import {ConnectionBook} from '../relay/connection-book.js';
-import {EndWatch} from '../relay/end-watch.js';
+import {ConnectionRegistry} from '../relay/connection-registry.js';
+import {CrashDetector} from '../relay/crash-detector.js';
 import {FreshnessGuard} from '../relay/freshness-guard.js';
-import {FrontDoor} from '../relay/front-door.js';
+import {FrontEnd} from '../relay/front-end.js';
 import {LimitQueue} from '../relay/limit-queue.js';
 import type {RelayMetrics} from '../relay/relay-metrics.js';
 import type {RelayServices} from '../relay/relay-services.js';
-import {RepeatBudgets} from '../relay/repeat-budgets.js';
+import {RetryBudgets} from '../relay/retry-budgets.js';
 import {LeastWaitChoice} from '../replicas/replica-choice.js';
 import {ReplicaDirectory} from '../replicas/replica-directory.js';
 import {ReplicaLimits} from '../replicas/replica-limits.js';
@@ -101,7 +101,7 @@
 	private readonly configuration: ConfigurationRole;
 	private readonly replicaRole: ReplicaRole;
 	private readonly exchange: ExchangeState;
-	private readonly frontEnd: FrontDoor;
+	private readonly frontEnd: FrontEnd;
 	private stoppingSince: number | undefined;
 	/** Milliseconds of both clocks at the last sample. */
 	private sampledAt: {readonly monotonic: number; readonly wall: number};
@@ -121,13 +121,13 @@
 		this.availability = StoreAvailability.create(this.clock, () => lapseTime(settings().bounds.heartbeat));
 		const {availability} = this;
 		const followerServices = {
-			link, log, clock: this.clock, availability, leads: () => this.topology.isAggregator,
+			link, log, clock: this.clock, availability, followsStore: () => this.topology.isAggregator,
 		};
-		this.configuration = ConfigurationRole.create({...followerServices, table, patience: fallbackDelayOf(node, configurationFallbackDelay)});
+		this.configuration = ConfigurationRole.create({...followerServices, table, fallbackDelay: fallbackDelayOf(node, configurationFallbackDelay)});
 		this.replicaRole = ReplicaRole.create({
 			...followerServices,
 			replicas,
-			patience: fallbackDelayOf(node, replicaFallbackDelay),
+			fallbackDelay: fallbackDelayOf(node, replicaFallbackDelay),
 			drain: () => settings().bounds.drain,
 			countUnreadable(kind) {
 				parts.metrics.entriesUnreadable.inc({kind});
@@ -145,12 +145,12 @@
 			stretches: this.stretches,
 			isStopping: () => this.stoppingSince !== undefined,
 		});
-		this.frontEnd = FrontDoor.create(this.services, {
+		this.frontEnd = FrontEnd.create(this.services, {
 			isStopping: () => this.stoppingSince !== undefined,
 			isClosing: () => this.stoppingFor > closingDelay,
 		});
-		replicas.onDidGo(replica => {
-			this.services.ends.noteGone(replica);
+		replicas.onDidRemove(replica => {
+			this.services.crashDetector.recordGone(replica);
 			this.services.connections.forget(replica);
 			this.services.statements.forget(replica);
 		});
@@ -164,7 +164,7 @@
 
 	/** Whether this box suspects requests of having crashed replicas. */
 	get suspectsRequests(): boolean {
-		return this.services.quarantine.isWatching;
+		return this.services.quarantine.hasSuspects;
 	}
 
 	/** Milliseconds since the stop signal; zero before. */
@@ -207,7 +207,7 @@
 		const {link, log, metrics, settings} = this.parts;
 		const {clock, peers, topology} = this;
 		const table = RouteTableView.create(clock, log);
-		const connections = ConnectionBook.create(clock, {
+		const connections = ConnectionRegistry.create(clock, {
 			maximumConnections: service => table.inForce?.service(service)?.maximumConnections ?? Number.POSITIVE_INFINITY, boxes: () => peers.boxes,
 		});
 		const replicas = ReplicaDirectory.create(clock, log);
@@ -218,7 +218,7 @@
 			metrics.configurationVersion.set(version);
 		});
 		const limits = ReplicaLimits.create({
-			clock, log, commonTime: () => peers.commonTime, stretch: service => this.stretches.of(service), listed: start => replicas.ofStart(start),
+			clock, log, commonTime: () => peers.commonTime, slotRange: service => this.stretches.of(service), listed: start => replicas.byStart(start),
 		});
 		const bounds = () => settings().bounds;
 		return {
@@ -230,7 +230,7 @@
 			format: link.format,
 			guard: FreshnessGuard.create(table, () => ({isStrict: bounds().isRevocationStrict, revoke: bounds().revoke})),
 			replicas,
-			choice: LeastWaitChoice.create({dataCentre: settings().dataCentre, now: () => clock.monotonic(), isWorkOld: () => topology.isLarge}),
+			choice: LeastWaitChoice.create({dataCentre: settings().dataCentre, now: () => clock.monotonic(), isWorkStale: () => topology.isLarge}),
 			limits,
 			statements: ReplicaStatements.create({
 				clock, log, limits, replicas,
@@ -239,15 +239,15 @@
 			demands: ServiceDemands.create(clock),
 			connections,
 			quarantine,
-			ends: EndWatch.create({
+			crashDetector: CrashDetector.create({
 				clock, log, metrics, connections, quarantine,
 			}),
 			quota: QuotaLedger.create({
 				bound: name => table.inForce?.content.clientAccounts.find(clientAccount => clientAccount.name === name),
-				heardPart: () => topology.isAggregator ? peers.heardPart : 1 / peers.boxes,
-				burstPart: () => topology.isLarge ? largeFleetBurst : 1,
+				reachableFraction: () => topology.isAggregator ? peers.heardPart : 1 / peers.boxes,
+				burstFraction: () => topology.isLarge ? largeFleetBurst : 1,
 			}, clock, settings().isFirstStart),
-			budgets: RepeatBudgets.create(
+			budgets: RetryBudgets.create(
 				() => ({ratio: bounds().retryRatio, slack: bounds().retrySlack, window: bounds().retryWindow}),
 				() => peers.boxes,
 				clock,
@@ -290,14 +290,14 @@
 				metrics.exchangeMessages.inc({direction});
 				metrics.exchangeBytes.inc({direction}, bytes);
 			}),
-			news: isWhole => exchange.news(isWhole),
-			state: isWhole => exchange.local(isWhole),
+			news: isWhole => exchange.commonUpdate(isWhole),
+			state: isWhole => exchange.localState(isWhole),
 			digest: (peer, isWhole) => exchange.digestFor(peer, isWhole),
 			take(message, meeting) {
-				exchange.take(message, meeting);
+				exchange.applyMessage(message, meeting);
 			},
 			takeDigest(message, digest) {
-				exchange.takeDigest(message, digest);
+				exchange.applyDigest(message, digest);
 			},
 			prove: (version, at) => {
 				this.services.table.prove(version, at);
@@ -352,19 +352,19 @@
 			const {metrics} = this.parts;
 			const {table, replicas, limits, statements} = this.services;
 			metrics.proofAge.set(table.proofAge / millisecondsPerSecond);
-			metrics.quarantined.set(this.services.quarantine.kept.length);
+			metrics.quarantined.set(this.services.quarantine.quarantined.length);
 			metrics.membersHeard.set(this.peers.heard.length);
 			metrics.replicaLimit.reset();
 			metrics.replicaLimitPart.reset();
 			for (const replica of limits.limited) {
 				metrics.replicaLimit.set({replica: replica.entry.id}, limits.limitOf(replica) ?? 0);
-				metrics.replicaLimitPart.set({replica: replica.entry.id}, limits.partOf(replica));
+				metrics.replicaLimitPart.set({replica: replica.entry.id}, limits.ownLimit(replica));
 			}
 
 			metrics.replicas.reset();
 			metrics.replicaPause.reset();
-			for (const replica of replicas.all.filter(one => statements.pauseLeft(one) > 0)) {
-				metrics.replicaPause.set({replica: replica.entry.id}, statements.pauseLeft(replica) / millisecondsPerSecond);
+			for (const replica of replicas.all.filter(one => statements.remainingPause(one) > 0)) {
+				metrics.replicaPause.set({replica: replica.entry.id}, statements.remainingPause(replica) / millisecondsPerSecond);
 			}
 
 			for (const {entry, isLeaving, isMissing} of replicas.all) {
--- a/src/node/replica-role.ts
+++ b/src/node/replica-role.ts
@@ -55,13 +55,13 @@
 	/** @returns Milliseconds from the store's acknowledgement of a departure after which the replica must get no requests. */
 	readonly drain: () => number;
 	/** @returns Whether this box follows the store even when other boxes do. */
-	readonly leads: () => boolean;
+	readonly followsStore: () => boolean;
 	/** Milliseconds without an update from other boxes after which this box follows the store itself. */
-	readonly patience: number;
+	readonly fallbackDelay: number;
 	/** Counts an entry that cannot be decoded, by its kind. */
 	readonly countUnreadable?: (kind: string) => void;
 	/** Creates the fetch of a document from peers; `PeerFetch` over HTTP by default. */
-	readonly openFetch?: (path: string, take: (content: unknown) => void) => DocumentFetch;
+	readonly openFetch?: (path: string, onContent: (content: unknown) => void) => DocumentFetch;
 };
 
 /** Fetches a document from a peer. */
@@ -150,15 +150,15 @@
 
 	/** @returns An effect that follows the list in the store while this box needs to, until interrupted. */
 	follow(): Effect.Effect<never> {
-		const {link: {store, names}, clock, log, availability, leads, patience} = this.services;
+		const {link: {store, names}, clock, log, availability, followsStore, fallbackDelay} = this.services;
 		return KindFollower.create(names.replicaKind, {
-			store, clock, log, watchWait, isNeeded: () => leads() || this.age > patience,
+			store, clock, log, watchWait, isNeeded: () => followsStore() || this.age > fallbackDelay,
 		}, {
 			onAnswer() {
 				availability.noteOwnAnswer();
 			},
 			list: (listing, sentAt) => {
-				this.takeListing(listing, sentAt);
+				this.applyListing(listing, sentAt);
 			},
 			change: (changes, sentAt) => {
 				this.applyChanges(changes);
@@ -205,7 +205,7 @@
 	 * @param listState - Revision and age of its list.
 	 * @param changes - The changes that this box misses; `undefined` if the peer did not send them.
 	 */
-	take(sender: MemberAddress, listState: NonNullable<GossipMessage['replicas']>, changes: Changes | undefined): void {
+	applyPeerUpdate(sender: MemberAddress, listState: NonNullable<GossipMessage['replicas']>, changes: Changes | undefined): void {
 		this.services.availability.noteIndirectAnswer(listState.age);
 		const isLaterEra = eraOf(listState.at) > eraOf(this.at);
 		if (listState.at > this.at && (isLaterEra || !changes || (changes.from ?? this.at) > this.at)) {
@@ -228,7 +228,7 @@
 	 * @param listing - The list; one that is older than the known list changes nothing.
 	 * @param sentAt - Monotonic milliseconds at which it was requested.
 	 */
-	takeListing({at, objects, held = []}: ReplicaListing, sentAt: number): void {
+	applyListing({at, objects, held = []}: ReplicaListing, sentAt: number): void {
 		const {replicas, log, link: {names}} = this.services;
 		if (at < this.at) {
 			log.write('listOutdated', {kind: names.replicaKind, ...positionFieldsOf(at, this.at)});
@@ -273,7 +273,7 @@
 			kind: names.replicaKind, ...positionFieldsOf(at, this.at), missing: missing.map(({name}) => name).join(' '),
 		});
 		availability.noteRestore();
-		replicas.keepDepartures(at);
+		replicas.advanceDepartures(at);
 	}
 
 	/** Applies the list document of a peer. */
@@ -287,7 +287,7 @@
 
 		const {age, ...listing} = decoded.success;
 		this.services.availability.noteIndirectAnswer(Math.max(0, age));
-		this.takeListing(listing, clock.monotonic() - Math.max(0, age));
+		this.applyListing(listing, clock.monotonic() - Math.max(0, age));
 	}
 
 	private prove(at: number): void {
@@ -376,7 +376,7 @@
 	 */
 	private holdOrDrop(object: StoredObject, revision: number, source: LossSource): void {
 		const left = this.graceLeft;
-		if (left > 0 && this.services.replicas.named(object.name)?.isLeaving === false) {
+		if (left > 0 && this.services.replicas.byId(object.name)?.isLeaving === false) {
 			this.objects.delete(object.name);
 			this.hold(object, {revision, source, left});
 		} else {
@@ -393,7 +393,7 @@
 			replica: object.name, revision, source, storeBackFor, inUseFor: Math.round(until - now),
 		});
 		this.held.set(object.name, {object, revision, until});
-		replicas.hold(object.name, until);
+		replicas.markMissing(object.name, until);
 	}
 
 	private drop(name: string, revision: number): void {
--- a/src/node/test/limit-stretches.test.ts
+++ b/src/node/test/limit-stretches.test.ts
@@ -48,7 +48,7 @@
 	clock.now += startUpTime;
 	assert.ok(!topology.isAggregator);
 	assert.equal(stretches.of('s').length, 1 / 41);
-	stretches.take([{service: 's', from: 0.4, length: 0.1}]);
+	stretches.applyReceived([{service: 's', from: 0.4, length: 0.1}]);
 	assert.deepEqual({...stretches.of('s')}, {from: 0.4, length: 0.1});
 	assert.equal(stretches.of('t').length, 1 / 41);
 	clock.now += 20_000;
--- a/src/node/test/replica-role.test.ts
+++ b/src/node/test/replica-role.test.ts
@@ -31,9 +31,9 @@
 	} as unknown as PlatformLink;
 	const following = usualAvailability(clock);
 	const role = ReplicaRole.create({
-		link, clock, replicas, log, leads: () => false, patience: 5000, ...following,
+		link, clock, replicas, log, followsStore: () => false, fallbackDelay: 5000, ...following,
 	});
-	role.takeListing({at, objects}, clock.monotonic());
+	role.applyListing({at, objects}, clock.monotonic());
 	const passStoreOutage = () => {
 		passOutage(following.availability, clock);
 	};
@@ -45,7 +45,7 @@
 
 const ready = (replicas: ReplicaDirectory): readonly string[] => replicas.ready('s').map(({entry}) => entry.id).sort();
 const sendChanges = (role: ReplicaRole, changes: Changes) => {
-	role.take(sender, {at: changes.at, age: 0}, changes);
+	role.applyPeerUpdate(sender, {at: changes.at, age: 0}, changes);
 };
 
 test('changes from a peer are applied once and in order, also in overlapping batches', () => {
@@ -73,23 +73,23 @@
 	const {role, clock} = createRole([object('x', 1)], 10);
 	clock.now += 3000;
 	assert.equal(role.listState?.age, 3000);
-	role.take(sender, {at: 10, age: 200}, undefined);
+	role.applyPeerUpdate(sender, {at: 10, age: 200}, undefined);
 	assert.equal(role.listState?.age, 200);
 	clock.now += 100;
-	role.take(sender, {at: 8, age: 0}, undefined);
+	role.applyPeerUpdate(sender, {at: 8, age: 0}, undefined);
 	assert.equal(role.listState?.age, 300, 'a peer that is behind proves nothing');
 });
 
 test('an entry that is missing after a store outage counts as gone only after a grace time, and not if it is written again', () => {
 	const {role, replicas, clock, passStoreOutage} = createRole([object('x', 1), object('y', 2), object('z', 3, true)], 10);
 	passStoreOutage();
-	role.takeListing({at: 30, objects: []}, clock.monotonic());
+	role.applyListing({at: 30, objects: []}, clock.monotonic());
 	assert.deepEqual(ready(replicas), ['x', 'y'], 'a draining replica is gone at once');
 	sendChanges(role, {at: 40, changes: [put('y', 35)]});
 	clock.now += 2500;
 	role.dropLapsed();
 	assert.deepEqual(ready(replicas), ['y']);
-	role.takeListing({at: 50, objects: []}, clock.monotonic());
+	role.applyListing({at: 50, objects: []}, clock.monotonic());
 	assert.equal(replicas.all.length, 0, 'without an outage a missing entry is gone at once');
 });
 
@@ -112,10 +112,10 @@
 test('a box that fetches the whole list from a peer drops the entries in time that the peer holds', () => {
 	const following = createRole([object('x', 1), object('y', 2)], 10);
 	following.passStoreOutage();
-	following.role.takeListing({at: 20, objects: [object('y', 2)]}, following.clock.monotonic());
+	following.role.applyListing({at: 20, objects: [object('y', 2)]}, following.clock.monotonic());
 	const {listing} = following.role;
 	const learning = createRole([], 5);
-	learning.role.takeListing(listing!, learning.clock.monotonic());
+	learning.role.applyListing(listing!, learning.clock.monotonic());
 	assert.deepEqual(ready(learning.replicas), ['x', 'y']);
 	learning.clock.now += 2500;
 	learning.role.dropLapsed();
@@ -136,7 +136,7 @@
 test('changes that begin after the revision that a box knows are not applied, since some are missing', () => {
 	const {role, replicas} = createRole([object('x', 1)], 10);
 	// Sent to the previous process of this box, which knew a higher revision.
-	role.take(sender, {at: 90, age: 0}, {at: 90, from: 80, changes: [put('z', 85)]});
+	role.applyPeerUpdate(sender, {at: 90, age: 0}, {at: 90, from: 80, changes: [put('z', 85)]});
 	assert.equal(role.listState?.at, 10);
 	assert.deepEqual(ready(replicas), ['x']);
 });
@@ -146,9 +146,9 @@
 
 test('the list of a restored store is applied although its revision is lower, and a late list from before is not', () => {
 	const {role, replicas, clock} = createRole([object('x', 1), object('y', 2)], 90);
-	role.takeListing({at: restored(20), objects: [object('x', restored(1), true), object('z', restored(12))]}, clock.monotonic());
+	role.applyListing({at: restored(20), objects: [object('x', restored(1), true), object('z', restored(12))]}, clock.monotonic());
 	assert.deepEqual(ready(replicas), ['y', 'z'], 'a missing entry may be written again');
-	role.takeListing({at: 95, objects: [object('x', 1), object('y', 2)]}, clock.monotonic());
+	role.applyListing({at: 95, objects: [object('x', 1), object('y', 2)]}, clock.monotonic());
 	sendChanges(role, {at: 95, changes: [gone('z', 94)]});
 	assert.deepEqual(ready(replicas), ['y', 'z']);
 	clock.now += 2500;
@@ -158,17 +158,17 @@
 
 test('an update of an earlier era is ignored whatever its revision, and changes of a later era do not replace a whole list', () => {
 	const {role, replicas} = createRole([object('x', restored(1))], restored(20));
-	role.take(sender, {at: 90, age: 0}, {at: 90, changes: [gone('x', 90)]});
+	role.applyPeerUpdate(sender, {at: 90, age: 0}, {at: 90, changes: [gone('x', 90)]});
 	assert.deepEqual(ready(replicas), ['x']);
 	const behind = createRole([object('x', 1)], 90);
-	behind.role.take(sender, {at: restored(20), age: 0}, {at: restored(20), changes: [put('y', restored(19))]});
+	behind.role.applyPeerUpdate(sender, {at: restored(20), age: 0}, {at: restored(20), changes: [put('y', restored(19))]});
 	assert.deepEqual(ready(behind.replicas), ['x']);
 });
 
 test('a replica stays out of use when the store has lost its departure, until it starts again or writes a later entry', () => {
 	const {role, replicas, clock} = createRole([object('w', 1), object('x', 2), object('y', 3), object('z', 4)], 50);
 	sendChanges(role, {at: 80, changes: [put('w', 60, true), gone('x', 70), gone('y', 71)]});
-	role.takeListing({at: restored(20), objects: [object('w', restored(1)), object('x', restored(2)), object('y', restored(3)), object('z', restored(4))]}, clock.monotonic());
+	role.applyListing({at: restored(20), objects: [object('w', restored(1)), object('x', restored(2)), object('y', restored(3)), object('z', restored(4))]}, clock.monotonic());
 	assert.deepEqual(ready(replicas), ['z']);
 	assert.ok(replicas.departedWithin().every(({revision}) => revision === restored(20)), 'departures are sent with the position of the new list, so that boxes that have applied it accept them');
 	sendChanges(role, {at: restored(30), changes: [gone('x', restored(22)), put('x', restored(25))]});
@@ -213,7 +213,7 @@
 	clock.now += 1500;
 	availability.noteOwnAnswer();
 	sendChanges(role, {at: 20, changes: [gone('x', 15)]});
-	role.takeListing({at: 30, objects: [object('z', 3)]}, clock.monotonic());
+	role.applyListing({at: 30, objects: [object('z', 3)]}, clock.monotonic());
 	assert.deepEqual(ready(replicas), ['z']);
 });
 
@@ -221,7 +221,7 @@
 test('a hold of a peer does not bring back a replica whose departure this box has seen', () => {
 	const {role, replicas, clock} = createRole([object('x', 1), object('y', 2)], 10);
 	sendChanges(role, {at: 20, changes: [gone('x', 15)]});
-	role.takeListing({at: 30, objects: [object('y', 2)], held: [{object: object('x', 1), left: 1500}]}, clock.monotonic());
+	role.applyListing({at: 30, objects: [object('y', 2)], held: [{object: object('x', 1), left: 1500}]}, clock.monotonic());
 	assert.deepEqual(ready(replicas), ['y']);
 });
 
@@ -232,9 +232,9 @@
 	sendChanges(role, {at: 20, changes: [gone('x', 15)]});
 	const [held] = replicas.ready('s');
 	clock.now += 1799;
-	assert.ok(replicas.mayBeSent(held!));
+	assert.ok(replicas.maySendTo(held!));
 	clock.now += 1;
-	assert.equal(replicas.mayBeSent(held!), false);
+	assert.equal(replicas.maySendTo(held!), false);
 	assert.deepEqual(ready(replicas), []);
 	role.dropLapsed();
 	assert.deepEqual(ready(replicas), []);
@@ -243,7 +243,7 @@
 /** Guards against a faulty or corrupted list of a peer that keeps a replica in use for an unlimited time. */
 test('a peer cannot hold a replica for longer than an entry takes to be written again', () => {
 	const {role, replicas, clock} = createRole([object('y', 2)], 10);
-	role.takeListing({at: 20, objects: [object('y', 2)], held: [{object: object('x', 1), left: 1e9}]}, clock.monotonic());
+	role.applyListing({at: 20, objects: [object('y', 2)], held: [{object: object('x', 1), left: 1e9}]}, clock.monotonic());
 	assert.deepEqual(ready(replicas), ['x', 'y']);
 	clock.now += 2000;
 	assert.deepEqual(ready(replicas), ['y']);
--- a/src/node/test/replica-start-model.test.ts
+++ b/src/node/test/replica-start-model.test.ts
@@ -38,7 +38,7 @@
 	private readonly following = usualAvailability(this.clock);
 	private readonly role = ReplicaRole.create({
 		link: {names: {replicaKind: 'replicas', decodeReplica}} as unknown as PlatformLink,
-		clock: this.clock, replicas: this.replicas, log: SilentEventLog.create(), leads: () => false, patience: 5000, ...this.following,
+		clock: this.clock, replicas: this.replicas, log: SilentEventLog.create(), followsStore: () => false, fallbackDelay: 5000, ...this.following,
 	});
 
 	private objects = new Map<string, StoredObject>();
@@ -55,7 +55,7 @@
 	private isListed = true;
 
 	constructor() {
-		this.role.takeListing({at: this.revision, objects: []}, this.clock.monotonic());
+		this.role.applyListing({at: this.revision, objects: []}, this.clock.monotonic());
 	}
 
 	applyStep(what: Step): void {
@@ -96,7 +96,7 @@
 				const old = known[Math.floor(what.part * known.length)];
 				// A peer that is behind sends one old change; the box already knows the changes before it.
 				if (old && old.at <= this.sentUpTo) {
-					this.role.take(sender, {at: old.at, age: 0}, {at: old.at, changes: [old]});
+					this.role.applyPeerUpdate(sender, {at: old.at, age: 0}, {at: old.at, changes: [old]});
 				}
 
 				break;
@@ -123,7 +123,7 @@
 				const draining = own.filter(({object, isGone}) => isGone || (object.spec as {readonly state: string}).state === 'draining');
 				const one = draining[Math.floor(what.part * draining.length)];
 				if (one) {
-					this.replicas.noteLeaving({id: what.id, revision: one.at}, 'peer');
+					this.replicas.markLeaving({id: what.id, revision: one.at}, 'peer');
 				}
 
 				break;
@@ -207,7 +207,7 @@
 	}
 
 	private sendList(): void {
-		this.role.takeListing({at: this.revision, objects: [...this.objects.values()]}, this.clock.monotonic());
+		this.role.applyListing({at: this.revision, objects: [...this.objects.values()]}, this.clock.monotonic());
 		this.sentUpTo = this.revision;
 		this.isListed = true;
 	}
@@ -221,7 +221,7 @@
 
 		const changes = this.history.filter(({at}) => at <= upTo);
 		this.sentUpTo = Math.max(this.sentUpTo, upTo);
-		this.role.take(sender, {at: upTo, age: 0}, {at: upTo, changes});
+		this.role.applyPeerUpdate(sender, {at: upTo, age: 0}, {at: upTo, changes});
 	}
 }
 
--- a/src/node/test/suspension.test.ts
+++ b/src/node/test/suspension.test.ts
@@ -49,14 +49,14 @@
 			version: 3, routes: [], services: [], clientAccounts: [], limits: {body: 1, headerTimeout: 1, idleTimeout: 1},
 		}, 'store');
 		table.prove(3, clock.now);
-		assert.ok(guard.allowsKeys && guard.believesAbsence);
+		assert.ok(guard.allowsKeys && guard.trustsAbsence);
 		clock.suspend(time);
-		assert.deepEqual([guard.allowsKeys, guard.believesAbsence], [false, false]);
+		assert.deepEqual([guard.allowsKeys, guard.trustsAbsence], [false, false]);
 		table.prove(3, clock.now - 5);
 		assert.equal(guard.allowsKeys, false, 'requested before the suspension');
 		clock.now += 20;
 		table.prove(3, clock.now - 4);
-		assert.ok(guard.allowsKeys && guard.believesAbsence);
+		assert.ok(guard.allowsKeys && guard.trustsAbsence);
 	}],
 	['no permit of a duty is valid, and a holder reads its lease before it decides', async (time: number) => {
 		const lease = leaseOf('a', clock);
@@ -89,9 +89,9 @@
 	}],
 	['the list of replicas is not reported as up to date', (time: number) => {
 		const role = ReplicaRole.create({
-			link: {names: {}} as unknown as PlatformLink, clock, log, replicas: ReplicaDirectory.create(clock, log), leads: () => false, patience: 5000, ...usualAvailability(clock),
+			link: {names: {}} as unknown as PlatformLink, clock, log, replicas: ReplicaDirectory.create(clock, log), followsStore: () => false, fallbackDelay: 5000, ...usualAvailability(clock),
 		});
-		role.takeListing({at: 4, objects: []}, clock.now);
+		role.applyListing({at: 4, objects: []}, clock.now);
 		assert.equal(role.listState?.age, 0);
 		clock.suspend(time);
 		clock.now += 1;
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -157,7 +157,7 @@
 			const answer = yield * link.peer.exchange({state, demands});
 			this.noteAnswered(link, askedAt);
 			link.state = answer.state;
-			ceilings.takeGrants(link.box.id, decodeRates(answer.grants, rowNames), askedAt);
+			ceilings.applyGrants(link.box.id, decodeRates(answer.grants, rowNames), askedAt);
 			for (const report of answer.state.leaving) {
 				directory.markLeaving(report.box, 'peer', endOf(report, askedAt));
 			}
@@ -203,7 +203,7 @@
 		const {self, ceilings, owner, clock} = this.services;
 		return Effect.forever(Effect.sleep(exchangeInterval).pipe(Effect.map(() => {
 			const askedAt = clock.monotonic();
-			ceilings.takeGrants(self, owner.grant(self, ceilings.demandsFor(self, this.reachableIds())), askedAt);
+			ceilings.applyGrants(self, owner.grant(self, ceilings.demandsFor(self, this.reachableIds())), askedAt);
 		})));
 	}
 
--- a/src/quarantine/end-ledger.ts
+++ b/src/quarantine/crash-ledger.ts
@@ -5,7 +5,7 @@
  */
 import type {Clock} from '../base/clock.js';
 import {getOrCreate} from '../base/get-or-create.js';
-import type {Suspect} from './blame.js';
+import type {Suspect} from './crash-attribution.js';
 import type {Fingerprint} from './fingerprint.js';
 
 /** A replica that crashed while it ran requests. */
@@ -25,8 +25,8 @@
 export type CompletionUpdate = {readonly fingerprint: Fingerprint; readonly age: number};
 
 /** An update that boxes send to each other. */
-export type EndNews = {
-	readonly ends: readonly CrashUpdate[];
+export type CrashLedgerUpdate = {
+	readonly crashes: readonly CrashUpdate[];
 	readonly completions: readonly CompletionUpdate[];
 };
 
@@ -45,7 +45,7 @@
  * Max. crashes of either sort (own and needed) in one message. With all their requests these take 3.5 KB in a small fleet, where each box
  * sends to all boxes, and 1.2 KB in a large fleet, where an aggregator answers hundreds of messages a second.
  */
-export const mostEndsTold = {small: 12, large: 4} as const;
+export const maxCrashesSent = {small: 12, large: 4} as const;
 const maxSuspectsSent = 12;
 const maxCompletionsSent = 16;
 /** Max. crashes sent for one request: as many as other boxes need to quarantine it. */
@@ -60,13 +60,13 @@
 type CrashEntry = Omit<ReplicaCrash, 'suspects'> & {readonly crashedAt: number; readonly suspects: Map<Fingerprint, Sighting>};
 
 /** The crash ledger of one box. */
-export class EndLedger {
+export class CrashLedger {
 	/**
 	 * @param clock - For the age of entries.
 	 * @returns An empty ledger.
 	 */
-	static create(clock: Clock): EndLedger {
-		return new EndLedger(clock);
+	static create(clock: Clock): CrashLedger {
+		return new CrashLedger(clock);
 	}
 
 	private readonly crashesByStart = new Map<string, CrashEntry>();
@@ -125,13 +125,13 @@
 	}
 
 	/** @param update - The update that another box sent. */
-	take({ends, completions}: EndNews): void {
+	merge({crashes, completions}: CrashLedgerUpdate): void {
 		const now = this.clock.monotonic();
 		for (const {fingerprint, age} of completions) {
 			this.addCompletion(fingerprint, now - age, now);
 		}
 
-		for (const {age, ...crash} of ends) {
+		for (const {age, ...crash} of crashes) {
 			this.addCrash(crash, now - age, now);
 		}
 	}
@@ -141,19 +141,19 @@
 	 * @param maxPerSort - Max. crashes of either sort (own and needed).
 	 * @returns The update to send; `undefined` where there is nothing to send.
 	 */
-	told(isWhole: boolean, maxPerSort: number): EndNews | undefined {
+	collectUpdate(isWhole: boolean, maxPerSort: number): CrashLedgerUpdate | undefined {
 		if (this.crashesByStart.size === 0) {
 			return undefined;
 		}
 
 		this.dropExpired();
 		const now = this.clock.monotonic();
-		const ends = this.crashesToSend(now, isWhole, maxPerSort);
+		const crashes = this.crashesToSend(now, isWhole, maxPerSort);
 		const completions = [...this.completions]
 			.filter(([, {sentUntil}]) => sentUntil > now)
 			.slice(-maxCompletionsSent)
 			.map(([fingerprint, {at}]) => ({fingerprint, age: Math.round(now - at)}));
-		return ends.length + completions.length > 0 ? {ends, completions} : undefined;
+		return crashes.length + completions.length > 0 ? {crashes, completions} : undefined;
 	}
 
 	/** Each message carries the next part of the own observations and of the crashes that all boxes must know, to keep it small. */
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -9,10 +9,10 @@
 import {rankOwners, shareOf} from '../base/rendezvous.js';
 import type {Replica} from '../replicas/replica.js';
 import type {ReplicaDirectory} from '../replicas/replica-directory.js';
-import {attributeCrashes, type Attribution, type Suspect} from './blame.js';
+import {attributeCrashes, type Attribution, type Suspect} from './crash-attribution.js';
 import {
-	EndLedger, type EndNews, type KnownCrash, crashLifetime,
-} from './end-ledger.js';
+	CrashLedger, type CrashLedgerUpdate, type KnownCrash, crashLifetime,
+} from './crash-ledger.js';
 import type {Fingerprint} from './fingerprint.js';
 
 /**
@@ -23,7 +23,7 @@
  *   with few other requests.
  * - `quarantined`: it is not run.
  */
-export type Standing = 'sound' | 'suspect' | 'trial' | 'quarantined';
+export type QuarantineStatus = 'sound' | 'suspect' | 'trial' | 'quarantined';
 
 /** Min. crashes attributed to a request for a trial. */
 const minTrialCrashes = 2;
@@ -77,7 +77,7 @@
 		return new Quarantine(services);
 	}
 
-	private readonly ledger: EndLedger;
+	private readonly ledger: CrashLedger;
 	/** Starts of the replicas at which this box runs requests that are not sound, by request. */
 	private readonly running = new Map<Fingerprint, string[]>();
 	/** Requests whose quarantine has been logged. */
@@ -85,11 +85,11 @@
 	private assessment: Assessment | undefined;
 
 	private constructor(private readonly services: QuarantineServices) {
-		this.ledger = EndLedger.create(services.clock);
+		this.ledger = CrashLedger.create(services.clock);
 	}
 
 	/** Whether any request is suspected; otherwise callers can skip computing fingerprints. */
-	get isWatching(): boolean {
+	get hasSuspects(): boolean {
 		return !this.ledger.isEmpty;
 	}
 
@@ -102,15 +102,15 @@
 	}
 
 	/** Fingerprints of the requests that are quarantined now. */
-	get kept(): readonly Fingerprint[] {
-		return this.isWatching ? [...this.assess().attributions.keys()].filter(fingerprint => this.standingOf(fingerprint) === 'quarantined') : [];
+	get quarantined(): readonly Fingerprint[] {
+		return this.hasSuspects ? [...this.assess().attributions.keys()].filter(fingerprint => this.statusOf(fingerprint) === 'quarantined') : [];
 	}
 
 	/**
 	 * @param fingerprint - A request.
 	 * @returns Its status.
 	 */
-	standingOf(fingerprint: Fingerprint): Standing {
+	statusOf(fingerprint: Fingerprint): QuarantineStatus {
 		if (!this.ledger.isSuspected(fingerprint) || this.services.released().includes(fingerprint)) {
 			return 'sound';
 		}
@@ -138,7 +138,7 @@
 	 * @param fingerprint - A quarantined request.
 	 * @returns Milliseconds until its next trial.
 	 */
-	keptFor(fingerprint: Fingerprint): number {
+	timeUntilTrial(fingerprint: Fingerprint): number {
 		const {attributions, crashes} = this.assess();
 		const crashTimes = (attributions.get(fingerprint)?.starts ?? []).map(start => crashes.get(start)!.crashedAt).sort((left, right) => right - left);
 		const [last = 0, before = last] = crashTimes;
@@ -164,7 +164,7 @@
 	 * Boxes that run trials of different requests at once choose different replicas without communication, so that the next crash
 	 * distinguishes them.
 	 */
-	bounded(fingerprint: Fingerprint, status: Standing, candidates: readonly Replica[]): readonly Replica[] {
+	eligibleReplicas(fingerprint: Fingerprint, status: QuarantineStatus, candidates: readonly Replica[]): readonly Replica[] {
 		if (status === 'sound') {
 			return candidates;
 		}
@@ -204,7 +204,7 @@
 	 * @param suspects - Requests that the crash cut off.
 	 * @param crashedAt - Time at which the first request was cut off, in monotonic milliseconds.
 	 */
-	noteEnd(replica: Replica, suspects: readonly Suspect[], crashedAt: number): void {
+	recordCrash(replica: Replica, suspects: readonly Suspect[], crashedAt: number): void {
 		const {start, entry: {service, software}} = replica;
 		this.ledger.recordCrash({
 			start, service, software, suspects,
@@ -216,13 +216,13 @@
 	 *
 	 * @param fingerprint - The request.
 	 */
-	noteCompletion(fingerprint: Fingerprint): void {
+	recordCompletion(fingerprint: Fingerprint): void {
 		this.ledger.recordCompletion(fingerprint);
 	}
 
 	/** @param update - The update that another box sent. */
-	take(update: EndNews): void {
-		this.ledger.take(update);
+	merge(update: CrashLedgerUpdate): void {
+		this.ledger.merge(update);
 	}
 
 	/**
@@ -230,13 +230,13 @@
 	 * @param maxPerSort - Max. crashes of either sort (own and needed).
 	 * @returns The update to send to other boxes; `undefined` where there is nothing to send.
 	 */
-	told(isWhole: boolean, maxPerSort: number): EndNews | undefined {
-		return this.ledger.told(isWhole, maxPerSort);
+	collectUpdate(isWhole: boolean, maxPerSort: number): CrashLedgerUpdate | undefined {
+		return this.ledger.collectUpdate(isWhole, maxPerSort);
 	}
 
 	/** Only one box runs the trial, so that it crashes at most one replica. */
 	private isTrialDue(fingerprint: Fingerprint): boolean {
-		return this.keptFor(fingerprint) === 0 && this.services.isOwner(fingerprint);
+		return this.timeUntilTrial(fingerprint) === 0 && this.services.isOwner(fingerprint);
 	}
 
 	/** Filters out replicas at which this box runs a request that is not sound. */
--- a/src/quarantine/test/blame.test.ts
+++ b/src/quarantine/test/crash-attribution.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {attributeCrashes, type SuspectedCrash} from '../blame.js';
+import {attributeCrashes, type SuspectedCrash} from '../crash-attribution.js';
 import {Fingerprint} from '../fingerprint.js';
 
 const crashes = (...suspects: readonly string[]): readonly SuspectedCrash[] => suspects.map((text, index) => ({
--- a/src/quarantine/test/quarantine-model.test.ts
+++ b/src/quarantine/test/quarantine-model.test.ts
@@ -6,7 +6,7 @@
 import {hashText} from '../../base/rendezvous.js';
 import {ReplicaDirectory} from '../../replicas/replica-directory.js';
 import type {Replica} from '../../replicas/replica.js';
-import {mostEndsTold} from '../end-ledger.js';
+import {maxCrashesSent} from '../crash-ledger.js';
 import {Fingerprint} from '../fingerprint.js';
 import {Quarantine} from '../quarantine.js';
 
@@ -87,8 +87,8 @@
 		for (const run of this.runs.filter(({beganAt, client}) => !client.isPoison && this.now - beganAt >= this.runTime)) {
 			this.finish(run);
 			run.client.served++;
-			run.box.replicas.all.find(({start}) => start === run.start)?.noteAnswer(this.runTime, false);
-			run.box.quarantine.noteCompletion(run.client.fingerprint);
+			run.box.replicas.all.find(({start}) => start === run.start)?.recordResponse(this.runTime, false);
+			run.box.quarantine.recordCompletion(run.client.fingerprint);
 		}
 
 		for (const {start} of this.runs.filter(({beganAt, client}) => client.isPoison && this.now - beganAt >= crashTime)) {
@@ -116,16 +116,16 @@
 
 	private exchange(): void {
 		for (const sender of this.boxes) {
-			const update = sender.quarantine.told(true, mostEndsTold.small);
+			const update = sender.quarantine.collectUpdate(true, maxCrashesSent.small);
 			for (const receiver of this.boxes.filter(box => update && box !== sender && this.random() > lossShare)) {
-				receiver.quarantine.take(update!);
+				receiver.quarantine.merge(update!);
 			}
 		}
 	}
 
 	private send(client: Client, box: Box, isRetry: boolean): void {
 		const {quarantine, replicas} = box;
-		const standing = quarantine.standingOf(client.fingerprint);
+		const standing = quarantine.statusOf(client.fingerprint);
 		const ready = replicas.all;
 		if (standing === 'quarantined' || ready.length === 0) {
 			client.refused += standing === 'quarantined' ? 1 : 0;
@@ -134,7 +134,7 @@
 		}
 
 		const mustWait = standing === 'trial' && quarantine.isRunning(client.fingerprint);
-		const bounded = mustWait ? [] : quarantine.bounded(client.fingerprint, standing, ready);
+		const bounded = mustWait ? [] : quarantine.eligibleReplicas(client.fingerprint, standing, ready);
 		if (bounded.length === 0) {
 			client.deferred++;
 			client.dueAt = this.now + clientPause;
@@ -166,7 +166,7 @@
 			const suspects = cut.filter(run => run.box === box).map(({client, beganAt}) => ({fingerprint: client.fingerprint, ranFor: this.now - beganAt}));
 			// A box without a request at the replica does not notice the crash.
 			if (suspects.length > 0) {
-				box.quarantine.noteEnd(replica, suspects, this.now);
+				box.quarantine.recordCrash(replica, suspects, this.now);
 			}
 
 			box.replicas.remove(replica.entry.id, this.now);
@@ -174,7 +174,7 @@
 
 		for (const run of cut) {
 			this.finish(run);
-			if (!run.isRetry && run.box.quarantine.standingOf(run.client.fingerprint) !== 'trial') {
+			if (!run.isRetry && run.box.quarantine.statusOf(run.client.fingerprint) !== 'trial') {
 				run.client.dueAt = Number.POSITIVE_INFINITY;
 				this.send(run.client, run.box, true);
 			}
--- a/src/quarantine/test/quarantine.test.ts
+++ b/src/quarantine/test/quarantine.test.ts
@@ -27,18 +27,18 @@
 			dataCentre: 'a', slots: 8, isDraining: false, isReclaimable: false, leavesIn: undefined, ...changes,
 		};
 		this.replicas.put(entry);
-		return this.replicas.named(entry.id)!;
+		return this.replicas.byId(entry.id)!;
 	}
 
 	bounded(fingerprint: Fingerprint, candidates: readonly Replica[]): readonly Replica[] {
-		return this.quarantine.bounded(fingerprint, this.quarantine.standingOf(fingerprint), candidates);
+		return this.quarantine.eligibleReplicas(fingerprint, this.quarantine.statusOf(fingerprint), candidates);
 	}
 
 	/** Crashes a new replica, which stays listed. */
 	crash(...suspects: readonly Fingerprint[]): Replica {
 		const replica = this.list();
 		this.clock.now += 1000;
-		this.quarantine.noteEnd(replica, suspects.map(fingerprint => ({fingerprint, ranFor: 60})), this.clock.now);
+		this.quarantine.recordCrash(replica, suspects.map(fingerprint => ({fingerprint, ranFor: 60})), this.clock.now);
 		return replica;
 	}
 }
@@ -47,25 +47,25 @@
 	const fixture = new Fixture();
 	const statuses = [1, 2, 3, 4].map(count => {
 		fixture.crash(x, Fingerprint(`bystander-${count}`.padEnd(12, '-')));
-		return fixture.quarantine.standingOf(x);
+		return fixture.quarantine.statusOf(x);
 	});
 	assert.deepEqual(statuses, ['suspect', 'trial', 'quarantined', 'quarantined']);
-	assert.equal(fixture.quarantine.standingOf(Fingerprint('bystander-3-')), 'sound');
-	assert.deepEqual(fixture.quarantine.kept, [x]);
+	assert.equal(fixture.quarantine.statusOf(Fingerprint('bystander-3-')), 'sound');
+	assert.deepEqual(fixture.quarantine.quarantined, [x]);
 });
 
 test('of two requests that cannot be distinguished neither is quarantined before both had a trial', () => {
 	const fixture = new Fixture();
 	const statuses = [1, 2, 3, 4, 5].map(() => {
 		fixture.crash(x, a);
-		return [fixture.quarantine.standingOf(x), fixture.quarantine.standingOf(a)];
+		return [fixture.quarantine.statusOf(x), fixture.quarantine.statusOf(a)];
 	});
 	assert.deepEqual(statuses.slice(2), [['trial', 'trial'], ['trial', 'trial'], ['quarantined', 'quarantined']]);
 	const other = new Fixture();
 	other.crash(x, a);
 	other.crash(x, a);
 	other.crash(x);
-	assert.deepEqual([other.quarantine.standingOf(x), other.quarantine.standingOf(a)], ['quarantined', 'sound']);
+	assert.deepEqual([other.quarantine.statusOf(x), other.quarantine.statusOf(a)], ['quarantined', 'sound']);
 });
 
 test('a request that completed is sound again', () => {
@@ -73,22 +73,22 @@
 	fixture.crash(x);
 	fixture.crash(x);
 	fixture.clock.now += 100;
-	fixture.quarantine.noteCompletion(x);
-	assert.equal(fixture.quarantine.standingOf(x), 'sound');
-	assert.equal(fixture.quarantine.isWatching, false);
+	fixture.quarantine.recordCompletion(x);
+	assert.equal(fixture.quarantine.statusOf(x), 'sound');
+	assert.equal(fixture.quarantine.hasSuspects, false);
 });
 
 test('a replica that answers after its crash was reported is alive, and the crash is attributed to no request', () => {
 	const fixture = new Fixture();
 	const replicas = [1, 2, 3].map(() => fixture.crash(x));
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
+	assert.equal(fixture.quarantine.statusOf(x), 'quarantined');
 	fixture.clock.now += 1000;
 	for (const replica of replicas) {
-		replica.noteHeard();
+		replica.recordData();
 	}
 
 	fixture.clock.now += 200;
-	assert.equal(fixture.quarantine.standingOf(x), 'sound');
+	assert.equal(fixture.quarantine.statusOf(x), 'sound');
 });
 
 test('answers of a replica that restarted under the same id do not contradict the crash of its previous start', () => {
@@ -97,9 +97,9 @@
 	fixture.replicas.remove(first!.entry.id, 50);
 	const restarted = fixture.list({id: first!.entry.id, bornAt: 99, revision: 60});
 	fixture.clock.now += 1000;
-	restarted.noteHeard();
+	restarted.recordData();
 	fixture.clock.now += 200;
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
+	assert.equal(fixture.quarantine.statusOf(x), 'quarantined');
 });
 
 test('a quarantined request gets one trial once all replicas run new software, but not while one still runs the old software', () => {
@@ -110,12 +110,12 @@
 
 	fixture.list({id: 'old', software: '1', revision: 60});
 	fixture.list({id: 'new', software: '2', revision: 61});
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
+	assert.equal(fixture.quarantine.statusOf(x), 'quarantined');
 	fixture.replicas.remove('old', 62);
 	fixture.clock.now += 200;
-	assert.equal(fixture.quarantine.standingOf(x), 'trial');
-	fixture.quarantine.noteEnd(fixture.replicas.named('new')!, [{fingerprint: x, ranFor: 60}], fixture.clock.now);
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
+	assert.equal(fixture.quarantine.statusOf(x), 'trial');
+	fixture.quarantine.recordCrash(fixture.replicas.byId('new')!, [{fingerprint: x, ranFor: 60}], fixture.clock.now);
+	assert.equal(fixture.quarantine.statusOf(x), 'quarantined');
 });
 
 test('where replicas crash for other reasons all the time, three crashes are not enough for the quarantine', () => {
@@ -129,16 +129,16 @@
 		fixture.crash(x);
 	}
 
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined', 'five other crashes among a dozen replicas do not raise the threshold');
+	assert.equal(fixture.quarantine.statusOf(x), 'quarantined', 'five other crashes among a dozen replicas do not raise the threshold');
 	for (const replica of fixture.replicas.all.slice(2)) {
 		fixture.replicas.remove(replica.entry.id, 90);
 	}
 
 	fixture.clock.now += 200;
-	assert.equal(fixture.quarantine.standingOf(x), 'trial');
+	assert.equal(fixture.quarantine.statusOf(x), 'trial');
 	fixture.crash(x);
 	fixture.crash(x);
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
+	assert.equal(fixture.quarantine.statusOf(x), 'quarantined');
 });
 
 test('crashes whose requests have all completed since still count as crashes for other reasons', () => {
@@ -147,7 +147,7 @@
 		const other = Fingerprint(`other-${index}`.padEnd(12, '-'));
 		const replica = fixture.crash(other);
 		fixture.clock.now += 100;
-		fixture.quarantine.noteCompletion(other);
+		fixture.quarantine.recordCompletion(other);
 		fixture.replicas.remove(replica.entry.id, 90);
 	}
 
@@ -155,7 +155,7 @@
 	const statuses = [1, 2, 3, 4, 5].map(() => {
 		const replica = fixture.crash(x);
 		fixture.replicas.remove(replica.entry.id, 90);
-		return fixture.quarantine.standingOf(x);
+		return fixture.quarantine.statusOf(x);
 	});
 	assert.deepEqual(statuses, ['suspect', 'trial', 'trial', 'trial', 'quarantined']);
 });
@@ -168,13 +168,13 @@
 	}
 
 	fixture.list();
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
+	assert.equal(fixture.quarantine.statusOf(x), 'quarantined');
 	for (const index of [1, 2, 3, 4, 5].keys()) {
 		const replica = fixture.crash(Fingerprint(`other-${index}`.padEnd(12, '-')));
 		fixture.replicas.remove(replica.entry.id, 90);
 	}
 
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
+	assert.equal(fixture.quarantine.statusOf(x), 'quarantined');
 });
 
 test('a quarantined request gets further trials, from one box only, after growing delays', () => {
@@ -183,23 +183,23 @@
 		fixture.crash(x);
 	}
 
-	const first = fixture.quarantine.keptFor(x);
+	const first = fixture.quarantine.timeUntilTrial(x);
 	assert.ok(first >= 20_000 && first <= 40_000);
 	fixture.clock.now += first - 100;
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
+	assert.equal(fixture.quarantine.statusOf(x), 'quarantined');
 	fixture.clock.now += 200;
-	assert.equal(fixture.quarantine.standingOf(x), 'trial');
+	assert.equal(fixture.quarantine.statusOf(x), 'trial');
 	fixture.isOwner = false;
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
+	assert.equal(fixture.quarantine.statusOf(x), 'quarantined');
 	fixture.isOwner = true;
 	fixture.crash(x);
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
-	const second = fixture.quarantine.keptFor(x);
+	assert.equal(fixture.quarantine.statusOf(x), 'quarantined');
+	const second = fixture.quarantine.timeUntilTrial(x);
 	assert.ok(second >= 10 * first);
 	fixture.clock.now += second - 100;
-	assert.equal(fixture.quarantine.standingOf(x), 'quarantined');
+	assert.equal(fixture.quarantine.statusOf(x), 'quarantined');
 	fixture.clock.now += 200;
-	assert.equal(fixture.quarantine.standingOf(x), 'trial');
+	assert.equal(fixture.quarantine.statusOf(x), 'trial');
 });
 
 test('a request that an operator released runs', () => {
@@ -209,7 +209,7 @@
 	}
 
 	fixture.released.push(x);
-	assert.equal(fixture.quarantine.standingOf(x), 'sound');
+	assert.equal(fixture.quarantine.statusOf(x), 'sound');
 });
 
 test('requests that are not sound run on different replicas where possible, and a trial runs once at a time', () => {
--- a/src/quota/quota-ledger.ts
+++ b/src/quota/quota-ledger.ts
@@ -26,9 +26,9 @@
 	/** @returns The limit of the client account; `undefined` where there is no such client account. */
 	readonly bound: (clientAccount: string) => QuotaBound | undefined;
 	/** @returns Fraction of all boxes that are reachable, including this one; above 0, at most 1. */
-	readonly heardPart: () => number;
+	readonly reachableFraction: () => number;
 	/** @returns Fraction of the burst that may be used; the rest is a reserve for units that other boxes admitted and have not reported yet. */
-	readonly burstPart?: () => number;
+	readonly burstFraction?: () => number;
 	/** @returns A number from 0 to 1. */
 	readonly random?: () => number;
 };
@@ -40,9 +40,9 @@
 	/** Fraction of the rate that this box may use; absent where there are enough units for all, or where no aggregator sent a level. */
 	readonly share: number | undefined;
 	/** Milliseconds since an aggregator sent the level; absent where the last one has expired. */
-	readonly toldAge: number | undefined;
+	readonly levelAge: number | undefined;
 	/** Fraction of all boxes that are reachable. */
-	readonly heardPart: number;
+	readonly reachableFraction: number;
 };
 
 /** Units that one start (incarnation) of another box has admitted, as last reported. */
@@ -200,8 +200,8 @@
 		return {
 			level: Math.round(level),
 			share,
-			toldAge: Number.isFinite(levelReceivedAt) ? Math.round(this.clock.monotonic() - levelReceivedAt) : undefined,
-			heardPart: this.facts.heardPart(),
+			levelAge: Number.isFinite(levelReceivedAt) ? Math.round(this.clock.monotonic() - levelReceivedAt) : undefined,
+			reachableFraction: this.facts.reachableFraction(),
 		};
 	}
 
@@ -223,7 +223,7 @@
 	 * level is no more accurate than this box's.
 	 * @param isWhole - Whether counters that are absent are zero.
 	 */
-	takeCounts(peer: string, counts: readonly QuotaCount[], meeting: Meeting, isWhole = true): void {
+	applyCounts(peer: string, counts: readonly QuotaCount[], meeting: Meeting, isWhole = true): void {
 		const known = this.countsFor(peer, meeting);
 		this.reportedDemands.set(peer, {at: this.clock.monotonic(), rates: new Map(counts.map(({clientAccount, asked}) => [clientAccount, asked]))});
 		for (const {clientAccount, passed, level} of counts) {
@@ -253,7 +253,7 @@
 	 */
 	levelsFor(peer: string): readonly QuotaLevel[] {
 		const counted = this.peers.get(peer);
-		const fraction = this.facts.heardPart();
+		const fraction = this.facts.reachableFraction();
 		const otherDemands = this.demandAtOtherBoxes();
 		return [...this.buckets].map(([clientAccount, bucket]) => {
 			this.refill(clientAccount, bucket);
@@ -342,7 +342,7 @@
 	}
 
 	private burstOf(bound: QuotaBound | undefined): number {
-		return (bound?.burst ?? 0) * (this.facts.burstPart?.() ?? 1);
+		return (bound?.burst ?? 0) * (this.facts.burstFraction?.() ?? 1);
 	}
 
 	/** Demand at the other boxes in units a second, by client account. */
@@ -365,7 +365,7 @@
 		}
 
 		const bucket: Bucket = {
-			level: this.burstOf(this.facts.bound(clientAccount)) * (this.startsFull ? 1 : restartFraction * this.facts.heardPart()), refilledAt: this.clock.monotonic(), passed: 0,
+			level: this.burstOf(this.facts.bound(clientAccount)) * (this.startsFull ? 1 : restartFraction * this.facts.reachableFraction()), refilledAt: this.clock.monotonic(), passed: 0,
 			changedAt: Number.NEGATIVE_INFINITY,
 			othersRate: 0,
 			refillRate: 0,
@@ -403,7 +403,7 @@
 		if (now - bucket.levelReceivedAt < levelLifetime) {
 			bucket.level = this.refilledLevel(bucket, bound, elapsed);
 		} else {
-			const fraction = this.facts.heardPart();
+			const fraction = this.facts.reachableFraction();
 			if (bucket.levelReceivedAt > Number.NEGATIVE_INFINITY) {
 				bucket.levelReceivedAt = Number.NEGATIVE_INFINITY;
 				bucket.share = undefined;
--- a/src/quota/repeat-budget.ts
+++ b/src/quota/service-retry-budget.ts
@@ -5,7 +5,7 @@
 import type {Clock} from '../base/clock.js';
 
 /** The retry limit for all boxes together. */
-export type RepeatBound = {
+export type ServiceRetryBound = {
 	/** Retries for each request. */
 	readonly ratio: number;
 	/** Retries that are allowed independent of the number of requests. */
@@ -20,28 +20,28 @@
 const usedSlackFraction = 0.5;
 
 /** The retry budget of one service on one box. */
-export class RepeatBudget {
+export class ServiceRetryBudget {
 	/**
 	 * @param bound - The limit for all boxes.
 	 * @param boxes - Number of boxes.
 	 * @param clock - For the window.
 	 * @returns An unused budget.
 	 */
-	static create(bound: () => RepeatBound, boxes: () => number, clock: Clock): RepeatBudget {
-		return new RepeatBudget(bound, boxes, clock);
+	static create(bound: () => ServiceRetryBound, boxes: () => number, clock: Clock): ServiceRetryBudget {
+		return new ServiceRetryBudget(bound, boxes, clock);
 	}
 
 	private requests: readonly number[] = [];
 	private retries: readonly number[] = [];
 
 	private constructor(
-		private readonly bound: () => RepeatBound,
+		private readonly bound: () => ServiceRetryBound,
 		private readonly boxes: () => number,
 		private readonly clock: Clock,
 	) {}
 
 	/** Counts a request. */
-	noteRequest(): void {
+	recordRequest(): void {
 		this.requests = [...this.recent(this.requests), this.clock.monotonic()];
 	}
 
--- a/src/quota/test/quota-ledger.test.ts
+++ b/src/quota/test/quota-ledger.test.ts
@@ -18,7 +18,7 @@
 		this.isReachable = Array.from({length: boxes}, () => true);
 		this.ledgers = Array.from({length: boxes}, (_, index) => QuotaLedger.create({
 			bound: () => bound,
-			heardPart: () => this.isReachable[index] ? this.isReachable.filter(Boolean).length / boxes : 1 / boxes,
+			reachableFraction: () => this.isReachable[index] ? this.isReachable.filter(Boolean).length / boxes : 1 / boxes,
 		}, this.clock, true));
 	}
 
@@ -35,7 +35,7 @@
 					continue;
 				}
 
-				ledger.takeCounts(String(sender), other.counts, this.met.has(pair) ? 'known' : 'other');
+				ledger.applyCounts(String(sender), other.counts, this.met.has(pair) ? 'known' : 'other');
 				this.met.add(pair);
 			}
 		}
@@ -93,14 +93,14 @@
 
 test('a box that joins running boxes adopts their level, and a restarted box begins with half of the burst', () => {
 	const clock = new MovedClock();
-	const facts = {bound: () => bound, heardPart: () => 1};
+	const facts = {bound: () => bound, reachableFraction: () => 1};
 	const old = QuotaLedger.create(facts, clock, true);
 	while (old.take(clientAccount, 10) === 0) {
 		// Uses up the bucket.
 	}
 
 	const fresh = QuotaLedger.create(facts, clock, true);
-	fresh.takeCounts('old', old.counts, 'other');
+	fresh.applyCounts('old', old.counts, 'other');
 	assert.ok(fresh.take(clientAccount, 1) > 0);
 	const restarted = QuotaLedger.create(facts, clock, false);
 	assert.equal(restarted.take(clientAccount, 60), 0);
@@ -112,7 +112,7 @@
 test('a lowered limit takes effect at once, and the units of a request that did not run are returned', () => {
 	const clock = new MovedClock();
 	const limit = {...bound};
-	const ledger = QuotaLedger.create({bound: () => limit, heardPart: () => 1}, clock, true);
+	const ledger = QuotaLedger.create({bound: () => limit, reachableFraction: () => 1}, clock, true);
 	limit.burst = 5;
 	assert.equal(ledger.take(clientAccount, 6), 0);
 	assert.ok(ledger.take(clientAccount, 1) > 0);
@@ -130,16 +130,16 @@
 		const random = () => 0.5;
 		const burstPart = () => 0.9;
 		this.aggregator = QuotaLedger.create({
-			bound: () => bound, heardPart: () => heardPart, burstPart, random,
+			bound: () => bound, reachableFraction: () => heardPart, burstFraction: burstPart, random,
 		}, this.clock, startsFull);
 		this.boxes = Array.from({length: boxes}, () => QuotaLedger.create({
-			bound: () => bound, heardPart: () => 1 / boxes, burstPart, random,
+			bound: () => bound, reachableFraction: () => 1 / boxes, burstFraction: burstPart, random,
 		}, this.clock, startsFull));
 	}
 
 	exchange(meeting: 'known' | 'apart' = 'known'): void {
 		for (const [index, box] of this.boxes.entries()) {
-			this.aggregator.takeCounts(String(index), box.counts, meeting);
+			this.aggregator.applyCounts(String(index), box.counts, meeting);
 			box.adopt(this.aggregator.levelsFor(String(index)));
 		}
 	}
@@ -191,7 +191,7 @@
 		fleet.clock.now += 5;
 		// Each box exchanges once in 400 ms, all at different times, without delay.
 		const index = step % 80;
-		fleet.aggregator.takeCounts(String(index), fleet.boxes[index]!.counts, 'known');
+		fleet.aggregator.applyCounts(String(index), fleet.boxes[index]!.counts, 'known');
 		fleet.boxes[index]!.adopt(fleet.aggregator.levelsFor(String(index)));
 		const isCalm = step < 400;
 		if (fleet.boxes[(step * 13) % 80]!.take(clientAccount, isCalm ? 0.3 : 4) === 0) {
@@ -225,7 +225,7 @@
 	for (let step = 0; step < 1600; step++) {
 		fleet.clock.now += 5;
 		const index = step % 80;
-		fleet.aggregator.takeCounts(String(index), fleet.boxes[index]!.counts, 'known');
+		fleet.aggregator.applyCounts(String(index), fleet.boxes[index]!.counts, 'known');
 		fleet.boxes[index]!.adopt(fleet.aggregator.levelsFor(String(index)));
 		// The demand is sixteen times the rate.
 		if (step >= 400 && fleet.boxes[(step * 13) % 80]!.take(clientAccount, 8) === 0) {
@@ -253,7 +253,7 @@
 
 test('units that a box admitted before its first or renewed contact with an aggregator are not subtracted from the bucket', () => {
 	const clock = new MovedClock();
-	const facts = {bound: () => bound, heardPart: () => 1};
+	const facts = {bound: () => bound, reachableFraction: () => 1};
 	const box = QuotaLedger.create(facts, clock, true);
 	for (let step = 0; step < 50; step++) {
 		clock.now += 1000;
@@ -261,16 +261,16 @@
 	}
 
 	const aggregator = QuotaLedger.create(facts, clock, true);
-	aggregator.takeCounts('box', box.counts, 'apart');
+	aggregator.applyCounts('box', box.counts, 'apart');
 	assert.equal(aggregator.take(clientAccount, 90), 0);
 	box.take(clientAccount, 20);
-	aggregator.takeCounts('box', box.counts, 'known');
+	aggregator.applyCounts('box', box.counts, 'known');
 	assert.ok(aggregator.take(clientAccount, 1) > 0, 'units admitted after the first contact count');
 });
 
 test('recent counts include only the counters that changed within 2.5 s, also by returned units; counts include all', () => {
 	const clock = new MovedClock();
-	const ledger = QuotaLedger.create({bound: () => bound, heardPart: () => 1}, clock, true);
+	const ledger = QuotaLedger.create({bound: () => bound, reachableFraction: () => 1}, clock, true);
 	const names = () => ledger.recentCounts.map(count => count.clientAccount);
 	ledger.take('basin', 5);
 	ledger.take('delta', 5);
@@ -287,7 +287,7 @@
 test('a new aggregator does not count old units of a box as new, although the box sends only its recent counters', () => {
 	const clock = new MovedClock();
 	const large = {rate: 1000, burst: 10_000};
-	const ledgerOf = () => QuotaLedger.create({bound: () => large, heardPart: () => 1}, clock, true);
+	const ledgerOf = () => QuotaLedger.create({bound: () => large, reachableFraction: () => 1}, clock, true);
 	const box = ledgerOf();
 	box.take('basin', 8000);
 	clock.now += 60_000;
@@ -297,18 +297,18 @@
 	const aggregator = ledgerOf();
 	const levelOf = (name: string) => aggregator.levelsFor('box').find(level => level.clientAccount === name);
 	aggregator.take('basin', 0);
-	aggregator.takeCounts('box', box.recentCounts, 'apart', false);
+	aggregator.applyCounts('box', box.recentCounts, 'apart', false);
 	assert.equal(levelOf('basin')?.counted, undefined, 'the box has not sent this counter yet');
 	box.adopt(aggregator.levelsFor('box'));
 	assert.equal(box.take('basin', 100), 0, 'the box is not refused for units that it admitted long ago');
 	clock.now += 400;
-	aggregator.takeCounts('box', box.recentCounts, 'known', false);
+	aggregator.applyCounts('box', box.recentCounts, 'known', false);
 	assert.equal(levelOf('basin')?.level, 10_000, 'the first report of a counter is not subtracted');
 	clock.now += 400;
-	aggregator.takeCounts('box', box.counts, 'known', true);
+	aggregator.applyCounts('box', box.counts, 'known', true);
 	box.take('basin', 300);
 	box.take('sigma', 200);
-	aggregator.takeCounts('box', box.recentCounts, 'known', false);
+	aggregator.applyCounts('box', box.recentCounts, 'known', false);
 	assert.equal(levelOf('basin')?.level, 9700, 'later units are subtracted');
 	assert.equal(levelOf('sigma')?.level, 9800, 'also those of a counter that was zero when all counters were sent');
 	assert.equal(levelOf('basin')?.counted, 16_400);
@@ -316,16 +316,16 @@
 
 test('units that a box admitted without contact are not subtracted, whichever counters it sends first', () => {
 	const clock = new MovedClock();
-	const box = QuotaLedger.create({bound: () => ({rate: 1000, burst: 10_000}), heardPart: () => 1}, clock, true);
-	const aggregator = QuotaLedger.create({bound: () => ({rate: 1000, burst: 10_000}), heardPart: () => 1}, clock, true);
+	const box = QuotaLedger.create({bound: () => ({rate: 1000, burst: 10_000}), reachableFraction: () => 1}, clock, true);
+	const aggregator = QuotaLedger.create({bound: () => ({rate: 1000, burst: 10_000}), reachableFraction: () => 1}, clock, true);
 	box.take('basin', 100);
 	box.take('delta', 100);
-	aggregator.takeCounts('box', box.counts, 'younger');
+	aggregator.applyCounts('box', box.counts, 'younger');
 	box.take('basin', 4000);
 	clock.now += 20_000;
 	box.take('delta', 50);
-	aggregator.takeCounts('box', box.recentCounts, 'apart', false);
+	aggregator.applyCounts('box', box.recentCounts, 'apart', false);
 	clock.now += 400;
-	aggregator.takeCounts('box', box.counts, 'known', true);
+	aggregator.applyCounts('box', box.counts, 'known', true);
 	assert.equal(aggregator.levelsFor('box').find(({clientAccount: name}) => name === 'basin')?.level, 10_000);
 });
--- a/src/relay/connection-book.ts
+++ b/src/relay/connection-registry.ts
@@ -2,7 +2,7 @@
  * Registry of this box's connections to replicas.
  */
 import type {Clock} from '../base/clock.js';
-import {largestIdleCount, ReplicaConnections} from '../replicas/replica-connections.js';
+import {maxIdleConnections, ReplicaConnections} from '../replicas/replica-connections.js';
 import type {Replica} from '../replicas/replica.js';
 
 /** Share of the connections that a replica accepts from all boxes that may be idle; the rest is left for bursts of requests. */
@@ -17,14 +17,14 @@
 };
 
 /** Keeps the connections to each replica while it is listed. */
-export class ConnectionBook {
+export class ConnectionRegistry {
 	/**
 	 * @param clock - For idle times.
 	 * @param facts - Supplies the limits that all boxes share.
 	 * @returns A registry without connections.
 	 */
-	static create(clock: Clock, facts: ConnectionFacts): ConnectionBook {
-		return new ConnectionBook(clock, facts);
+	static create(clock: Clock, facts: ConnectionFacts): ConnectionRegistry {
+		return new ConnectionRegistry(clock, facts);
 	}
 
 	/** Keyed by the start of the replica, so that connections to an earlier process of the same replica are not reused. */
@@ -57,7 +57,7 @@
 		const connections = this.byReplica.get(start);
 		connections?.close();
 		if (isReplaced) {
-			connections?.abandon();
+			connections?.destroyInUse();
 		}
 
 		this.byReplica.delete(start);
@@ -75,6 +75,6 @@
 	/** A replica resets connections beyond its limit for all boxes together, so each box keeps only its share idle. */
 	private maxIdleConnections(service: string): number {
 		const {maximumConnections, boxes} = this.facts;
-		return Math.min(largestIdleCount, Math.max(1, Math.floor(maximumConnections(service) * maxIdleShare / boxes())));
+		return Math.min(maxIdleConnections, Math.max(1, Math.floor(maximumConnections(service) * maxIdleShare / boxes())));
 	}
 }
--- a/src/relay/end-watch.ts
+++ b/src/relay/crash-detector.ts
@@ -5,12 +5,12 @@
 import type {Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
 import {getOrCreate} from '../base/get-or-create.js';
-import type {Suspect} from '../quarantine/blame.js';
+import type {Suspect} from '../quarantine/crash-attribution.js';
 import type {Fingerprint} from '../quarantine/fingerprint.js';
 import type {Quarantine} from '../quarantine/quarantine.js';
 import type {Replica} from '../replicas/replica.js';
 import type {ProbeResult} from '../replicas/replica-connections.js';
-import type {ConnectionBook} from './connection-book.js';
+import type {ConnectionRegistry} from './connection-registry.js';
 import type {RelayMetrics} from './relay-metrics.js';
 
 /**
@@ -26,7 +26,7 @@
 	readonly clock: Clock;
 	readonly log: EventLog;
 	readonly metrics: RelayMetrics;
-	readonly connections: ConnectionBook;
+	readonly connections: ConnectionRegistry;
 	readonly quarantine: Quarantine;
 };
 
@@ -38,13 +38,13 @@
 };
 
 /** Detects crashes of replicas that this box sends requests to. */
-export class EndWatch {
+export class CrashDetector {
 	/**
 	 * @param services - Its dependencies.
 	 * @returns A detector without recorded cuts.
 	 */
-	static create(services: CrashDetectorServices): EndWatch {
-		return new EndWatch(services);
+	static create(services: CrashDetectorServices): CrashDetector {
+		return new CrashDetector(services);
 	}
 
 	/** Cut connections, keyed by the start of the replica. */
@@ -78,7 +78,7 @@
 	}
 
 	/** @param replica - A replica whose entry was removed; after a recent cut this counts as a crash. */
-	noteGone(replica: Replica): void {
+	recordGone(replica: Replica): void {
 		const cut = this.cuts.get(replica.start);
 		this.cuts.delete(replica.start);
 		if (cut && !cut.hasCrashed && this.services.clock.monotonic() - cut.at < entryRemovalWindow) {
@@ -124,6 +124,6 @@
 		log.write('replicaEnded', {
 			replica: entry.id, start, service: entry.service, software: entry.software, suspects: [...cut.suspects.keys()].join(' '),
 		});
-		quarantine.noteEnd(replica, [...cut.suspects.values()], cut.at);
+		quarantine.recordCrash(replica, [...cut.suspects.values()], cut.at);
 	}
 }
--- a/src/relay/crash-suspicion.ts
+++ b/src/relay/crash-suspicion.ts
@@ -3,9 +3,9 @@
  */
 import type {Clock} from '../base/clock.js';
 import {fingerprintOf, type Fingerprint, type RequestIdentity} from '../quarantine/fingerprint.js';
-import type {Quarantine, Standing} from '../quarantine/quarantine.js';
+import type {Quarantine, QuarantineStatus} from '../quarantine/quarantine.js';
 import type {Replica} from '../replicas/replica.js';
-import type {EndWatch} from './end-watch.js';
+import type {CrashDetector} from './crash-detector.js';
 
 /**
  * Milliseconds after the start of an answer from which a crash of the replica is no longer attributed to the request. Requests that
@@ -17,7 +17,7 @@
 export type CrashSuspicionServices = {
 	readonly clock: Clock;
 	readonly quarantine: Quarantine;
-	readonly crashDetector: EndWatch;
+	readonly crashDetector: CrashDetector;
 	/** @returns What identifies the request. */
 	readonly identity: () => RequestIdentity;
 };
@@ -33,7 +33,7 @@
 	}
 
 	/** Status of the request when it was last looked up. */
-	status: Standing = 'sound';
+	status: QuarantineStatus = 'sound';
 	private wasCut = false;
 	/** Start of the current attempt in monotonic milliseconds. */
 	private attemptStartedAt = 0;
@@ -56,7 +56,7 @@
 
 	/** Milliseconds until a quarantined request may run again. */
 	get quarantinedFor(): number {
-		return this.services.quarantine.keptFor(this.fingerprint);
+		return this.services.quarantine.timeUntilTrial(this.fingerprint);
 	}
 
 	/** Whether a request on trial must wait: it is already running on this box, or a probe after its last cut is still pending. */
@@ -66,9 +66,9 @@
 	}
 
 	/** @returns The current status of the request. */
-	refreshStatus(): Standing {
+	refreshStatus(): QuarantineStatus {
 		const {quarantine} = this.services;
-		this.status = quarantine.isWatching ? quarantine.standingOf(this.fingerprint) : 'sound';
+		this.status = quarantine.hasSuspects ? quarantine.statusOf(this.fingerprint) : 'sound';
 		return this.status;
 	}
 
@@ -77,7 +77,7 @@
 	 * @returns Those that are eligible for a request of this status.
 	 */
 	eligible(candidates: readonly Replica[]): readonly Replica[] {
-		return this.status === 'sound' ? candidates : this.services.quarantine.bounded(this.fingerprint, this.status, candidates);
+		return this.status === 'sound' ? candidates : this.services.quarantine.eligibleReplicas(this.fingerprint, this.status, candidates);
 	}
 
 	/**
@@ -114,8 +114,8 @@
 	 */
 	recordCompletion(): void {
 		const {quarantine} = this.services;
-		if (this.wasCut || (quarantine.isWatching && quarantine.isSuspected(this.fingerprint))) {
-			quarantine.noteCompletion(this.fingerprint);
+		if (this.wasCut || (quarantine.hasSuspects && quarantine.isSuspected(this.fingerprint))) {
+			quarantine.recordCompletion(this.fingerprint);
 		}
 	}
 }
--- a/src/relay/demand-recorder.ts
+++ b/src/relay/demand-recorder.ts
@@ -45,7 +45,7 @@
 	recordChoice(tokens: number): void {
 		if (!this.hasRecordedArrival) {
 			this.hasRecordedArrival = true;
-			this.services.demand().noteArrival(tokens, this.services.goal());
+			this.services.demand().recordArrival(tokens, this.services.goal());
 		}
 	}
 
@@ -63,7 +63,7 @@
 	 */
 	recordPromptRead(tokens: number, duration: number): void {
 		if (duration <= this.services.goal()) {
-			this.services.demand().noteRead(tokens, duration);
+			this.services.demand().recordRead(tokens, duration);
 		}
 	}
 
@@ -75,7 +75,7 @@
 	 */
 	recordAttemptEnd(beganAt: number, firstByteAt: number | undefined): void {
 		if (firstByteAt !== undefined && firstByteAt >= beganAt && firstByteAt - beganAt <= this.services.goal()) {
-			this.services.demand().noteEnd(this.services.clock.monotonic() - beganAt);
+			this.services.demand().recordDuration(this.services.clock.monotonic() - beganAt);
 		}
 	}
 
@@ -88,7 +88,7 @@
 		if (this.hasRecordedArrival) {
 			this.recordOutcome(false);
 		} else {
-			this.services.demand().noteTurnedAway();
+			this.services.demand().recordRejected();
 		}
 	}
 
@@ -106,7 +106,7 @@
 	private recordOutcome(isInTime: boolean): void {
 		if (!this.hasRecordedOutcome) {
 			this.hasRecordedOutcome = true;
-			this.services.demand().noteOutcome(isInTime);
+			this.services.demand().recordOutcome(isInTime);
 		}
 	}
 }
--- a/src/relay/freshness-guard.ts
+++ b/src/relay/freshness-guard.ts
@@ -38,7 +38,7 @@
 	}
 
 	/** Whether an unknown key or route may be reported as nonexistent. */
-	get believesAbsence(): boolean {
+	get trustsAbsence(): boolean {
 		return this.table.proofAge < maxProofAgeForAbsence;
 	}
 }
--- a/src/relay/front-door.ts
+++ b/src/relay/front-end.ts
@@ -44,14 +44,14 @@
 };
 
 /** The HTTP front end of one box. */
-export class FrontDoor {
+export class FrontEnd {
 	/**
 	 * @param services - The services that handle requests.
 	 * @param state - State of the process.
 	 * @returns A front end that is not listening yet.
 	 */
-	static create(services: RelayServices, state: FrontState): FrontDoor {
-		return new FrontDoor(services, state);
+	static create(services: RelayServices, state: FrontState): FrontEnd {
+		return new FrontEnd(services, state);
 	}
 
 	/** Node's server. The caller that makes it listen also closes it. */
@@ -176,7 +176,7 @@
 	private authorise(incoming: IncomingMessage, head: RequestHead, table: RouteTable): Effect.Effect<RequestAccess, Refusal> {
 		const {guard} = this.services;
 		const stale = () => Effect.fail(Refusal.create('configuration-stale', 'The configuration may be out of date here.', {retryAfter: configurationRetryAfter}));
-		const absent = (refusal: Refusal) => guard.believesAbsence ? Effect.fail(refusal) : stale();
+		const absent = (refusal: Refusal) => guard.trustsAbsence ? Effect.fail(refusal) : stale();
 		const route = table.route(incoming.headers.host ?? '', incoming.url ?? '/');
 		if (!route) {
 			return absent(Refusal.create('no-such-path', 'No route leads there.'));
--- a/src/relay/relay-format.ts
+++ b/src/relay/relay-format.ts
@@ -47,7 +47,7 @@
 	/** Whether the replica declares that it has not run the request. */
 	readonly isNotRun: boolean;
 	/** Whether another replica now has this address. */
-	readonly isElsewhere: boolean;
+	readonly isMisdirected: boolean;
 	/** Whether the body has no content encoding. */
 	readonly isPlain: boolean;
 	/** Milliseconds for which the replica keeps an idle connection open; `undefined` if not given. */
--- a/src/relay/relay-metrics.ts
+++ b/src/relay/relay-metrics.ts
@@ -126,7 +126,7 @@
 		name: 'waydrift_relay_lease_held', help: 'Whether this box holds the duties.', registers: [this.registry],
 	});
 
-	readonly linesLeftOut = new Counter({
+	readonly droppedLogLines = new Counter({
 		name: 'waydrift_relay_log_lines_left_out_total', help: 'Log lines left out because the reader was too slow.', registers: [this.registry],
 	});
 
--- a/src/relay/relay-run.ts
+++ b/src/relay/relay-run.ts
@@ -16,7 +16,7 @@
 import {RunChoice, type RunDecision} from './run-choice.js';
 import type {RunRecord} from './run-record.js';
 import {CrashSuspicion} from './crash-suspicion.js';
-import {StreamPassage} from './stream-passage.js';
+import {StreamForwarder} from './stream-forwarder.js';
 
 /**
  * Maximum number of attempts for one request, whatever their outcome. Refused connections do not count: they send nothing, and a replica
@@ -58,7 +58,7 @@
 
 	/** Whether the request is suspected of crashing replicas. */
 	readonly suspicion: CrashSuspicion;
-	private readonly streamPassage: StreamPassage;
+	private readonly streamForwarder: StreamForwarder;
 	private readonly choice: RunChoice;
 	private readonly parts: AttemptParts;
 	/** Sends the error answer of an earlier attempt; used if no later attempt succeeds. */
@@ -77,12 +77,12 @@
 		this.suspicion = CrashSuspicion.create({
 			clock: services.clock,
 			quarantine: services.quarantine,
-			crashDetector: services.ends,
+			crashDetector: services.crashDetector,
 			identity: () => ({
 				method: request.incoming.method ?? 'GET', target: request.incoming.url ?? '/', clientAccount: request.clientAccount?.name, body: request.body,
 			}),
 		});
-		this.streamPassage = StreamPassage.create({
+		this.streamForwarder = StreamForwarder.create({
 			client, format: services.format, metrics: services.metrics, lastEventId: request.route.isResumable ? head.lastEventId : undefined,
 		});
 		const choiceRequest = {promptTokens: head.promptTokens ?? 0, sharedParts: head.parts.slice(0, -1)};
@@ -95,13 +95,13 @@
 			waitsForReplica: () => this.verdict === 'may-have-run' && !this.failedAnswer,
 		});
 		this.parts = {
-			services, client, passage: this.streamPassage, suspicion: this.suspicion, demandRecorder: this.demandRecorder, choiceRequest, record: this.record,
+			services, client, streamForwarder: this.streamForwarder, suspicion: this.suspicion, demandRecorder: this.demandRecorder, choiceRequest, record: this.record,
 		};
 	}
 
 	/** Stream fields for the log record of the request. */
 	get streamFields(): EventFields {
-		return this.streamPassage.fields;
+		return this.streamForwarder.fields;
 	}
 
 	/** Whether a replica may have run the request. */
@@ -141,7 +141,7 @@
 
 	private tryReplicas(): Effect.Effect<void, Refusal> {
 		return Effect.gen({self: this}, function * () {
-			this.services.budgets.of(this.request.service).noteRequest();
+			this.services.budgets.of(this.request.service).recordRequest();
 			for (;;) {
 				yield * this.checkSuspension();
 				yield * this.reauthorise();
@@ -277,9 +277,9 @@
 		}
 
 		if (failure.reason === 'elsewhere') {
-			replicas.noteLeaving(replica.entry, 'replica');
+			replicas.markLeaving(replica.entry, 'replica');
 		} else if (failure.reason === 'refused' || failure.reason === 'cut') {
-			replica.noteFailure();
+			replica.recordFailure();
 		}
 
 		if (failure.reason === 'cut') {
--- a/src/relay/relay-services.ts
+++ b/src/relay/relay-services.ts
@@ -12,13 +12,13 @@
 import type {ServiceDemands} from '../replicas/service-demand.js';
 import type {RouteTableView} from '../routes/route-table-view.js';
 import type {UsageCounts} from '../duties/usage-counts.js';
-import type {ConnectionBook} from './connection-book.js';
-import type {EndWatch} from './end-watch.js';
+import type {ConnectionRegistry} from './connection-registry.js';
+import type {CrashDetector} from './crash-detector.js';
 import type {FreshnessGuard} from './freshness-guard.js';
 import type {LimitQueue} from './limit-queue.js';
 import type {RelayFormat} from './relay-format.js';
 import type {RelayMetrics} from './relay-metrics.js';
-import type {RepeatBudgets} from './repeat-budgets.js';
+import type {RetryBudgets} from './retry-budgets.js';
 
 /** The services of one box that handle requests. */
 export type RelayServices = {
@@ -36,10 +36,10 @@
 	readonly statements: ReplicaStatements;
 	readonly limitQueue: LimitQueue;
 	readonly demands: ServiceDemands;
-	readonly connections: ConnectionBook;
-	readonly ends: EndWatch;
+	readonly connections: ConnectionRegistry;
+	readonly crashDetector: CrashDetector;
 	readonly quarantine: Quarantine;
 	readonly quota: QuotaLedger;
-	readonly budgets: RepeatBudgets;
+	readonly budgets: RetryBudgets;
 	readonly usage: UsageCounts;
 };
--- a/src/relay/replica-attempt.ts
+++ b/src/relay/replica-attempt.ts
@@ -18,7 +18,7 @@
 } from './replica-exchange.js';
 import type {RunRecord} from './run-record.js';
 import type {CrashSuspicion} from './crash-suspicion.js';
-import type {StreamPassage} from './stream-passage.js';
+import type {StreamForwarder} from './stream-forwarder.js';
 
 const firstRedirection = 300;
 const firstServerError = 500;
@@ -29,7 +29,7 @@
 export type AttemptParts = {
 	readonly services: RelayServices;
 	readonly client: ClientAnswer;
-	readonly passage: StreamPassage;
+	readonly streamForwarder: StreamForwarder;
 	readonly suspicion: CrashSuspicion;
 	readonly demandRecorder: DemandRecorder;
 	readonly choiceRequest: ChoiceRequest;
@@ -96,9 +96,9 @@
 			.pipe(Effect.mapError(({detail, isRefused}) => {
 				if (isRefused) {
 					record.refusedConnections++;
-					replica.noteRefusedConnection();
+					replica.recordRefusedConnection();
 				} else {
-					replica.noteFailure();
+					replica.recordFailure();
 				}
 
 				return AttemptFailure.notRun('unreachable', detail);
@@ -125,7 +125,7 @@
 			}
 
 			const onHead = ({statement}: AnswerHead) => {
-				statements.noteAnswer(replica, statement, this.sentAt);
+				statements.recordResponse(replica, statement, this.sentAt);
 			};
 
 			return openAnswer({
@@ -142,11 +142,11 @@
 	private withholdReason(): string | undefined {
 		const {replicas, guard, limits, statements} = this.parts.services;
 		const {replica, slot} = this.plan;
-		if (!replicas.mayBeSent(replica)) {
+		if (!replicas.maySendTo(replica)) {
 			return 'the replica began to leave';
 		}
 
-		if (statements.pauseLeft(replica) > 0) {
+		if (statements.remainingPause(replica) > 0) {
 			return 'the replica has asked for a time without requests';
 		}
 
@@ -158,7 +158,7 @@
 	}
 
 	private get outgoing(): OutgoingRequest {
-		const {services: {format}, passage} = this.parts;
+		const {services: {format}, streamForwarder: passage} = this.parts;
 		const {request: {incoming, head, body, clientAccount, deadlineAt, urgency}, replica} = this.plan;
 		const hasBody = body.length > 0 || incoming.headers['content-length'] !== undefined || incoming.headers['transfer-encoding'] !== undefined;
 		return {
@@ -183,16 +183,16 @@
 	}
 
 	private forwardStream(answer: OpenAnswer): Effect.Effect<void, AttemptFailure> {
-		const {services, passage, suspicion, demandRecorder, choiceRequest} = this.parts;
+		const {services, streamForwarder: passage, suspicion, demandRecorder, choiceRequest} = this.parts;
 		const {replica} = this.plan;
-		return passage.pass(answer, {
-			onHeard() {
-				replica.noteHeard();
+		return passage.forward(answer, {
+			onBytes() {
+				replica.recordData();
 			},
 			onFirstEvent: () => {
 				this.recordAnswerStart(false);
 				demandRecorder.recordPromptRead(this.promptTokens, services.clock.monotonic() - this.sentAt);
-				services.choice.noteRead(replica, choiceRequest);
+				services.choice.recordRead(replica, choiceRequest);
 			},
 		}).pipe(Effect.tap(() => Effect.sync(() => {
 			suspicion.recordCompletion();
@@ -231,15 +231,15 @@
 		suspicion.recordAnswerStart();
 		demandRecorder.recordAnswerStart();
 		this.markRead();
-		replica.noteAnswer(now - this.sentAt, isError);
+		replica.recordResponse(now - this.sentAt, isError);
 		// Usage counts a request once, however many replicas begin to answer it.
 		if (isFirst && clientAccount) {
-			usage.note(clientAccount.name);
+			usage.recordRequest(clientAccount.name);
 		}
 	}
 
 	private markRead(): void {
-		this.plan.replica.noteRead(this.unreadTokens);
+		this.plan.replica.recordRead(this.unreadTokens);
 		this.unreadTokens = 0;
 	}
 
--- a/src/relay/replica-exchange.ts
+++ b/src/relay/replica-exchange.ts
@@ -77,7 +77,7 @@
 			lifetime = head.idleLifetime;
 			// An error of the answer is also reported by its 'close' event.
 			answer.on('error', ignore);
-			if (!head.isElsewhere && (outgoing.id === undefined || head.id === outgoing.id)) {
+			if (!head.isMisdirected && (outgoing.id === undefined || head.id === outgoing.id)) {
 				onHead?.(head);
 			}
 
@@ -109,7 +109,7 @@
 	}
 
 	if (head.isNotRun) {
-		return AttemptFailure.notRun(head.isElsewhere ? 'elsewhere' : 'refused', `the replica answered ${answer.statusCode ?? 0}`);
+		return AttemptFailure.notRun(head.isMisdirected ? 'elsewhere' : 'refused', `the replica answered ${answer.statusCode ?? 0}`);
 	}
 
 	return head.isPlain ? undefined : AttemptFailure.mayHaveRun('garbled', 'the body of the answer is encoded');
--- a/src/relay/repeat-budgets.ts
+++ b/src/relay/retry-budgets.ts
@@ -3,24 +3,24 @@
  */
 import type {Clock} from '../base/clock.js';
 import {getOrCreate} from '../base/get-or-create.js';
-import {RepeatBudget, type RepeatBound} from '../quota/repeat-budget.js';
+import {ServiceRetryBudget, type ServiceRetryBound} from '../quota/service-retry-budget.js';
 
 /** A retry budget for each service. */
-export class RepeatBudgets {
+export class RetryBudgets {
 	/**
 	 * @param bound - Supplies the bound for all boxes together.
 	 * @param boxes - Supplies the number of boxes.
 	 * @param clock - For the time window of the budgets.
 	 * @returns Unused budgets.
 	 */
-	static create(bound: () => RepeatBound, boxes: () => number, clock: Clock): RepeatBudgets {
-		return new RepeatBudgets(bound, boxes, clock);
+	static create(bound: () => ServiceRetryBound, boxes: () => number, clock: Clock): RetryBudgets {
+		return new RetryBudgets(bound, boxes, clock);
 	}
 
-	private readonly byService = new Map<string, RepeatBudget>();
+	private readonly byService = new Map<string, ServiceRetryBudget>();
 
 	private constructor(
-		private readonly bound: () => RepeatBound,
+		private readonly bound: () => ServiceRetryBound,
 		private readonly boxes: () => number,
 		private readonly clock: Clock,
 	) {}
@@ -29,7 +29,7 @@
 	 * @param service - Name of a service.
 	 * @returns Its budget.
 	 */
-	of(service: string): RepeatBudget {
-		return getOrCreate(this.byService, service, () => RepeatBudget.create(this.bound, this.boxes, this.clock));
+	of(service: string): ServiceRetryBudget {
+		return getOrCreate(this.byService, service, () => ServiceRetryBudget.create(this.bound, this.boxes, this.clock));
 	}
 }
--- a/src/relay/run-choice.ts
+++ b/src/relay/run-choice.ts
@@ -113,8 +113,8 @@
 		const responsive = untried.filter(({isSilent}) => !isSilent);
 		const listening = responsive.filter(({refusesConnections}) => !refusesConnections);
 		const notAvoided = listening.filter(({isAvoided}) => !isAvoided);
-		const due = notAvoided.filter(replica => limits.isDue(replica));
-		const unpaused = notAvoided.filter(replica => statements.boxesPaused(replica) === 0);
+		const due = notAvoided.filter(replica => limits.isProbeDue(replica));
+		const unpaused = notAvoided.filter(replica => statements.pausedBoxCount(replica) === 0);
 		const again = open.filter(replica => this.tried.has(replica) && !replica.refusesConnections);
 		return [due, unpaused, notAvoided, listening, responsive, untried, again].find(({length}) => length > 0);
 	}
@@ -136,7 +136,7 @@
 	private recordExcluded(full: readonly Replica[]): void {
 		const {services: {metrics, statements}, record, request} = this.parts;
 		const {service} = request();
-		const paused = full.filter(replica => statements.pauseLeft(replica) > 0).length;
+		const paused = full.filter(replica => statements.remainingPause(replica) > 0).length;
 		record.excludedReplicas = Math.max(record.excludedReplicas, full.length);
 		if (paused > 0 && !this.wasExcluded.paused) {
 			this.wasExcluded.paused = true;
@@ -166,7 +166,7 @@
 
 		this.close();
 		this.tried.add(replica);
-		return {kind: 'go', replica, slot: limits.take(replica)};
+		return {kind: 'go', replica, slot: limits.acquireSlot(replica)};
 	}
 
 	/**
@@ -178,7 +178,7 @@
 		const {service, urgency} = request();
 		this.queued ??= limitQueue.join(service, urgency);
 		const timeLeft = this.timeLeftFor(ready);
-		const wait = statements.untilRoom(ready, limitQueue.positionOf(this.queued), Math.max(0, timeLeft));
+		const wait = statements.timeUntilRoom(ready, limitQueue.positionOf(this.queued), Math.max(0, timeLeft));
 		if (wait <= timeLeft) {
 			return {kind: 'wait', wait: Math.min(capacityCheckInterval.max, Math.max(capacityCheckInterval.min, wait))};
 		}
@@ -196,11 +196,11 @@
 	private retryDelayFor(full: readonly Replica[], untilCapacity: number): number {
 		const {services: {limits, limitQueue, statements, boxes}, request} = this.parts;
 		const {service, urgency} = request();
-		const mayServeElsewhere = full.some(replica => statements.pauseLeft(replica) > 0 && statements.boxesPaused(replica) < boxes());
+		const mayServeElsewhere = full.some(replica => statements.remainingPause(replica) > 0 && statements.pausedBoxCount(replica) < boxes());
 		return mayServeElsewhere
 			? 0
 			: limitQueue.reserveRetryDelay({
-				service, urgency, untilCapacity, rate: sumOf(full.map(replica => limits.partOf(replica))),
+				service, urgency, untilCapacity, rate: sumOf(full.map(replica => limits.ownLimit(replica))),
 			});
 	}
 
@@ -230,6 +230,6 @@
 		const {services: {replicas, table}, request} = this.parts;
 		const {service} = request();
 		const bootTime = table.inForce?.service(service)?.scaling?.bootTime ?? 0;
-		return bootTime - replicas.absentFor(service);
+		return bootTime - replicas.timeSinceReady(service);
 	}
 }
--- a/src/relay/stream-passage.ts
+++ b/src/relay/stream-forwarder.ts
@@ -20,11 +20,11 @@
 	/** Called at the first event of a run. */
 	readonly onFirstEvent: () => void;
 	/** Called when bytes arrive. */
-	readonly onHeard: () => void;
+	readonly onBytes: () => void;
 };
 
 /** Dependencies of a passage. */
-export type PassageParts = {
+export type StreamForwarderParts = {
 	/** The answer that events are written to. */
 	readonly client: ClientAnswer;
 	/** Parses event ids. */
@@ -35,13 +35,13 @@
 };
 
 /** One client's stream, across all replicas that produce it. Each replica's part of it is a run. */
-export class StreamPassage {
+export class StreamForwarder {
 	/**
 	 * @param parts - Its dependencies.
 	 * @returns A passage that has forwarded no event.
 	 */
-	static create(parts: PassageParts): StreamPassage {
-		return new StreamPassage(parts);
+	static create(parts: StreamForwarderParts): StreamForwarder {
+		return new StreamForwarder(parts);
 	}
 
 	/** Bytes of incomplete events at the end of runs; they are not forwarded. */
@@ -52,7 +52,7 @@
 	private readonly resumedAfter: string[] = [];
 	private readonly sequence: EventSequence;
 
-	private constructor(private readonly parts: PassageParts) {
+	private constructor(private readonly parts: StreamForwarderParts) {
 		this.sequence = EventSequence.create(parts.lastEventId);
 	}
 
@@ -83,7 +83,7 @@
 	 * @returns An effect that completes when the stream is complete; fails if it was cut, ended inside an event, or an event was not the
 	 * next one or too large.
 	 */
-	pass(answer: OpenAnswer, listener: StreamListener): Effect.Effect<void, AttemptFailure> {
+	forward(answer: OpenAnswer, listener: StreamListener): Effect.Effect<void, AttemptFailure> {
 		return Effect.callback<void, AttemptFailure>(resume => {
 			const splitter = EventSplitter.create();
 			const {message} = answer;
@@ -103,7 +103,7 @@
 					return;
 				}
 
-				listener.onHeard();
+				listener.onBytes();
 				const hadEvents = this.sequence.acceptedCount > acceptedBefore;
 				const {fitting, misfit} = this.acceptEvents(splitter.split(chunk));
 				if (!hadEvents && this.sequence.acceptedCount > acceptedBefore) {
--- a/src/relay/test/admission.test.ts
+++ b/src/relay/test/admission.test.ts
@@ -13,11 +13,11 @@
 	const replica = Replica.create({
 		id: 'i-1', bornAt: undefined, software: '', revision: 1, service: 's', host: '127.0.0.1', port: 1, dataCentre: 'a', slots: 4, isDraining: false, isReclaimable: false, leavesIn: undefined,
 	}, clock);
-	replica.noteOthersWork({requests, unreadTokens});
+	replica.setAggregateWork({requests, unreadTokens});
 	const demand = ServiceDemands.create(clock).of('s');
 	for (let index = 0; index < 30; index++) {
-		demand.noteRead(10_000, 100);
-		demand.noteEnd(400);
+		demand.recordRead(10_000, 100);
+		demand.recordDuration(400);
 	}
 
 	return {replica, demand};
--- a/src/relay/test/end-watch.test.ts
+++ b/src/relay/test/crash-detector.test.ts
@@ -8,9 +8,9 @@
 import {Quarantine} from '../../quarantine/quarantine.js';
 import {Replica} from '../../replicas/replica.js';
 import {ReplicaDirectory} from '../../replicas/replica-directory.js';
-import {ConnectionBook} from '../connection-book.js';
+import {ConnectionRegistry} from '../connection-registry.js';
 import {RelayMetrics} from '../relay-metrics.js';
-import {EndWatch} from '../end-watch.js';
+import {CrashDetector} from '../crash-detector.js';
 
 const clock = SystemClock.create();
 const first = {fingerprint: Fingerprint('first-first-'), ranFor: 60};
@@ -19,7 +19,7 @@
 type Watched = {
 	readonly standin: ReplicaStandin;
 	readonly replica: Replica;
-	readonly watch: EndWatch;
+	readonly watch: CrashDetector;
 	readonly log: KeepingLog;
 	readonly close: () => Promise<void>;
 };
@@ -30,12 +30,12 @@
 		id: 'i-1', bornAt: 7, software: '1', revision: 1, service: 's', host: '127.0.0.1', port: standin.port, dataCentre: 'a', slots: 8, isDraining: false, isReclaimable: false, leavesIn: undefined,
 	}, clock);
 	const log = new KeepingLog();
-	const connections = ConnectionBook.create(clock, {maximumConnections: () => 100, boxes: () => 1});
+	const connections = ConnectionRegistry.create(clock, {maximumConnections: () => 100, boxes: () => 1});
 	const replicas = ReplicaDirectory.create(clock, log);
 	const quarantine = Quarantine.create({
 		clock, log, replicas, isOwner: () => true, released: () => [],
 	});
-	const watch = EndWatch.create({
+	const watch = CrashDetector.create({
 		clock, log, metrics: RelayMetrics.create(), connections, quarantine,
 	});
 	const close = async () => {
@@ -55,7 +55,7 @@
 	watch.recordCut(replica, first);
 	await until(() => standin.connections === 1);
 	await pause(20);
-	watch.noteGone(replica);
+	watch.recordGone(replica);
 	assert.deepEqual(crashesIn(log), []);
 	await close();
 });
@@ -72,7 +72,7 @@
 test('a replica that is leaving exits as planned, and no request is suspected', async () => {
 	const {standin, replica, watch, log} = await watched();
 	await standin.close();
-	replica.leave();
+	replica.markLeaving();
 	watch.recordCut(replica, first);
 	await pause(60);
 	assert.deepEqual(crashesIn(log), []);
@@ -82,7 +82,7 @@
 	const {standin, replica, watch, log, close} = await watched();
 	watch.recordCut(replica, first);
 	// The probe has not completed yet.
-	watch.noteGone(replica);
+	watch.recordGone(replica);
 	assert.deepEqual(crashesIn(log), [first.fingerprint]);
 	await pause(40);
 	assert.equal(standin.connections, 0, 'a replica whose entry is removed is not probed');
--- a/src/relay/test/demand-recorder.test.ts
+++ b/src/relay/test/demand-recorder.test.ts
@@ -21,7 +21,7 @@
 		play(createRecorder(), clock);
 	}
 
-	return {...pooledDemand([demand.now]), outcomes: demand.now.met + demand.now.missed};
+	return {...pooledDemand([demand.current]), outcomes: demand.current.met + demand.current.missed};
 };
 
 test('a request counts as missed if its answer begins late, if it is refused for lack of replicas, or if its client left after the goal', () => {
--- a/src/relay/test/stream-exchange.test.ts
+++ b/src/relay/test/stream-exchange.test.ts
@@ -23,7 +23,7 @@
 import {ClientAnswer} from '../client-answer.js';
 import {RelayMetrics} from '../relay-metrics.js';
 import {openAnswer} from '../replica-exchange.js';
-import {StreamPassage} from '../stream-passage.js';
+import {StreamForwarder} from '../stream-forwarder.js';
 
 const seed = 33;
 const numberRuns = 150;
@@ -202,7 +202,7 @@
 	const served: Array<Promise<unknown>> = [];
 	const front = createHttpServer((incoming, response: ServerResponse) => {
 		const client = ClientAnswer.create(response, () => false);
-		const passage = StreamPassage.create({
+		const passage = StreamForwarder.create({
 			client, format, metrics: RelayMetrics.create(), lastEventId: plan.lastEventId,
 		});
 		const serving = Effect.gen(function * () {
@@ -215,7 +215,7 @@
 					id, method: 'GET', path: '/', headers: ['Host', 'x', 'Attempt-Id', id, 'Connection', 'keep-alive', ...(behind === undefined ? [] : ['Last-Event-Id', behind])], body: undefined,
 				};
 				const failure = yield * openAnswer({connections, socket, format}, outgoing).pipe(
-					Effect.flatMap(answer => passage.pass(answer, {onFirstEvent: () => undefined, onHeard: () => undefined})),
+					Effect.flatMap(answer => passage.forward(answer, {onFirstEvent: () => undefined, onBytes: () => undefined})),
 					Effect.onInterrupt(() => Effect.sync(() => {
 						socket.destroy();
 					})),
@@ -247,7 +247,7 @@
 	const view = await read((front.address() as AddressInfo).port, plan);
 	await Promise.all(served);
 	connections.close();
-	connections.abandon();
+	connections.destroyInUse();
 	front.closeAllConnections();
 	front.close();
 	replica.close();
--- a/src/relay/test/stream-passage.test.ts
+++ b/src/relay/test/stream-forwarder.test.ts
@@ -6,14 +6,14 @@
 import {setImmediate as turn} from 'node:timers/promises';
 import * as Effect from 'effect/Effect';
 import {PlatformRelayFormat} from '../../../platform/relay-format.js';
-import {noStatement} from '../../replicas/replica-statement.js';
+import {emptyStatement} from '../../replicas/replica-statement.js';
 import type {AttemptFailure} from '../attempt-failure.js';
 import {ClientAnswer} from '../client-answer.js';
 import {RelayMetrics} from '../relay-metrics.js';
-import {StreamPassage} from '../stream-passage.js';
+import {StreamForwarder} from '../stream-forwarder.js';
 
 const head = {
-	id: undefined, isNotRun: false, isElsewhere: false, isPlain: true, idleLifetime: undefined, statement: noStatement,
+	id: undefined, isNotRun: false, isMisdirected: false, isPlain: true, idleLifetime: undefined, statement: emptyStatement,
 };
 
 /** A client's connection that records the data written to it. */
@@ -53,14 +53,14 @@
 /** One client's stream, and counts of the notifications about it. */
 const startPassage = (lastEventId?: string) => {
 	const connection = new Connection();
-	const passage = StreamPassage.create({
+	const passage = StreamForwarder.create({
 		client: ClientAnswer.create(connection as unknown as ServerResponse, () => false), format: PlatformRelayFormat.create(), metrics: RelayMetrics.create(), lastEventId,
 	});
 	const counts = {firstEvents: 0, abandoned: 0};
 	/** @returns The failure of a run that sends these pieces; `undefined` if it succeeds. */
 	const run = async (pieces: ReadonlyArray<string | Uint8Array>): Promise<AttemptFailure | undefined> => {
 		const message = Object.assign(new PassThrough(), {rawHeaders: []});
-		const passing = Effect.runPromise(passage.pass({
+		const passing = Effect.runPromise(passage.forward({
 			message: message as unknown as IncomingMessage, head, status: 200, isWhole: () => true, abandon() {
 				counts.abandoned++;
 			},
@@ -68,7 +68,7 @@
 			onFirstEvent() {
 				counts.firstEvents++;
 			},
-			onHeard: () => undefined,
+			onBytes: () => undefined,
 		}).pipe(Effect.as(undefined), Effect.catchTag('AttemptFailure', failure => Effect.succeed(failure))));
 		for (const piece of pieces) {
 			message.write(piece);
--- a/src/replicas/limit-slots.ts
+++ b/src/replicas/limit-slots.ts
@@ -8,7 +8,7 @@
 import {sumOf} from '../base/sum.js';
 
 /** Range of a ring of length one that belongs to one box: the box owns each slot whose position lies in the range. */
-export type Stretch = {
+export type RingRange = {
 	/** From 0 to 1. */
 	readonly from: number;
 	/** From 0 to 1. */
@@ -21,7 +21,7 @@
 	readonly start: string;
 	/** Requests a second that the replica accepts from all boxes; above zero. */
 	readonly limit: number;
-	readonly range: Stretch;
+	readonly range: RingRange;
 };
 
 /** A slot of this box. */
@@ -76,7 +76,7 @@
  * @param weights - Demand at each box, by box name.
  * @returns The range of each box, adjacent in the order of the names; the same on every box that knows the same weights.
  */
-export function divideLine(weights: ReadonlyMap<string, number>): ReadonlyMap<string, Stretch> {
+export function divideRing(weights: ReadonlyMap<string, number>): ReadonlyMap<string, RingRange> {
 	const total = sumOf([...weights.values()]);
 	let from = 0;
 	return new Map([...weights.keys()].sort().map(name => {
--- a/src/replicas/replica-choice.ts
+++ b/src/replicas/replica-choice.ts
@@ -41,7 +41,7 @@
 	 * @param replica - The replica.
 	 * @param request - The request.
 	 */
-	abstract noteRead(replica: Replica, request: ChoiceRequest): void;
+	abstract recordRead(replica: Replica, request: ChoiceRequest): void;
 }
 
 /** Prompt tokens that a replica reads in a millisecond; an assumption that only weighs tokens against the other costs. */
@@ -75,7 +75,7 @@
 	/** @returns A random number from 0 up to 1, exclusive. */
 	readonly random?: () => number;
 	/** @returns Whether many boxes base their choice on the same stale information about the replicas' load. */
-	readonly isWorkOld?: () => boolean;
+	readonly isWorkStale?: () => boolean;
 };
 
 /**
@@ -92,7 +92,7 @@
 	 * @param services - Dependencies.
 	 * @returns The choice.
 	 */
-	static create({dataCentre, now, random = Math.random, isWorkOld: isWorkStale = () => false}: ChoiceServices): LeastWaitChoice {
+	static create({dataCentre, now, random = Math.random, isWorkStale = () => false}: ChoiceServices): LeastWaitChoice {
 		return new LeastWaitChoice(dataCentre, now, random, isWorkStale);
 	}
 
@@ -120,7 +120,7 @@
 		return Math.max(0, request.promptTokens - this.cachedTokens(replica, request, undefined));
 	}
 
-	override noteRead(replica: Replica, {sharedParts}: ChoiceRequest): void {
+	override recordRead(replica: Replica, {sharedParts}: ChoiceRequest): void {
 		for (const {id} of sharedParts) {
 			const replicas = this.readAt.get(id) ?? new Map<string, number>();
 			replicas.set(replica.start, this.now());
--- a/src/replicas/replica-connections.ts
+++ b/src/replicas/replica-connections.ts
@@ -16,7 +16,7 @@
 /** Idle milliseconds after which a connection is not used for a request that cannot be retried. */
 const maxFreshIdleTime = 1000;
 /** Maximum idle connections that a box keeps to one replica, whatever the number of its slots. */
-export const largestIdleCount = 24;
+export const maxIdleConnections = 24;
 
 /** No connection to a replica could be established; nothing was sent. */
 export class ConnectionFailure extends Data.TaggedError('ConnectionFailure')<{
@@ -54,7 +54,7 @@
 	 * @param maxIdle - Returns how many idle connections may be kept.
 	 * @returns An empty pool.
 	 */
-	static create(host: string, port: number, clock: Clock, maxIdle: () => number = () => largestIdleCount): ReplicaConnections {
+	static create(host: string, port: number, clock: Clock, maxIdle: () => number = () => maxIdleConnections): ReplicaConnections {
 		return new ReplicaConnections(host, port, clock, maxIdle);
 	}
 
@@ -147,7 +147,7 @@
 	}
 
 	/** Destroys the connections in use, whose requests will not be answered. */
-	abandon(): void {
+	destroyInUse(): void {
 		for (const socket of this.inUse) {
 			socket.destroy();
 		}
--- a/src/replicas/replica-directory.ts
+++ b/src/replicas/replica-directory.ts
@@ -96,12 +96,12 @@
 	}
 
 	/** Milliseconds since an entry last added a replica to the directory. */
-	get settledFor(): number {
+	get timeSinceLastAdded(): number {
 		return this.clock.monotonic() - this.lastAddedAt;
 	}
 
 	/** @param listener - Called with each replica that is removed from the list, or replaced by a newer incarnation. */
-	onDidGo(listener: ReplicaListener): void {
+	onDidRemove(listener: ReplicaListener): void {
 		this.removalListeners.push(listener);
 	}
 
@@ -118,14 +118,14 @@
 
 		return listed.length > 0
 			? listed
-			: [...this.all, ...this.recentlyRemoved].filter(replica => replica.entry.service === service && this.mayBeSent(replica));
+			: [...this.all, ...this.recentlyRemoved].filter(replica => replica.entry.service === service && this.maySendTo(replica));
 	}
 
 	/**
 	 * @param service - Name of a service.
 	 * @returns Milliseconds since the service last had a ready replica; zero if it never had one.
 	 */
-	absentFor(service: string): number {
+	timeSinceReady(service: string): number {
 		const now = this.clock.monotonic();
 		return now - (this.lastReadyAt.get(service) ?? now);
 	}
@@ -134,7 +134,7 @@
 	 * @param replica - A replica that was selected earlier.
 	 * @returns Whether a request may still be sent to it.
 	 */
-	mayBeSent({isLeaving, leavingFor, isReplaced}: Replica): boolean {
+	maySendTo({isLeaving, leavingFor, isReplaced}: Replica): boolean {
 		return !isReplaced && (!isLeaving || leavingFor < leavingGracePeriod);
 	}
 
@@ -142,7 +142,7 @@
 	 * @param id - ID of a replica.
 	 * @returns The replica; `undefined` if it is not listed.
 	 */
-	named(id: string): Replica | undefined {
+	byId(id: string): Replica | undefined {
 		return this.replicas.get(id);
 	}
 
@@ -150,7 +150,7 @@
 	 * @param start - Incarnation of a replica.
 	 * @returns The replica; `undefined` if this incarnation is not listed.
 	 */
-	ofStart(start: string): Replica | undefined {
+	byStart(start: string): Replica | undefined {
 		const separator = start.lastIndexOf('/');
 		return [start, start.slice(0, Math.max(0, separator))].map(id => this.replicas.get(id)).find(replica => replica?.start === start);
 	}
@@ -179,7 +179,7 @@
 	 *
 	 * @param position - Revision of the list.
 	 */
-	keepDepartures(position: number): void {
+	advanceDepartures(position: number): void {
 		for (const [id, departure] of this.departures) {
 			// Without a known incarnation, the entry may belong to a newer one that has not left.
 			if (departure.start !== undefined) {
@@ -214,7 +214,7 @@
 		const departure = this.departures.get(entry.id);
 		// An entry that expired and was written again has a newer revision than the departure, which then does not apply.
 		if (departure && isOfDeparture(added, departure)) {
-			added.leave();
+			added.markLeaving();
 		}
 
 		this.replicas.set(entry.id, added);
@@ -230,7 +230,7 @@
 	 * @param id - ID of the replica.
 	 * @param until - Monotonic milliseconds until which it stays in use.
 	 */
-	hold(id: string, until: number): void {
+	markMissing(id: string, until: number): void {
 		this.replicas.get(id)?.markMissing(until);
 	}
 
@@ -245,8 +245,8 @@
 		}
 
 		this.replicas.delete(id);
-		replica.leave();
-		this.recentlyRemoved = [...this.recentlyRemoved.filter(other => this.mayBeSent(other)), replica];
+		replica.markLeaving();
+		this.recentlyRemoved = [...this.recentlyRemoved.filter(other => this.maySendTo(other)), replica];
 		this.recordDeparture({id, revision}, replica.start, 'list');
 		this.log.write('replicaGone', {
 			replica: id, service: replica.entry.service, revision, missingFor: replica.isMissing ? Math.round(replica.missingFor) : undefined,
@@ -262,10 +262,10 @@
 	 * @param departure - The replica, and the revision at which it began to leave.
 	 * @param source - Sender of the report.
 	 */
-	noteLeaving(departure: Departure, source: 'peer' | 'replica'): void {
+	markLeaving(departure: Departure, source: 'peer' | 'replica'): void {
 		const replica = this.replicas.get(departure.id);
 		if (replica && !replica.isLeaving && isOfDeparture(replica, departure)) {
-			replica.leave();
+			replica.markLeaving();
 			this.recordDeparture(departure, replica.start, source);
 		} else if (!replica && source === 'peer' && !this.departures.has(departure.id)) {
 			this.departures.set(departure.id, {...departure, at: this.clock.monotonic()});
@@ -289,9 +289,9 @@
 		}
 
 		this.announcementsByStart.set(start, announcement);
-		const replica = this.ofStart(start);
+		const replica = this.byStart(start);
 		const wasLeaving = replica?.isLeaving;
-		replica?.leave();
+		replica?.markLeaving();
 		this.log.write('replicaAnnouncedLeaving', {
 			replica: replica?.entry.id ?? start, service: replica?.entry.service, source, age: Math.round(this.clock.monotonic() - at), wasLeaving,
 		});
@@ -301,7 +301,7 @@
 	private create(entry: ReplicaEntry): Replica {
 		const replica = Replica.create(entry, this.clock);
 		if (this.announcementsByStart.has(replica.start)) {
-			replica.leave();
+			replica.markLeaving();
 		}
 
 		return replica;
--- a/src/replicas/replica-limits.ts
+++ b/src/replicas/replica-limits.ts
@@ -7,11 +7,11 @@
 import type {EventLog} from '../base/event-log.js';
 import {rotated} from '../base/rotated.js';
 import {
-	ownSlots, slotLifetime, type Slot, type Stretch,
+	ownSlots, slotLifetime, type Slot, type RingRange,
 } from './limit-slots.js';
 import type {Replica} from './replica.js';
 import {ReplicaLog} from './replica-log.js';
-import {newsTime, type StatementSource} from './replica-statement.js';
+import {recentWindow, type StatementSource} from './replica-statement.js';
 
 /** A replica's limit as boxes send it to each other; the newest one applies. */
 export type LimitUpdate = {
@@ -30,7 +30,7 @@
 	/** @returns Milliseconds of the boxes' common time. */
 	readonly commonTime: () => number;
 	/** @returns This box's range of the slots at the replicas of a service. */
-	readonly stretch: (service: string) => Stretch;
+	readonly slotRange: (service: string) => RingRange;
 	/** @returns The listed replica of an incarnation. */
 	readonly listed: (start: string) => Replica | undefined;
 };
@@ -133,9 +133,9 @@
 	 * @param replica - A replica.
 	 * @returns Requests a second that this box may send to the replica; infinite if it has no limit.
 	 */
-	partOf(replica: Replica): number {
+	ownLimit(replica: Replica): number {
 		const limit = this.limitOf(replica);
-		return limit === undefined ? Number.POSITIVE_INFINITY : effectiveLimit(limit) * this.dependencies.stretch(replica.entry.service).length;
+		return limit === undefined ? Number.POSITIVE_INFINITY : effectiveLimit(limit) * this.dependencies.slotRange(replica.entry.service).length;
 	}
 
 	/**
@@ -150,7 +150,7 @@
 	 * @param replica - A replica.
 	 * @returns Whether the replica should get the next request as a probe of its limit.
 	 */
-	isDue(replica: Replica): boolean {
+	isProbeDue(replica: Replica): boolean {
 		const known = this.knownLimits.get(replica.start);
 		return known?.limit !== undefined && this.dependencies.clock.monotonic() - known.at > probeDelay && this.hasRoom(replica);
 	}
@@ -161,7 +161,7 @@
 	 * @param replica - A replica that has room.
 	 * @returns The slot; `undefined` if the replica has no limit or this box has no open slot.
 	 */
-	take(replica: Replica): Slot | undefined {
+	acquireSlot(replica: Replica): Slot | undefined {
 		if (this.limitOf(replica) === undefined) {
 			return undefined;
 		}
@@ -189,7 +189,7 @@
 		}
 
 		const isInTime = slot !== undefined && this.dependencies.commonTime() - slot.at <= slotLifetime(effectiveLimit(limit)) + connectAllowance;
-		return isInTime || this.take(replica) !== undefined;
+		return isInTime || this.acquireSlot(replica) !== undefined;
 	}
 
 	/**
@@ -216,7 +216,7 @@
 	 * @param limit - The limit that it names.
 	 * @param sentAt - Monotonic milliseconds at which the request was sent.
 	 */
-	noteAnswer(replica: Replica, limit: number | 'unreadable' | undefined, sentAt: number): void {
+	recordResponse(replica: Replica, limit: number | 'unreadable' | undefined, sentAt: number): void {
 		if (limit === 'unreadable') {
 			this.replicaLog.write('replicaLimitUnreadable', replica);
 			return;
@@ -239,7 +239,7 @@
 		}
 
 		const now = this.dependencies.clock.monotonic();
-		const since = now - (isWhole ? Number.POSITIVE_INFINITY : newsTime);
+		const since = now - (isWhole ? Number.POSITIVE_INFINITY : recentWindow);
 		const eligible = [...this.knownLimits].filter(([, {source, changedAt, limit, at}]) => sources.includes(source) && changedAt >= since
 			&& (limit !== undefined || now - at <= endedLimitRetention));
 		this.rotation++;
@@ -261,7 +261,7 @@
 	}
 
 	/** Opens this box's slots at all limited replicas. To be called a few times a second, so that each slot opens soon after it begins. */
-	lookForSlots(): void {
+	openDueSlots(): void {
 		for (const replica of this.limited) {
 			this.openSlots(replica);
 		}
@@ -334,7 +334,7 @@
 	}
 
 	private ownSlots(replica: Replica, after: number, until: number): readonly Slot[] {
-		const range = this.dependencies.stretch(replica.entry.service);
+		const range = this.dependencies.slotRange(replica.entry.service);
 		return ownSlots({start: replica.start, limit: effectiveLimit(this.limitOf(replica) ?? 0), range}, after, until);
 	}
 }
--- a/src/replicas/replica-statement.ts
+++ b/src/replicas/replica-statement.ts
@@ -21,7 +21,7 @@
 export const statementKinds = ['limit', 'leaving', 'pause'] as const;
 
 /** One statement of a replica, as boxes send it to each other. */
-export type ToldStatement = {
+export type StatementUpdate = {
 	/** Incarnation of the replica. */
 	readonly start: string;
 	readonly kind: typeof statementKinds[number];
@@ -38,10 +38,10 @@
  * Milliseconds for which a new statement or departure is included in each message of a large fleet; spans several gossip rounds. Boxes that miss it
  * receive it with a full state or the list. The bound keeps messages small after a whole data centre has left.
  */
-export const newsTime = 2500;
+export const recentWindow = 2500;
 
 /** Maximum statements of one kind in one message, by fleet size; if there are more, successive messages rotate through them. */
-export const mostStatementsTold = {small: 64, large: 12} as const;
+export const maxStatementsPerMessage = {small: 64, large: 12} as const;
 
 /** The statement of a response without such headers. */
-export const noStatement: ReplicaStatement = {limit: undefined, isLeaving: false, pause: undefined};
+export const emptyStatement: ReplicaStatement = {limit: undefined, isLeaving: false, pause: undefined};
--- a/src/replicas/replica-statements.ts
+++ b/src/replicas/replica-statements.ts
@@ -10,7 +10,7 @@
 import {ReplicaLog} from './replica-log.js';
 import {ReplicaPauses} from './replica-pauses.js';
 import {
-	newsTime, type ReplicaStatement, type StatementSource, type ToldStatement,
+	recentWindow, type ReplicaStatement, type StatementSource, type StatementUpdate,
 } from './replica-statement.js';
 
 /** Dependencies of the statements. */
@@ -51,8 +51,8 @@
 	 * @param statement - Its statements.
 	 * @param sentAt - Monotonic milliseconds at which the request was sent.
 	 */
-	noteAnswer(replica: Replica, {limit, isLeaving, pause}: ReplicaStatement, sentAt: number): void {
-		this.services.limits.noteAnswer(replica, limit, sentAt);
+	recordResponse(replica: Replica, {limit, isLeaving, pause}: ReplicaStatement, sentAt: number): void {
+		this.services.limits.recordResponse(replica, limit, sentAt);
 		this.recordLeaving(replica, isLeaving);
 		this.recordPause(replica, pause);
 	}
@@ -63,19 +63,19 @@
 	 * @param maxCount - Maximum number of statements of each kind.
 	 * @returns Statements to send to other boxes; `undefined` if there are none.
 	 */
-	told(isWhole: boolean, sources: readonly StatementSource[], maxCount: number): readonly ToldStatement[] | undefined {
+	updates(isWhole: boolean, sources: readonly StatementSource[], maxCount: number): readonly StatementUpdate[] | undefined {
 		const {clock, limits, replicas} = this.services;
 		const now = clock.monotonic();
-		const since = now - (isWhole ? Number.POSITIVE_INFINITY : newsTime);
+		const since = now - (isWhole ? Number.POSITIVE_INFINITY : recentWindow);
 		const announcements = replicas.announcements.filter(({at, source}) => at >= since && sources.includes(source));
-		const leaving = announcements.map(({start, at}): ToldStatement => ({
+		const leaving = announcements.map(({start, at}): StatementUpdate => ({
 			start, kind: 'leaving', value: undefined, age: Math.round(now - at),
 		}));
-		const limited = (limits.updates(isWhole, sources, maxCount) ?? []).map(({start, limit, age}): ToldStatement => ({
+		const limited = (limits.updates(isWhole, sources, maxCount) ?? []).map(({start, limit, age}): StatementUpdate => ({
 			start, kind: 'limit', value: limit, age,
 		}));
 		const paused = sources.includes('answer') ? this.pauses.updates : [];
-		const pauses = paused.map(({start, length, age}): ToldStatement => ({
+		const pauses = paused.map(({start, length, age}): StatementUpdate => ({
 			start, kind: 'pause', value: length, age,
 		}));
 		this.rotation++;
@@ -90,11 +90,11 @@
 	 * @param statements - The statements.
 	 * @param source - `box` if the sender received them from the replicas itself, `digest` if an aggregator forwarded them.
 	 */
-	takeTold(box: string, statements: readonly ToldStatement[], source: StatementSource): void {
+	merge(box: string, statements: readonly StatementUpdate[], source: StatementSource): void {
 		const {clock, limits, replicas} = this.services;
 		const now = clock.monotonic();
 		for (const {start, kind, value, age} of statements) {
-			const replica = replicas.ofStart(start);
+			const replica = replicas.byStart(start);
 			if (kind === 'limit') {
 				limits.merge([{start, limit: value, age}], source);
 			} else if (kind === 'leaving') {
@@ -117,7 +117,7 @@
 	 * @param replica - A replica.
 	 * @returns Remaining milliseconds of the pause that the replica asked this box for; zero without one.
 	 */
-	pauseLeft(replica: Replica): number {
+	remainingPause(replica: Replica): number {
 		return this.pauses.remaining(replica);
 	}
 
@@ -125,7 +125,7 @@
 	 * @param replica - A replica.
 	 * @returns Number of boxes, including this one, that the replica is known to have asked for a pause that has not ended.
 	 */
-	boxesPaused(replica: Replica): number {
+	pausedBoxCount(replica: Replica): number {
 		return this.pauses.countBoxes(replica);
 	}
 
@@ -135,7 +135,7 @@
 	 * @param horizon - Milliseconds to look ahead for slots of limits.
 	 * @returns Milliseconds until one of the replicas may have room; infinite if unknown.
 	 */
-	untilRoom(replicas: readonly Replica[], requestsAhead: number, horizon: number): number {
+	timeUntilRoom(replicas: readonly Replica[], requestsAhead: number, horizon: number): number {
 		const pauses = replicas.map(replica => this.pauses.remaining(replica)).filter(remaining => remaining > 0);
 		const limited = replicas.filter(replica => this.pauses.remaining(replica) === 0);
 		return Math.min(...pauses, this.services.limits.timeUntilRoom(limited, requestsAhead, horizon));
--- a/src/replicas/replica.ts
+++ b/src/replicas/replica.ts
@@ -178,12 +178,12 @@
 
 		this.listed = entry;
 		if (entry.isDraining) {
-			this.leave();
+			this.markLeaving();
 		}
 	}
 
 	/** Marks the replica as draining or removed. */
-	leave(): void {
+	markLeaving(): void {
 		this.leavingSince ??= this.missingSince ?? this.clock.monotonic();
 	}
 
@@ -200,11 +200,11 @@
 	/** Marks the replica as replaced by a newer incarnation. */
 	markReplaced(): void {
 		this.hasSuccessor = true;
-		this.leave();
+		this.markLeaving();
 	}
 
 	/** Records that data was received from the replica. */
-	noteHeard(): void {
+	recordData(): void {
 		this.lastActivityAt = this.clock.monotonic();
 		this.lastDataAt = this.lastActivityAt;
 	}
@@ -213,12 +213,12 @@
 	 * @param peer - Name of another box.
 	 * @param work - Load that it causes at this replica.
 	 */
-	notePeerWork(peer: string, work: ReplicaWork): void {
+	setPeerWork(peer: string, work: ReplicaWork): void {
 		this.peers.set(peer, {...work, until: this.clock.monotonic() + peerWorkLifetime});
 	}
 
 	/** @param work - Summed load of all other boxes, as an aggregator reports it. */
-	noteOthersWork(work: ReplicaWork): void {
+	setAggregateWork(work: ReplicaWork): void {
 		this.peers.clear();
 		this.peers.set(allOthers, {...work, until: this.clock.monotonic() + aggregateWorkLifetime});
 	}
@@ -238,7 +238,7 @@
 	}
 
 	/** @param unreadTokens - Prompt tokens that the replica has read. */
-	noteRead(unreadTokens: number): void {
+	recordRead(unreadTokens: number): void {
 		this.own = {...this.own, unreadTokens: Math.max(0, this.own.unreadTokens - unreadTokens)};
 	}
 
@@ -253,22 +253,22 @@
 	 * @param latency - Milliseconds to the first byte.
 	 * @param isError - Whether the replica failed the request.
 	 */
-	noteAnswer(latency: number, isError: boolean): void {
+	recordResponse(latency: number, isError: boolean): void {
 		this.failures = 0;
 		this.wasRefused = false;
-		this.noteHeard();
+		this.recordData();
 		this.errorMean += ((isError ? 1 : 0) - this.errorMean) * meanWeight;
 		this.latencyMean += (latency - this.latencyMean) * (this.latencyMean === 0 ? 1 : meanWeight);
 	}
 
 	/** Records a refused connection. */
-	noteRefusedConnection(): void {
-		this.noteFailure();
+	recordRefusedConnection(): void {
+		this.recordFailure();
 		this.wasRefused = true;
 	}
 
 	/** Records that the replica rejected a request as overloaded, or could not be reached. */
-	noteFailure(): void {
+	recordFailure(): void {
 		this.wasRefused = false;
 		this.failures++;
 		const avoidance = Math.min(maxAvoidance, initialAvoidance * (2 ** (this.failures - 1)));
--- a/src/replicas/service-demand.ts
+++ b/src/replicas/service-demand.ts
@@ -76,7 +76,7 @@
 	}
 
 	/** Current demand. By Little's law, the requests in progress are the arrival rate times the mean duration. */
-	get now(): Demand {
+	get current(): Demand {
 		const {meanTokens, meanSquare, readRate, goal} = this;
 		return {
 			requests: this.arrivals.rate * this.meanDuration / millisecondsPerSecond, reading: this.unread.rate,
@@ -105,7 +105,7 @@
 	 * @param unreadTokens - Prompt tokens that a replica has to read.
 	 * @param goal - Milliseconds within which the response has to begin.
 	 */
-	noteArrival(unreadTokens: number, goal: number): void {
+	recordArrival(unreadTokens: number, goal: number): void {
 		this.arrivals.note(1);
 		this.unread.note(unreadTokens);
 		this.arrivalSamples++;
@@ -116,19 +116,19 @@
 	}
 
 	/** Records a request that was rejected without a replica; it counts as demand nevertheless. */
-	noteTurnedAway(): void {
+	recordRejected(): void {
 		this.arrivals.note(1);
 		this.unread.note(this.meanTokens);
 		this.missed.note(1);
 	}
 
 	/** @param isInTime - Whether the response to a request began within its goal. */
-	noteOutcome(isInTime: boolean): void {
+	recordOutcome(isInTime: boolean): void {
 		(isInTime ? this.met : this.missed).note(1);
 	}
 
 	/** @param duration - Milliseconds that a request spent at a replica without queueing. */
-	noteEnd(duration: number): void {
+	recordDuration(duration: number): void {
 		this.durationSamples++;
 		this.meanDuration += (duration - this.meanDuration) * Math.max(durationWeight, 1 / this.durationSamples);
 	}
@@ -137,7 +137,7 @@
 	 * @param tokens - Prompt tokens that the replica did not have in its cache.
 	 * @param duration - Milliseconds from sending the request to the first event of the response.
 	 */
-	noteRead(tokens: number, duration: number): void {
+	recordRead(tokens: number, duration: number): void {
 		if (tokens < minTokens || duration <= 0) {
 			return;
 		}
@@ -166,8 +166,8 @@
 	private constructor(private readonly clock: Clock) {}
 
 	/** Rounded demand for each service, to be sent to other boxes. */
-	get told(): ReadonlyArray<Demand & {readonly service: string}> {
-		return [...this.demands].map(([service, {now}]) => ({
+	get snapshots(): ReadonlyArray<Demand & {readonly service: string}> {
+		return [...this.demands].map(([service, {current: now}]) => ({
 			service,
 			requests: roundTo(now.requests, 100),
 			reading: Math.round(now.reading),
--- a/src/replicas/test/limit-slots.test.ts
+++ b/src/replicas/test/limit-slots.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {divideLine, ownSlots} from '../limit-slots.js';
+import {divideRing, ownSlots} from '../limit-slots.js';
 
 const seed = 36;
 const runs = 300;
@@ -14,7 +14,7 @@
 	fc.assert(fc.property(limits, fleets, moments, fc.string(), (limit, weights, from, start) => {
 		const until = from + 5000;
 		const all = ownSlots({start, limit, range: {from: 0, length: 1}}, from, until).map(({at}) => at);
-		const owned = [...divideLine(weights).values()].flatMap(range => ownSlots({start, limit, range}, from, until).map(({at}) => at));
+		const owned = [...divideRing(weights).values()].flatMap(range => ownSlots({start, limit, range}, from, until).map(({at}) => at));
 		// Rounding may give a slot at the end of a range to two boxes or to none.
 		assert.ok(Math.abs(owned.length - all.length) <= 1, `${owned.length} of ${all.length}`);
 		assert.ok(new Set(owned).size >= owned.length - 1);
--- a/src/replicas/test/replica-choice.test.ts
+++ b/src/replicas/test/replica-choice.test.ts
@@ -22,14 +22,14 @@
 const maxRequestsAtOneReplica = (isWorkOld: boolean): number => {
 	const replicas = replicasOf(40);
 	for (const replica of replicas.slice(2)) {
-		replica.noteOthersWork({requests: 3, unreadTokens: 5000});
+		replica.setAggregateWork({requests: 3, unreadTokens: 5000});
 	}
 
 	const random = seeded();
 	const counts = new Map<string, number>();
 	for (let box = 0; box < 200; box++) {
 		const choice = LeastWaitChoice.create({
-			dataCentre: 'a', now: () => clock.monotonic(), random, isWorkOld: () => isWorkOld,
+			dataCentre: 'a', now: () => clock.monotonic(), random, isWorkStale: () => isWorkOld,
 		});
 		const {entry} = choice.choose(replicas, {promptTokens: 1000, sharedParts: []});
 		counts.set(entry.id, (counts.get(entry.id) ?? 0) + 1);
@@ -47,7 +47,7 @@
 	const replicas = replicasOf(40);
 	const random = seeded();
 	const chosen = Array.from({length: 20}, () => LeastWaitChoice.create({
-		dataCentre: 'a', now: () => clock.monotonic(), random, isWorkOld: () => true,
+		dataCentre: 'a', now: () => clock.monotonic(), random, isWorkStale: () => true,
 	}).choose(replicas, {promptTokens: 9000, sharedParts: [{id: 'part', tokens: 8000}]}).entry.id);
 	assert.equal(new Set(chosen).size, 1, 'all boxes send the prompt to the same replica without coordination');
 });
--- a/src/replicas/test/replica-directory.test.ts
+++ b/src/replicas/test/replica-directory.test.ts
@@ -23,17 +23,17 @@
 	directory.remove('a', 10);
 	assert.deepEqual(readyIds(directory), ['b']);
 	directory.put(entry('a', {revision: 12}));
-	directory.noteLeaving({id: 'a', revision: 10}, 'peer');
+	directory.markLeaving({id: 'a', revision: 10}, 'peer');
 	assert.deepEqual(readyIds(directory), ['b', 'a']);
-	directory.noteLeaving({id: 'a', revision: 13}, 'peer');
+	directory.markLeaving({id: 'a', revision: 13}, 'peer');
 	assert.deepEqual(readyIds(directory), ['b']);
 });
 
 test('an entry older than a departure reported by a peer does not make the replica ready', () => {
 	const {directory} = directoryOf([]);
-	directory.noteLeaving({id: 'a', revision: 10}, 'peer');
+	directory.markLeaving({id: 'a', revision: 10}, 'peer');
 	directory.put(entry('a', {revision: 9}));
-	assert.equal(directory.named('a')!.isLeaving, true);
+	assert.equal(directory.byId('a')!.isLeaving, true);
 });
 
 test('a draining replica never becomes ready again', () => {
@@ -53,13 +53,13 @@
 
 test('a replica with requests in progress that sends no data counts as silent until it sends some', () => {
 	const {clock, directory} = directoryOf([entry('a')]);
-	const replica = directory.named('a')!;
+	const replica = directory.byId('a')!;
 	clock.now += 5000;
 	assert.equal(replica.isSilent, false, 'a replica without requests is not expected to send data');
 	replica.begin(0);
 	clock.now += 950;
 	assert.equal(replica.isSilent, true);
-	replica.noteHeard();
+	replica.recordData();
 	assert.equal(replica.isSilent, false);
 });
 
@@ -78,22 +78,22 @@
 test('a newer incarnation inherits no state, and an entry of an older one that arrives late changes nothing', () => {
 	const {clock, directory} = directoryOf([entry('a', {bornAt: 100}), entry('b')]);
 	const gone: string[] = [];
-	directory.onDidGo(({start}) => gone.push(start));
-	const before = directory.named('a')!;
+	directory.onDidRemove(({start}) => gone.push(start));
+	const before = directory.byId('a')!;
 	before.begin(500);
-	before.noteAnswer(70, true);
-	before.noteFailure();
-	before.notePeerWork('box-2', {requests: 3, unreadTokens: 10});
+	before.recordResponse(70, true);
+	before.recordFailure();
+	before.setPeerWork('box-2', {requests: 3, unreadTokens: 10});
 	directory.put(entry('a', {bornAt: 100, revision: 6, isDraining: true}));
 	assert.deepEqual(readyIds(directory), ['b']);
 	clock.now += 10;
 	directory.put(entry('a', {bornAt: 900, revision: 8}));
-	const after = directory.named('a')!;
+	const after = directory.byId('a')!;
 	assert.deepEqual(gone, ['a/100']);
 	assert.deepEqual([after.isLeaving, after.isAvoided, after.errorShare, after.latency, after.work], [false, false, 0, 0, {requests: 0, unreadTokens: 0}]);
-	assert.deepEqual([before.isReplaced, directory.mayBeSent(before)], [true, false], 'requests assigned to the old incarnation are not sent');
+	assert.deepEqual([before.isReplaced, directory.maySendTo(before)], [true, false], 'requests assigned to the old incarnation are not sent');
 	directory.put(entry('a', {bornAt: 100, revision: 9, isDraining: true}));
-	directory.noteLeaving({id: 'a', revision: 6}, 'peer');
+	directory.markLeaving({id: 'a', revision: 6}, 'peer');
 	assert.deepEqual(readyIds(directory), ['a', 'b']);
-	assert.ok(directory.settledFor > 0, 'a replica that starts again is not an added one');
+	assert.ok(directory.timeSinceLastAdded > 0, 'a replica that starts again is not an added one');
 });
