--- a/src/replicas/test/replica-limits.test.ts
+++ b/src/replicas/test/replica-limits.test.ts
@@ -5,7 +5,7 @@
 import type {EventName} from '../../base/event-catalogue.js';
 import {Replica} from '../replica.js';
 import {ReplicaLimits} from '../replica-limits.js';
-import {mostStatementsTold} from '../replica-statement.js';
+import {maxStatementsPerMessage} from '../replica-statement.js';
 
 /** Milliseconds of the boxes' common time at which the clock shows zero. */
 const epoch = 1_764_700_000_000;
@@ -26,7 +26,7 @@
 	const listed = new Map(['i-1', 'i-2'].map(id => [id, replicaOf(id)]));
 	const log = new RecordingLog();
 	const limits = ReplicaLimits.create({
-		clock, log, commonTime: () => epoch + clock.now, stretch: () => ({from: 0, length}), listed: start => [...listed.values()].find(replica => replica.start === start),
+		clock, log, commonTime: () => epoch + clock.now, slotRange: () => ({from: 0, length}), listed: start => [...listed.values()].find(replica => replica.start === start),
 	});
 	return {
 		limits, log, replica: listed.get('i-1')!, other: listed.get('i-2')!, replicaOf,
@@ -36,13 +36,13 @@
 test('a response without a limit ends the limit, unless its request was sent before the limit was received', () => {
 	const clock = new MovedClock(1000);
 	const {limits, log, replica} = boxAt(clock);
-	limits.noteAnswer(replica, limit, 900);
-	limits.noteAnswer(replica, undefined, 950);
+	limits.recordResponse(replica, limit, 900);
+	limits.recordResponse(replica, undefined, 950);
 	assert.equal(limits.limitOf(replica), limit, 'the response may have been produced before the limit');
 	clock.now = 2000;
-	limits.noteAnswer(replica, undefined, 1500);
+	limits.recordResponse(replica, undefined, 1500);
 	assert.equal(limits.limitOf(replica), undefined);
-	limits.noteAnswer(replica, undefined, 1600);
+	limits.recordResponse(replica, undefined, 1600);
 	assert.deepEqual(log.names, ['replicaLimited', 'replicaLimitEnded']);
 });
 
@@ -63,7 +63,7 @@
 test('a box sends limits from responses, an aggregator also those that boxes sent, and no box those of a digest', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, replica, other} = boxAt(clock);
-	limits.noteAnswer(replica, limit, 9000);
+	limits.recordResponse(replica, limit, 9000);
 	limits.merge([{start: other.start, limit: 3, age: 40}], 'box');
 	limits.merge([{start: 'i-9/7', limit: 4, age: 40}], 'digest');
 	clock.now += 5000;
@@ -75,9 +75,9 @@
 test('the end of a limit is sent for a limited time', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, replica} = boxAt(clock);
-	limits.noteAnswer(replica, limit, 9000);
+	limits.recordResponse(replica, limit, 9000);
 	clock.now = 11_000;
-	limits.noteAnswer(replica, undefined, 10_500);
+	limits.recordResponse(replica, undefined, 10_500);
 	assert.deepEqual(limits.updates(true, ['answer'], 10), [{start: replica.start, limit: undefined, age: 500}]);
 	clock.now = 30_000;
 	assert.equal(limits.updates(true, ['answer'], 10), undefined);
@@ -88,28 +88,28 @@
 	const {limits, replicaOf} = boxAt(clock);
 	const replicas = Array.from({length: 40}, (_, index) => replicaOf(`i-${index}`));
 	for (const replica of replicas) {
-		limits.noteAnswer(replica, limit, 9000);
+		limits.recordResponse(replica, limit, 9000);
 	}
 
-	const messages = Array.from({length: 4}, () => limits.updates(true, ['answer'], mostStatementsTold.large)!);
-	assert.ok(messages.every(({length}) => length === mostStatementsTold.large));
+	const messages = Array.from({length: 4}, () => limits.updates(true, ['answer'], maxStatementsPerMessage.large)!);
+	assert.ok(messages.every(({length}) => length === maxStatementsPerMessage.large));
 	assert.equal(new Set(messages.flat().map(({start}) => start)).size, 40);
 });
 
 test('an unreadable limit changes nothing and is logged at most once a second; a limit that changes with each response is logged as rarely', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, log, replica} = boxAt(clock);
-	limits.noteAnswer(replica, limit, 9000);
+	limits.recordResponse(replica, limit, 9000);
 	for (let index = 0; index < 20; index++) {
 		clock.now += 100;
-		limits.noteAnswer(replica, 'unreadable', clock.now);
+		limits.recordResponse(replica, 'unreadable', clock.now);
 	}
 
 	assert.equal(limits.limitOf(replica), limit);
 	assert.equal(log.names.filter(name => name === 'replicaLimitUnreadable').length, 2);
 	for (let index = 0; index < 40; index++) {
 		clock.now += 50;
-		limits.noteAnswer(replica, index, clock.now);
+		limits.recordResponse(replica, index, clock.now);
 	}
 
 	assert.ok(log.names.filter(name => name === 'replicaLimited').length <= 4);
@@ -118,7 +118,7 @@
 test('another incarnation of a replica has no limit', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, replica, replicaOf} = boxAt(clock);
-	limits.noteAnswer(replica, limit, 9000);
+	limits.recordResponse(replica, limit, 9000);
 	assert.equal(limits.limitOf(replicaOf('i-1', 8)), undefined);
 	assert.deepEqual(limits.limited, [replica]);
 	limits.forget(replica);
@@ -130,23 +130,23 @@
 	const clock = new MovedClock(10_000);
 	const {limits, replica} = boxAt(clock);
 	assert.ok(limits.hasRoom(replica));
-	assert.equal(limits.take(replica), undefined);
+	assert.equal(limits.acquireSlot(replica), undefined);
 	assert.ok(limits.maySend(replica, undefined));
-	limits.noteAnswer(replica, limit, 9000);
+	limits.recordResponse(replica, limit, 9000);
 	assert.ok(!limits.hasRoom(replica), 'slots from before the limit was received give no credit');
 	assert.ok(!limits.maySend(replica, undefined), 'a request that was assigned before the limit was received is not sent either');
 	const acquired = Array.from({length: 200}, () => {
 		clock.now += 50;
-		return limits.take(replica);
+		return limits.acquireSlot(replica);
 	}).filter(slot => slot !== undefined);
 	assert.equal(acquired.length, 20);
 	assert.equal(new Set(acquired.map(({at}) => at)).size, 20);
 	const last = acquired.at(-1)!;
 	assert.ok(limits.maySend(replica, last));
 	clock.now += 400;
-	limits.take(replica);
+	limits.acquireSlot(replica);
 	clock.now = last.at - epoch + 1600;
-	while (limits.take(replica)) {
+	while (limits.acquireSlot(replica)) {
 		// Uses up all open slots.
 	}
 
@@ -156,20 +156,20 @@
 test('a limited replica that has not responded for long gets the next request', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, replica} = boxAt(clock);
-	limits.noteAnswer(replica, 0, 9000);
+	limits.recordResponse(replica, 0, 9000);
 	const dueAfter = Array.from({length: 30}, () => {
 		clock.now += 1000;
-		return limits.isDue(replica);
+		return limits.isProbeDue(replica);
 	}).indexOf(true);
 	assert.ok(dueAfter >= 4 && dueAfter <= 15, `due after ${dueAfter + 1} s`);
-	limits.noteAnswer(replica, undefined, clock.now);
-	assert.ok(!limits.isDue(replica));
+	limits.recordResponse(replica, undefined, clock.now);
+	assert.ok(!limits.isProbeDue(replica));
 });
 
 test('the time until there is room accounts for requests that are queued ahead', () => {
 	const clock = new MovedClock(10_000);
 	const {limits, replica} = boxAt(clock);
-	limits.noteAnswer(replica, limit, 9000);
+	limits.recordResponse(replica, limit, 9000);
 	const waits = [0, 1, 2].map(requestsAhead => limits.timeUntilRoom([replica], requestsAhead, 5000));
 	assert.ok(waits[0]! <= 500 && waits[0]! >= 0);
 	assert.deepEqual(waits.slice(1).map((wait, index) => Math.round(wait - waits[index]!)), [500, 500]);
--- a/src/replicas/test/replica-statements.test.ts
+++ b/src/replicas/test/replica-statements.test.ts
@@ -4,11 +4,11 @@
 import {SilentEventLog} from '../../base/event-log.js';
 import {ReplicaDirectory} from '../replica-directory.js';
 import {ReplicaLimits} from '../replica-limits.js';
-import {mostStatementsTold, noStatement, type StatementSource} from '../replica-statement.js';
+import {maxStatementsPerMessage, emptyStatement, type StatementSource} from '../replica-statement.js';
 import {ReplicaStatements} from '../replica-statements.js';
 import type {ReplicaEntry} from '../replica.js';
 
-const leaving = {...noStatement, isLeaving: true};
+const leaving = {...emptyStatement, isLeaving: true};
 const entry = (id: string, changes: Partial<ReplicaEntry> = {}): ReplicaEntry => ({
 	id, bornAt: 7, software: '', revision: 1, service: 's', host: '127.0.0.1', port: 1, dataCentre: 'a', slots: 8, isDraining: false, isReclaimable: false, leavesIn: undefined, ...changes,
 });
@@ -18,7 +18,7 @@
 	const replicas = ReplicaDirectory.create(clock, log);
 	replicas.replaceAll(ids.map(id => entry(id)), 5);
 	const limits = ReplicaLimits.create({
-		clock, log, commonTime: () => clock.now, stretch: () => ({from: 0, length: 1}), listed: start => replicas.ofStart(start),
+		clock, log, commonTime: () => clock.now, slotRange: () => ({from: 0, length: 1}), listed: start => replicas.byStart(start),
 	});
 	const statements = ReplicaStatements.create({
 		clock, log, limits, replicas,
@@ -27,15 +27,15 @@
 }
 
 const updatesOf = ({statements}: ReturnType<typeof boxAt>, sources: readonly StatementSource[] = ['answer', 'box'], isWhole = true) =>
-	statements.told(isWhole, sources, mostStatementsTold.small) ?? [];
+	statements.updates(isWhole, sources, maxStatementsPerMessage.small) ?? [];
 
 test('a replica that announced that it is leaving gets no requests while its entry is ready, expires or is written again, until it starts again', () => {
 	const clock = new MovedClock(10_000);
 	const {replicas, statements, ready} = boxAt(clock);
-	statements.noteAnswer(replicas.named('i-1')!, leaving, 9900);
+	statements.recordResponse(replicas.byId('i-1')!, leaving, 9900);
 	assert.deepEqual(ready(), ['i-2']);
 	// The request of this response was sent before the announcement, which therefore stays.
-	statements.noteAnswer(replicas.named('i-1')!, noStatement, 9000);
+	statements.recordResponse(replicas.byId('i-1')!, emptyStatement, 9000);
 	replicas.put(entry('i-1', {revision: 6}));
 	assert.deepEqual(ready(), ['i-2']);
 	replicas.remove('i-1', 8);
@@ -48,11 +48,11 @@
 test('a box learns from other boxes that a replica is leaving, even before the replica is listed, and does not forward statements of a digest', () => {
 	const clock = new MovedClock(10_000);
 	const [first, second, third] = [boxAt(clock), boxAt(clock, ['i-2']), boxAt(clock)];
-	first.statements.noteAnswer(first.replicas.named('i-1')!, leaving, 9900);
-	second.statements.takeTold('first', updatesOf(first), 'box');
+	first.statements.recordResponse(first.replicas.byId('i-1')!, leaving, 9900);
+	second.statements.merge('first', updatesOf(first), 'box');
 	second.replicas.put(entry('i-1'));
 	assert.deepEqual(second.ready(), ['i-2']);
-	third.statements.takeTold('second', updatesOf(second), 'digest');
+	third.statements.merge('second', updatesOf(second), 'digest');
 	assert.deepEqual(third.ready(), ['i-2']);
 	assert.deepEqual([updatesOf(second), updatesOf(second, ['answer']), updatesOf(third)].map(({length}) => length), [1, 0, 0]);
 });
@@ -60,7 +60,7 @@
 test('in a large fleet an announcement is sent at once, then with full states as long as the replica is listed', () => {
 	const clock = new MovedClock(10_000);
 	const box = boxAt(clock);
-	box.statements.noteAnswer(box.replicas.named('i-1')!, leaving, 9900);
+	box.statements.recordResponse(box.replicas.byId('i-1')!, leaving, 9900);
 	assert.equal(updatesOf(box, ['answer'], false).length, 1);
 	clock.now += 60_000;
 	assert.equal(updatesOf(box, ['answer'], false).length, 0);
@@ -76,25 +76,25 @@
 	const ids = Array.from({length: 30}, (_, index) => `i-${index}`);
 	const {replicas, statements} = boxAt(clock, ids);
 	for (const replica of replicas.all) {
-		statements.noteAnswer(replica, leaving, 9900);
+		statements.recordResponse(replica, leaving, 9900);
 	}
 
-	const messages = Array.from({length: 3}, () => statements.told(true, ['answer'], mostStatementsTold.large)!);
-	assert.ok(messages.every(({length}) => length === mostStatementsTold.large));
+	const messages = Array.from({length: 3}, () => statements.updates(true, ['answer'], maxStatementsPerMessage.large)!);
+	assert.ok(messages.every(({length}) => length === maxStatementsPerMessage.large));
 	assert.equal(new Set(messages.flat().map(({start}) => start)).size, ids.length);
 });
 
 test('a pause ends only by time: a later response may extend it, but neither shortens nor ends it', () => {
 	const clock = new MovedClock(10_000);
 	const {replicas, statements} = boxAt(clock);
-	const replica = replicas.named('i-1')!;
-	statements.noteAnswer(replica, {...noStatement, pause: 3000}, 9990);
+	const replica = replicas.byId('i-1')!;
+	statements.recordResponse(replica, {...emptyStatement, pause: 3000}, 9990);
 	clock.now += 1000;
-	statements.noteAnswer(replica, noStatement, 10_500);
-	statements.noteAnswer(replica, {...noStatement, pause: 500}, 10_500);
-	statements.noteAnswer(replica, {...noStatement, pause: 'unreadable'}, 10_500);
-	assert.deepEqual([statements.pauseLeft(replica), statements.hasRoom(replica)], [2000, false]);
-	statements.noteAnswer(replica, {...noStatement, pause: 3000}, 10_500);
+	statements.recordResponse(replica, emptyStatement, 10_500);
+	statements.recordResponse(replica, {...emptyStatement, pause: 500}, 10_500);
+	statements.recordResponse(replica, {...emptyStatement, pause: 'unreadable'}, 10_500);
+	assert.deepEqual([statements.remainingPause(replica), statements.hasRoom(replica)], [2000, false]);
+	statements.recordResponse(replica, {...emptyStatement, pause: 3000}, 10_500);
 	clock.now += 2999;
 	assert.equal(statements.hasRoom(replica), false);
 	clock.now++;
@@ -104,32 +104,32 @@
 test('a pause binds only the box that was asked for it; other boxes know it with its age', () => {
 	const clock = new MovedClock(10_000);
 	const [first, second, third] = [boxAt(clock), boxAt(clock), boxAt(clock)];
-	first.statements.noteAnswer(first.replicas.named('i-1')!, {...noStatement, pause: 3000}, 9990);
+	first.statements.recordResponse(first.replicas.byId('i-1')!, {...emptyStatement, pause: 3000}, 9990);
 	clock.now += 500;
 	const updates = updatesOf(first);
 	clock.now += 200;
-	second.statements.takeTold('first', updates, 'box');
-	const replica = second.replicas.named('i-1')!;
-	assert.deepEqual([second.statements.hasRoom(replica), second.statements.boxesPaused(replica)], [true, 1]);
-	third.statements.takeTold('second', updatesOf(second), 'digest');
-	assert.equal(third.statements.boxesPaused(third.replicas.named('i-1')!), 0, 'pauses of other boxes are not forwarded');
+	second.statements.merge('first', updates, 'box');
+	const replica = second.replicas.byId('i-1')!;
+	assert.deepEqual([second.statements.hasRoom(replica), second.statements.pausedBoxCount(replica)], [true, 1]);
+	third.statements.merge('second', updatesOf(second), 'digest');
+	assert.equal(third.statements.pausedBoxCount(third.replicas.byId('i-1')!), 0, 'pauses of other boxes are not forwarded');
 	clock.now += 2800;
-	assert.equal(second.statements.boxesPaused(replica), 0);
+	assert.equal(second.statements.pausedBoxCount(replica), 0);
 	assert.deepEqual(updatesOf(first), []);
 });
 
 test('a newer incarnation of a replica has no pause', () => {
 	const clock = new MovedClock(10_000);
 	const {replicas, statements} = boxAt(clock);
-	statements.noteAnswer(replicas.named('i-1')!, {...noStatement, pause: 60_000}, 9990);
+	statements.recordResponse(replicas.byId('i-1')!, {...emptyStatement, pause: 60_000}, 9990);
 	replicas.put(entry('i-1', {revision: 9, bornAt: 8}));
-	assert.equal(statements.hasRoom(replicas.named('i-1')!), true);
+	assert.equal(statements.hasRoom(replicas.byId('i-1')!), true);
 });
 
 test('among paused replicas, there is room when the first pause ends', () => {
 	const clock = new MovedClock(10_000);
 	const {replicas, statements} = boxAt(clock);
-	statements.noteAnswer(replicas.named('i-1')!, {...noStatement, pause: 3000}, 9990);
-	statements.noteAnswer(replicas.named('i-2')!, {...noStatement, pause: 1500}, 9990);
-	assert.equal(statements.untilRoom(replicas.all, 4, 100), 1500);
+	statements.recordResponse(replicas.byId('i-1')!, {...emptyStatement, pause: 3000}, 9990);
+	statements.recordResponse(replicas.byId('i-2')!, {...emptyStatement, pause: 1500}, 9990);
+	assert.equal(statements.timeUntilRoom(replicas.all, 4, 100), 1500);
 });
--- a/src/replicas/test/service-demand.test.ts
+++ b/src/replicas/test/service-demand.test.ts
@@ -9,11 +9,11 @@
 	const demand = ServiceDemands.create(clock).of('s');
 	for (let step = 0; step < 2000; step++) {
 		clock.now += 20;
-		demand.noteArrival(300, 250);
-		demand.noteEnd(400);
+		demand.recordArrival(300, 250);
+		demand.recordDuration(400);
 	}
 
-	const {requests, reading} = demand.now;
+	const {requests, reading} = demand.current;
 	assert.ok(Math.abs(requests - 20) < 1, String(requests));
 	assert.ok(Math.abs(reading - 15_000) < 500, String(reading));
 });
@@ -21,28 +21,28 @@
 test('the read rate is that of requests that hardly queued, and is zero until there are enough samples', () => {
 	const demand = ServiceDemands.create(new MovedClock()).of('s');
 	for (let index = 0; index < 10; index++) {
-		demand.noteRead(5000, 50);
+		demand.recordRead(5000, 50);
 	}
 
 	assert.equal(demand.readRate, 0);
 	for (let index = 0; index < 400; index++) {
 		// One request in ten gets a replica without other work.
-		demand.noteRead(5000, index % 10 === 0 ? 50 : 150);
+		demand.recordRead(5000, index % 10 === 0 ? 50 : 150);
 	}
 
 	assert.ok(demand.readRate > 60_000 && demand.readRate < 130_000, String(demand.readRate));
 	const before = demand.readRate;
-	demand.noteRead(100, 1);
+	demand.recordRead(100, 1);
 	assert.equal(demand.readRate, before, 'a short prompt is no sample');
 });
 
 test('the residual read time of a busy replica grows with the share of long prompts', () => {
 	const demand = ServiceDemands.create(new MovedClock()).of('s');
-	const residualReading = () => pooledDemand([demand.now]).residualReading;
+	const residualReading = () => pooledDemand([demand.current]).residualReading;
 	assert.equal(residualReading(), 0);
 	for (let index = 0; index < 3000; index++) {
-		demand.noteArrival(index % 10 === 0 ? 10_000 : 1000, index % 2 === 0 ? 200 : 400);
-		demand.noteRead(2000, 20);
+		demand.recordArrival(index % 10 === 0 ? 10_000 : 1000, index % 2 === 0 ? 200 : 400);
+		demand.recordRead(2000, 20);
 	}
 
 	// Mean square of 10.9 million divided by twice the mean of 1,900 tokens, at 100 tokens a millisecond plus the effect of the quantile.
@@ -58,13 +58,13 @@
 			clock.now += 20;
 			const demand = demands[index % boxes]!;
 			const tokens = index % 7 === 0 ? 10_000 : 2000;
-			demand.noteArrival(tokens, 500);
-			demand.noteRead(tokens, tokens / (index % 5 === 0 ? 60 : 30));
-			demand.noteEnd(300);
-			demand.noteOutcome(index % 4 !== 0);
+			demand.recordArrival(tokens, 500);
+			demand.recordRead(tokens, tokens / (index % 5 === 0 ? 60 : 30));
+			demand.recordDuration(300);
+			demand.recordOutcome(index % 4 !== 0);
 		}
 
-		return pooledDemand(demands.map(({now}) => now));
+		return pooledDemand(demands.map(({current: now}) => now));
 	};
 
 	const one = run(1);
@@ -81,18 +81,18 @@
 	const demand = ServiceDemands.create(clock).of('s');
 	for (let index = 0; index < 1000; index++) {
 		clock.now += 20;
-		demand.noteArrival(1000, 500);
-		demand.noteOutcome(true);
+		demand.recordArrival(1000, 500);
+		demand.recordOutcome(true);
 	}
 
-	const before = demand.now;
+	const before = demand.current;
 	for (let index = 0; index < 1000; index++) {
 		clock.now += 20;
-		demand.noteTurnedAway();
+		demand.recordRejected();
 	}
 
-	assert.ok(Math.abs(demand.now.reading - before.reading) < before.reading * 0.05);
-	assert.ok(pooledDemand([demand.now]).missedPart > 0.95);
+	assert.ok(Math.abs(demand.current.reading - before.reading) < before.reading * 0.05);
+	assert.ok(pooledDemand([demand.current]).missedPart > 0.95);
 	assert.equal(pooledDemand([before]).missedPart, 0);
 	assert.equal(pooledDemand([]).missedPart, 0);
 });
--- a/src/routing/prefix-belief.ts
+++ b/src/routing/prefix-cache-estimate.ts
@@ -62,7 +62,7 @@
 	 *
 	 * @param prompt - The prompt.
 	 */
-	note(prompt: Prompt): void {
+	recordSent(prompt: Prompt): void {
 		for (const block of prompt.blocks) {
 			this.blocks.delete(block);
 			this.blocks.set(block, true);
--- a/src/routing/routing-policy.ts
+++ b/src/routing/routing-policy.ts
@@ -2,7 +2,7 @@
  * Decides which upstream gets a request.
  */
 import {rankOwners} from '../base/rendezvous.js';
-import type {Prompt} from './prefix-belief.js';
+import type {Prompt} from './prefix-cache-estimate.js';
 import type {UpstreamState} from './upstream-state.js';
 
 /** The properties of a request that routing depends on. */
@@ -81,7 +81,7 @@
 function costOf(upstream: UpstreamState, {prompt, latencyWeight}: RoutedRequest): number {
 	const expectedWait = (upstream.queued * upstream.meanServiceTime / Math.max(1, upstream.outstanding))
 		+ (upstream.outstanding * 2) + upstream.meanFirstTokenTime;
-	const recomputed = (prompt.tokens - upstream.prefixes.cachedTokens(prompt)) * millisecondsPerPromptToken;
+	const recomputed = (prompt.tokens - upstream.prefixCache.cachedTokens(prompt)) * millisecondsPerPromptToken;
 	const price = upstream.box.price * millisecondsPerPriceUnit;
 	return (expectedWait * latencyWeight) + recomputed + price;
 }
--- a/src/routing/upstream-state.ts
+++ b/src/routing/upstream-state.ts
@@ -4,7 +4,7 @@
 import type {Clock} from '../base/clock.js';
 import type {Box} from '../external/box-list.js';
 import type {LoadReport} from '../upstream/load-report.js';
-import {PrefixCacheEstimate} from './prefix-belief.js';
+import {PrefixCacheEstimate} from './prefix-cache-estimate.js';
 
 /** Milliseconds for which an upstream is avoided after its first failure; doubled with each consecutive failure. */
 const initialAvoidance = 500;
@@ -27,7 +27,7 @@
 		return new UpstreamState(box, clock);
 	}
 
-	readonly prefixes = PrefixCacheEstimate.create();
+	readonly prefixCache = PrefixCacheEstimate.create();
 	private report: LoadReport = {running: 0, queued: 0, isLeaving: false};
 	private dispatchedSinceReport = 0;
 	private ownInFlight = 0;
@@ -73,7 +73,7 @@
 	}
 
 	/** Applies a report. Because reports are delayed, half of the dispatches since the last one are assumed to be missing from it. */
-	takeReport(report: LoadReport): void {
+	applyReport(report: LoadReport): void {
 		this.report = report;
 		this.dispatchedSinceReport = Math.floor(this.dispatchedSinceReport / 2);
 	}
@@ -95,7 +95,7 @@
 	 *
 	 * @param milliseconds - Time since the request was sent.
 	 */
-	noteFirstToken(milliseconds: number): void {
+	recordFirstToken(milliseconds: number): void {
 		this.firstTokenTime = (this.firstTokenTime * (1 - meanWeight)) + (milliseconds * meanWeight);
 		this.consecutiveFailures = 0;
 	}
@@ -105,7 +105,7 @@
 	 *
 	 * @param milliseconds - Duration of the request.
 	 */
-	noteSuccess(milliseconds: number): void {
+	recordSuccess(milliseconds: number): void {
 		this.serviceTime = (this.serviceTime * (1 - meanWeight)) + (milliseconds * meanWeight);
 		this.consecutiveFailures = 0;
 	}
@@ -115,7 +115,7 @@
 	 *
 	 * @returns Whether this is the first of consecutive failures, from which the upstream is avoided.
 	 */
-	noteFailure(): boolean {
+	recordFailure(): boolean {
 		this.consecutiveFailures++;
 		const pause = Math.min(maxAvoidance, initialAvoidance * (2 ** (this.consecutiveFailures - 1)));
 		this.avoidedUntil = this.clock.monotonic() + (pause * (0.75 + (Math.random() / 2)));
