--- a/src/dispatch/chat-attempt.ts
+++ b/src/dispatch/chat-attempt.ts
@@ -1,5 +1,5 @@
 /**
- * One try of a chat request at one engine.
+ * One attempt to run a chat request on one engine.
  */
 import * as Data from 'effect/Data';
 import * as Effect from 'effect/Effect';
@@ -10,44 +10,44 @@
 import type {DispatchServices} from './dispatch-services.js';
 import type {EngineLink} from './upstream-links.js';
 
-/** Milliseconds between two looks at the progress of an answer. */
+/** Milliseconds between two checks of the progress of an answer. */
 const checkInterval = 1000;
-/** Milliseconds without a token after which the engine counts as gone. */
+/** Milliseconds without a token after which the engine is considered unavailable and the attempt fails. */
 const longestStall = 5000;
-/** Milliseconds to the first token after which the engine counts as gone. */
+/** Milliseconds without the first token after which the engine is considered unavailable and the attempt fails. */
 const longestFirstToken = 15_000;
-/** Milliseconds a token takes before one was measured: what the planned size allows. */
+/** Milliseconds per token that are assumed until two tokens have arrived: the rate that the capacity plan allows. */
 const assumedTokenTime = 54;
-/** Milliseconds of a notice that are kept for moving. */
+/** Milliseconds before an engine leaves that are reserved for moving the stream to another engine. */
 const moveMargin = 1500;
 
-/** How a try ended. */
+/** The outcome of an attempt. */
 export type AttemptOutcome = Data.TaggedEnum<{
 	readonly Finished: Readonly<Record<never, never>>;
-	/** The engine is leaving before the answer could be whole. */
+	/** The engine leaves before it can complete the answer. */
 	readonly Leaving: Readonly<Record<never, never>>;
 	readonly Failed: {readonly failure: UpstreamFailure};
 	readonly DeadlinePassed: Readonly<Record<never, never>>;
 }>;
 export const AttemptOutcome = Data.taggedEnum<AttemptOutcome>();
 
-/** What a try needs to know of its request. */
+/** The request of an attempt and its limits. */
 export type AttemptPlan = {
 	readonly request: EngineRequest;
-	/** Tokens of the whole answer at most. */
+	/** Maximum number of tokens of the whole answer. */
 	readonly maximumTokens: number;
 	/** Monotonic milliseconds. */
 	readonly deadlineAt: number;
 };
 
-/** One try. */
+/** Sends a request to one engine and appends the answer to a record. */
 export class ChatAttempt {
 	/**
-	 * @param services - What it works with.
+	 * @param services - The services of this box.
 	 * @param link - The engine.
-	 * @param record - Takes the answer.
-	 * @param plan - The request.
-	 * @returns The try; run it to begin.
+	 * @param record - Receives the answer.
+	 * @param plan - The request and its limits.
+	 * @returns The attempt; `run` starts it.
 	 */
 	static create(services: DispatchServices, link: EngineLink, record: RequestRecord, plan: AttemptPlan): ChatAttempt {
 		return new ChatAttempt(services, link, record, plan);
@@ -70,7 +70,7 @@
 		this.lastTokenAt = this.startedAt;
 	}
 
-	/** @returns How it ended. Interruption cancels the request at the engine. */
+	/** @returns The outcome. Interruption cancels the request at the engine. */
 	run(): Effect.Effect<AttemptOutcome> {
 		const {state} = this.link;
 		return Effect.suspend(() => {
@@ -128,11 +128,11 @@
 		this.record.usageEvent = event;
 	}
 
-	/** Ends the try when the engine is leaving too soon, stands still, or the deadline passes. */
+	/** Receives the answer; ends the attempt when the engine leaves too soon or sends no tokens, or when the deadline passes. */
 	private receiveWatched(): Effect.Effect<AttemptOutcome> {
 		const {directory, clock} = this.services;
 		return Effect.callback<AttemptOutcome>(resume => {
-			// One task for the answer; looking after it takes timers alone.
+			// Only the answer needs a fiber; timers and a listener do the checks.
 			const receiving = Effect.runFork(this.receive());
 			const check = () => {
 				const outcome = this.endedBy();
@@ -190,7 +190,7 @@
 		return undefined;
 	}
 
-	/** An answer that will be whole before the engine goes is left alone. */
+	/** @returns Whether the stream has to move: the engine would leave before it has completed the answer, with a margin for the move. */
 	private mustMove(now: number): boolean {
 		const leaving = this.services.directory.leavingOf(this.link.state.box.id);
 		if (leaving?.endsAt === undefined) {
@@ -201,6 +201,7 @@
 		return now + (tokensLeft * this.tokenTime(now)) + moveMargin > leaving.endsAt;
 	}
 
+	/** @returns Milliseconds per token: the average of this attempt, or an assumed value before two tokens. */
 	private tokenTime(now: number): number {
 		const received = this.record.position - this.plan.request.offset;
 		return this.firstTokenAt === undefined || received < 2 ? assumedTokenTime : (now - this.firstTokenAt) / (received - 1);
--- a/src/dispatch/chat-run.ts
+++ b/src/dispatch/chat-run.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a chat request to its end, over as many engines as it takes.
+ * Runs a chat request until its answer is complete, with as many attempts at engines as needed and allowed.
  */
 import * as Effect from 'effect/Effect';
 import {AttemptId} from '../base/identifiers.js';
@@ -16,45 +16,46 @@
 import type {DispatchServices} from './dispatch-services.js';
 import type {EngineLink} from './upstream-links.js';
 
-/** Milliseconds between two looks for an engine, when a stream in progress finds none. */
+/** Milliseconds between two searches for an engine when a stream in progress finds none. */
 const engineWait = 100;
 
-/** Why a stream goes on at another engine. */
+/** Why a stream continues on another engine. */
 type MoveCause = 'leaving' | 'failure' | 'caller-resumed' | 'box-left';
 
-/** What is to run, and under which limits. */
+/** The request to run and its limits. */
 export type ChatPlan = {
 	readonly row: Row;
 	readonly service: Service;
 	readonly prompt: Prompt;
-	/** Tokens of the answer at most. */
+	/** Maximum number of tokens of the answer. */
 	readonly maximumTokens: number;
 	/** Monotonic milliseconds. */
 	readonly deadlineAt: number;
-	/** `new`: admitted and claimed first. Otherwise it was already, and goes on. */
+	/** `new`: the request has to be admitted and claimed first. The other values continue a request that already was. */
 	readonly origin: 'new' | 'caller-resumed' | 'box-left';
 };
 
-/** One chat request on its way. */
+/** Runs one chat request. */
 export class ChatRun {
 	/**
-	 * @param services - What it works with.
-	 * @param record - Takes the answer.
-	 * @param plan - What is to run.
-	 * @returns The run; run it to begin.
+	 * @param services - The services of this box.
+	 * @param record - Receives the answer.
+	 * @param plan - The request and its limits.
+	 * @returns The run; `run` starts it.
 	 */
 	static create(services: DispatchServices, record: RequestRecord, plan: ChatPlan): ChatRun {
 		return new ChatRun(services, record, plan);
 	}
 
 	private tries = 0;
-	/** Tries in a row that were cut without bringing anything, and where the last one began. */
+	/** Consecutive attempts that were cut before any token arrived. */
 	private fruitlessCuts = 0;
+	/** Position of the record when the last attempt started. */
 	private triedFrom = 0;
-	/** Whether a try may have run the request. */
+	/** Whether an engine may have run the request in an earlier attempt. */
 	private mayHaveRun = false;
 	private moveCause: MoveCause | undefined;
-	/** The engine that computed what the caller has. */
+	/** The engine of the last attempt, which holds the KV cache of the request. */
 	private source: EngineLink | undefined;
 
 	private constructor(
@@ -65,7 +66,7 @@
 		this.moveCause = plan.origin === 'new' ? undefined : plan.origin;
 	}
 
-	/** @returns Ends when the record has ended; interruption cancels the request at the engine. */
+	/** @returns Completes when the record has ended; interruption cancels the request at the engine. */
 	run(): Effect.Effect<void> {
 		const {records} = this.services;
 		return this.admitted().pipe(
@@ -112,7 +113,7 @@
 			.pipe(Effect.catchTag('KeptAnswerFound', () => Effect.fail(ran)));
 	}
 
-	/** One try after another, until the answer is whole or nothing more may be tried. */
+	/** Makes one attempt after another until the answer is complete or no further attempt is allowed. */
 	private serve(): Effect.Effect<void, Refusal> {
 		return Effect.gen({self: this}, function * () {
 			for (;;) {
@@ -156,7 +157,7 @@
 		return candidates.find(link => link.state === state)!;
 	}
 
-	/** Moves the KV cache to the next engine if the last one can still give it. */
+	/** Copies the KV cache of the request from the previous engine if the stream moves because that engine is leaving. */
 	private bringCache(link: EngineLink): Effect.Effect<void> {
 		const {source} = this;
 		if (!source || source === link || this.moveCause !== 'leaving') {
@@ -164,7 +165,7 @@
 		}
 
 		const {host, port} = source.state.box;
-		// Without the cache the tokens are computed again; that costs, but loses nothing.
+		// A failed import is ignored: the engine then recomputes the tokens.
 		return Effect.ignore(link.engine.importCache({requestId: this.record.origin.requestId, host, port}));
 	}
 
@@ -191,7 +192,7 @@
 		})));
 	}
 
-	/** Notes how a try ended, and ends the run where nothing more may be tried. */
+	/** Records the outcome of an attempt; fails where no further attempt is allowed. */
 	private prepareNext(link: EngineLink, outcome: Exclude<AttemptOutcome, {readonly _tag: 'Finished'}>): Effect.Effect<void, Refusal> {
 		this.source = link;
 		switch (outcome._tag) {
--- a/src/dispatch/claimed-run.ts
+++ b/src/dispatch/claimed-run.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a not repeatable request under its claim: claimed before it is sent, settled after.
+ * Runs a request that is not repeatable under a claim: the claim is recorded before the request is sent, and settled afterwards.
  */
 import * as Data from 'effect/Data';
 import * as Effect from 'effect/Effect';
@@ -8,24 +8,27 @@
 	ClaimEnd, type ClaimEntry, type ClaimLedger, type ClaimRequest, type KeptAnswer,
 } from '../claims/claim.js';
 
-/** Milliseconds a refusal waits for the release of its claim, so that asking again at once finds it free. */
+/** Maximum milliseconds that a refusal waits for the release of its claim, so that an immediate retry by the caller finds the key free. */
 const releaseWait = 1000;
+/** Retries of a failed release. */
 const releaseTries = 20;
+/** Milliseconds between two attempts to release a claim. */
 const releasePause = 500;
 
-/** The request ran before, and its answer was kept. */
+/** The request already ran, and its answer was stored with the claim. */
 export class KeptAnswerFound extends Data.TaggedError('KeptAnswerFound')<{
 	readonly answer: KeptAnswer;
 }> {}
 
 /**
- * Runs a request once.
+ * Runs a request at most once.
  *
- * @param ledger - Where claims are recorded.
- * @param claim - The claim to take.
- * @param run - Sends the request; its refusal says whether it may have run.
- * @param answerOf - The answer to keep for whoever asks again; `undefined` where it is too large.
- * @returns What `run` returns; refused where another attempt holds the claim.
+ * @param ledger - Records the claims.
+ * @param claim - The claim to record.
+ * @param run - Sends the request; its refusal says whether the request may have run.
+ * @param answerOf - Converts the answer to the form stored with the claim; `undefined` where none is stored.
+ * @returns The answer of `run`. Fails with `KeptAnswerFound` if an earlier attempt ran and its answer was stored, or with a refusal if the claim
+ * is held otherwise or cannot be recorded.
  */
 export function runClaimed<Answer>(
 	ledger: ClaimLedger,
@@ -57,7 +60,8 @@
 	answerOf: (answer: Answer) => KeptAnswer | undefined,
 ): Effect.Effect<Answer, Refusal> {
 	return run.pipe(
-		// The caller does not wait: a claim that stays `claimed` is safe, it only tells less.
+		// The caller does not wait for the write. If it fails, the claim stays `claimed`: the request still cannot run twice, but a retry learns only
+		// that it may have run.
 		Effect.tap(answer => Effect.sync(() => {
 			Effect.runFork(Effect.ignore(ledger.settle(claim, ClaimEnd.Ran({answer: answerOf(answer)}))));
 		})),
@@ -75,7 +79,7 @@
 	);
 }
 
-/** Gives the claim back, trying for a while: until then whoever asks again is told that it may have run. */
+/** Releases the claim, with retries. Until it is released, a retry by the caller is refused as one that may have run. */
 function release(ledger: ClaimLedger, claim: ClaimRequest): Effect.Effect<void> {
 	const once = ledger.settle(claim, ClaimEnd.Released());
 	const again = (left: number): Effect.Effect<void> => once.pipe(Effect.catch(() => left === 0
--- a/src/dispatch/dispatch-outcome.ts
+++ b/src/dispatch/dispatch-outcome.ts
@@ -1,5 +1,5 @@
 /**
- * What all runs decide the same way: whether a request may begin, and what follows a failed attempt.
+ * Decisions that all runs share: whether a request may start, and whether to retry after a failed attempt.
  */
 import * as Effect from 'effect/Effect';
 import type {PoolName} from '../base/identifiers.js';
@@ -10,16 +10,18 @@
 import type {UpstreamFailure, UpstreamFailureReason} from '../upstream/upstream-failure.js';
 import type {DispatchServices} from './dispatch-services.js';
 
-/** Tries of one request at most, whatever else would allow more. */
+/** Maximum number of attempts of one request, whatever the retry budget allows. */
 const mostTries = 10;
 /**
- * Tries in a row that were cut without bringing anything, at most: a request that ends whatever runs it would else end ten upstreams a
- * call, since the same request is the next one's too.
+ * Maximum number of consecutive attempts that were cut before any of the answer arrived. A request that crashes every upstream that runs it
+ * would otherwise crash one with each of its ten attempts.
  */
 const mostFruitlessCuts = 3;
+/** Milliseconds; doubled with each attempt. */
 const firstBackoff = 20;
+/** Milliseconds. */
 const longestBackoff = 1000;
-/** Milliseconds a caller is asked to stay away at most. */
+/** Maximum of `Retry-After`, in milliseconds. */
 const longestAbsence = 60_000;
 
 const refusalReasonOf = {
@@ -33,12 +35,12 @@
 } as const satisfies Record<UpstreamFailureReason, RefusalReason>;
 
 /**
- * Lets a request pass the ceiling of its row.
+ * Charges a request to the ceiling of its table row.
  *
- * @param services - Where the ceilings are.
- * @param row - The row that governs the request.
- * @param cost - Units.
- * @returns Ends when it may pass; refused at once when it may not.
+ * @param services - The services of this box.
+ * @param row - The table row of the request.
+ * @param cost - Cost of the request in units.
+ * @returns Completes if the request is within the ceiling; otherwise fails at once, without waiting.
  */
 export function passCeiling(services: DispatchServices, row: Row, cost: number): Effect.Effect<void, Refusal> {
 	return Effect.suspend(() => {
@@ -54,34 +56,35 @@
 }
 
 /**
- * @param tries - Tries made.
- * @returns Milliseconds to wait before the next, jittered.
+ * @param tries - Number of attempts made.
+ * @returns Milliseconds to wait before the next attempt, with jitter.
  */
 export function backoff(tries: number): number {
 	return Math.min(longestBackoff, firstBackoff * (2 ** tries)) * Math.random();
 }
 
-/** What is known when an attempt failed. */
+/** A failed attempt and the state of its request. */
 export type FailedAttempt = {
 	readonly failure: UpstreamFailure;
 	readonly upstream: UpstreamState;
 	readonly pool: PoolName;
 	readonly isRepeatable: boolean;
-	/** Whether its caller has part of the answer already. */
+	/** Whether the caller already has part of the answer. */
 	readonly hasBegun: boolean;
-	/** Whether an earlier try may have run it: what the last one met does not change that. */
+	/** Whether an earlier attempt may have run the request; the outcome of the last attempt does not change that. */
 	readonly mayHaveRun: boolean;
+	/** Number of attempts made, including this one. */
 	readonly tries: number;
-	/** Tries in a row, this one too, that were cut without bringing anything. */
+	/** Consecutive attempts, including this one, that were cut before any of the answer arrived. */
 	readonly fruitlessCuts: number;
 };
 
 /**
- * Notes a failed attempt and decides whether to try again.
+ * Records a failed attempt and decides whether to retry.
  *
- * @param services - Where it is noted.
- * @param attempt - What is known.
- * @returns `undefined` to try again; otherwise the refusal for the caller.
+ * @param services - The services of this box.
+ * @param attempt - The failed attempt and the state of its request.
+ * @returns `undefined` to retry; otherwise the refusal for the caller.
  */
 export function judgeFailure(services: DispatchServices, attempt: FailedAttempt): Refusal | undefined {
 	noteFailure(services, attempt);
@@ -95,15 +98,15 @@
 	services.metrics.retriesDenied.inc({because});
 	const verdict = attempt.hasBegun || attempt.mayHaveRun ? 'may-have-run' : failure.verdict;
 	const reason = refusalReasonOf[failure.reason];
-	// The status of a reason that promises that nothing ran must not be sent with another verdict.
+	// Some reasons, and their HTTP statuses, guarantee that the request did not run: they must not be sent with another verdict.
 	const isPromise = refusalReasons[reason].verdict === 'not-run';
 	return Refusal.create(isPromise && verdict !== 'not-run' ? 'upstream-cut' : reason, `The upstream failed: ${failure.detail}.`, {verdict});
 }
 
 /**
- * @param pool - Where no upstream can take a request.
- * @param mayHaveRun - Whether an earlier try may have run it.
- * @returns The refusal for its caller.
+ * @param pool - The pool, which has no upstream that can take the request.
+ * @param mayHaveRun - Whether an earlier attempt may have run the request.
+ * @returns The refusal for the caller.
  */
 export function refuseWithoutUpstream(pool: PoolName, mayHaveRun: boolean): Refusal {
 	return mayHaveRun
@@ -124,7 +127,7 @@
 	}
 }
 
-/** What forbids another try; `undefined` where nothing does. */
+/** @returns Why a retry is not allowed, as the label of the metric; `undefined` where it is allowed. */
 function denialOf({gates}: DispatchServices, {failure, isRepeatable, hasBegun, tries, fruitlessCuts, pool}: FailedAttempt) {
 	if (failure.verdict === 'may-have-run' && !isRepeatable) {
 		return 'not-repeatable';
@@ -142,7 +145,8 @@
 		return 'cuts';
 	}
 
-	// An upstream that is leaving has done nothing, and a stream that has begun was paid for when it was admitted.
+	// The retry budget is not charged if the upstream was leaving, since it did no work, or if the stream has begun, since its whole cost was
+	// charged on admission.
 	if (failure.reason === 'leaving' || hasBegun) {
 		return undefined;
 	}
--- a/src/dispatch/dispatch-services.ts
+++ b/src/dispatch/dispatch-services.ts
@@ -1,5 +1,5 @@
 /**
- * What running a request needs, got through constructors.
+ * The services that running a request depends on.
  */
 import type {Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
@@ -13,7 +13,7 @@
 import type {RunRegistry} from './run-registry.js';
 import type {UpstreamLinks} from './upstream-links.js';
 
-/** The services of one box that run requests. */
+/** The services of this box. */
 export type DispatchServices = {
 	readonly clock: Clock;
 	readonly log: EventLog;
--- a/src/dispatch/pool-gates.ts
+++ b/src/dispatch/pool-gates.ts
@@ -1,5 +1,5 @@
 /**
- * A gate and a retry budget for each pool.
+ * The admission gate and the retry budget of each pool.
  */
 import * as Effect from 'effect/Effect';
 import type {Clock} from '../base/clock.js';
@@ -9,15 +9,16 @@
 import {RetryBudget} from '../retries/retry-budget.js';
 import type {UpstreamLinks} from './upstream-links.js';
 
+/** Milliseconds between two ticks of the gates. */
 const tickInterval = 250;
 
-/** Holds the gates and the budgets of this box. */
+/** Holds the admission gate and the retry budget of each pool on this box; creates them on first use. */
 export class PoolGates {
 	/**
-	 * @param links - To ask how full a pool is.
-	 * @param clock - For waiting times.
-	 * @param metrics - Where waiting requests are shown.
-	 * @returns Gates; run them to begin.
+	 * @param links - Report the load of a pool.
+	 * @param clock - Measures waiting times.
+	 * @param metrics - Receive the number of waiting requests.
+	 * @returns The gates; `run` starts their ticks.
 	 */
 	static create(links: UpstreamLinks, clock: Clock, metrics: Metrics): PoolGates {
 		return new PoolGates(links, clock, metrics);
@@ -43,7 +44,7 @@
 	}
 
 	/**
-	 * @param pool - Which pool.
+	 * @param pool - Name of the pool.
 	 * @returns Its gate.
 	 */
 	gate(pool: PoolName): PoolGate {
@@ -58,7 +59,7 @@
 	}
 
 	/**
-	 * @param pool - Which pool.
+	 * @param pool - Name of the pool.
 	 * @returns Its retry budget.
 	 */
 	budget(pool: PoolName): RetryBudget {
--- a/src/dispatch/run-registry.ts
+++ b/src/dispatch/run-registry.ts
@@ -1,15 +1,15 @@
 /**
- * The runs of this box: what is in progress, so that a stop can wait for it.
+ * The requests in progress on this box, so that a shutdown can wait for them.
  */
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
 import type {Metrics} from '../base/metrics.js';
 import type {RequestRecord} from '../records/request-record.js';
 
-/** Holds the runs. */
+/** Starts, stops and counts runs. */
 export class RunRegistry {
 	/**
-	 * @param metrics - Where runs in progress are shown.
+	 * @param metrics - Receive the number of requests in progress.
 	 * @returns A registry without runs.
 	 */
 	static create(metrics: Metrics): RunRegistry {
@@ -28,10 +28,10 @@
 	}
 
 	/**
-	 * Starts the run of a record; it outlives the connection it came by.
+	 * Starts the run of a record. The run does not end with the connection of the caller.
 	 *
-	 * @param record - What runs.
-	 * @param run - Ends with the record.
+	 * @param record - The record of the request.
+	 * @param run - Completes when the record has ended.
 	 */
 	start(record: RequestRecord, run: Effect.Effect<void>): void {
 		const fiber = Effect.runFork(this.track(run));
@@ -44,10 +44,10 @@
 	}
 
 	/**
-	 * Stops a run: its record is paused at once, and its request is cancelled at the upstream.
+	 * Stops a run: pauses its record immediately and cancels its request at the upstream.
 	 *
-	 * @param record - What runs.
-	 * @returns Ends when it has stopped.
+	 * @param record - The record of the request.
+	 * @returns Completes when the run has stopped.
 	 */
 	stop(record: RequestRecord): Effect.Effect<void> {
 		return Effect.suspend(() => {
@@ -58,7 +58,7 @@
 	}
 
 	/**
-	 * Counts a run that somebody else waits for.
+	 * Counts a run as in progress; the caller of this method executes it.
 	 *
 	 * @param run - The run.
 	 * @returns The same run, counted.
@@ -72,7 +72,7 @@
 		})));
 	}
 
-	/** @returns Ends when nothing is in progress. */
+	/** @returns Completes when no run is in progress. */
 	whenIdle(): Effect.Effect<void> {
 		return Effect.callback<void>(resume => {
 			if (this.count === 0) {
--- a/src/dispatch/service-run.ts
+++ b/src/dispatch/service-run.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a call of a plain service to its end.
+ * Runs a call to a plain service, with retries.
  */
 import {Buffer} from 'node:buffer';
 import * as Effect from 'effect/Effect';
@@ -18,7 +18,7 @@
 } from './dispatch-outcome.js';
 import type {ServiceLink} from './upstream-links.js';
 
-/** Bytes of an answer that are kept with its claim. */
+/** Maximum size in bytes of an answer that is stored with its claim. */
 const largestKeptAnswer = 1024;
 
 /** A call to run. */
@@ -36,7 +36,7 @@
 	readonly deadlineAt: number;
 };
 
-/** An answer, and whether it was kept from an earlier run. */
+/** An answer, and whether it is the stored answer of an earlier run. */
 export type ServiceAnswer = PlainAnswer & {readonly isReplayed: boolean};
 
 const keep = (answer: PlainAnswer): KeptAnswer | undefined => answer.body.length > largestKeptAnswer
@@ -47,20 +47,21 @@
 	status: answer.status, contentType: answer.contentType, body: Buffer.from(answer.body, 'base64'), isReplayed: true,
 });
 
-/** One call on its way. */
+/** Runs one call. */
 export class ServiceRun {
 	/**
-	 * @param services - What it works with.
+	 * @param services - The services of this box.
 	 * @param plan - The call.
-	 * @returns The run; run it to begin.
+	 * @returns The run; `run` starts it.
 	 */
 	static create(services: DispatchServices, plan: ServicePlan): ServiceRun {
 		return new ServiceRun(services, plan);
 	}
 
 	private tries = 0;
+	/** Consecutive attempts that were cut. */
 	private fruitlessCuts = 0;
-	/** Whether a try may have run the call. */
+	/** Whether an upstream may have run the call in an earlier attempt. */
 	private mayHaveRun = false;
 
 	private constructor(private readonly services: DispatchServices, private readonly plan: ServicePlan) {}
@@ -140,7 +141,7 @@
 		})));
 	}
 
-	/** @returns Nothing, to try again. */
+	/** @returns `undefined` to retry, after a backoff. */
 	private afterFailure(link: ServiceLink, failure: UpstreamFailure): Effect.Effect<undefined, Refusal> {
 		this.fruitlessCuts = failure.reason === 'cut' ? this.fruitlessCuts + 1 : 0;
 		const refusal = judgeFailure(this.services, {
--- a/src/dispatch/test/dispatch-outcome.test.ts
+++ b/src/dispatch/test/dispatch-outcome.test.ts
@@ -1,6 +1,7 @@
 /*
- * Whatever ended an upstream was tried at the next one, up to ten times a call: the class of fault by which one request ended all
- * replicas of a service at the relays. Three tries in a row that were cut without bringing anything are enough.
+ * Guards against a request that crashes upstreams one after another: each attempt was cut, and the request was retried at the next upstream, up
+ * to ten times. The same class of fault let one request crash all replicas of a service behind the relays. The limit is three consecutive
+ * attempts that were cut before any of the answer arrived.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -11,7 +12,7 @@
 import type {DispatchServices} from '../dispatch-services.js';
 
 const counter = {inc: () => undefined};
-/** Nothing else forbids a try. */
+/** The retry budget always allows a retry. */
 const services = {
 	metrics: {retries: counter, retriesDenied: counter, leavingDispatches: counter},
 	gates: {budget: () => ({withdraw: () => true})},
@@ -24,13 +25,13 @@
 	upstream, pool: 'pool' as PoolName, isRepeatable: true, hasBegun: false, mayHaveRun: false, tries: 1, fruitlessCuts: 1, ...changes,
 });
 
-test('a request that was cut three times in a row without bringing anything is not tried at a fourth upstream', () => {
+test('a request is not retried after three consecutive attempts that were cut before any of the answer arrived', () => {
 	assert.equal(judgeFailure(services, attempt({tries: 2, fruitlessCuts: 2})), undefined);
 	const refusal = judgeFailure(services, attempt({tries: 3, fruitlessCuts: 3}));
 	assert.deepEqual([refusal?.reason, refusal?.verdict], ['upstream-cut', 'may-have-run']);
-	assert.ok(judgeFailure(services, attempt({tries: 3, fruitlessCuts: 3, hasBegun: true})), 'also one whose answer had begun before');
+	assert.ok(judgeFailure(services, attempt({tries: 3, fruitlessCuts: 3, hasBegun: true})), 'also if part of the answer arrived in an earlier attempt');
 });
 
-test('a stream that goes on at each upstream is moved as often as it must', () => {
+test('the limit of consecutive cuts does not apply to a stream that progresses at each upstream', () => {
 	assert.equal(judgeFailure(services, attempt({tries: 9, fruitlessCuts: 0, hasBegun: true})), undefined);
 });
--- a/src/dispatch/upstream-connector.ts
+++ b/src/dispatch/upstream-connector.ts
@@ -1,5 +1,5 @@
 /**
- * Opens the way to an upstream; tests put fakes in its place.
+ * Creates clients for upstreams; tests replace it by fakes.
  */
 import {HttpClient} from '../base/http-client.js';
 import type {Box} from '../external/box-list.js';
@@ -8,22 +8,22 @@
 import type {ModelEngine} from '../upstream/model-engine.js';
 import type {PlainService} from '../upstream/plain-service.js';
 
-/** Opens the way to an upstream. */
+/** Creates clients for upstreams. */
 export abstract class UpstreamConnector {
 	/**
 	 * @param box - A box with the role `model-engine`.
-	 * @returns The engine there; close it when done.
+	 * @returns A client of the engine on that box; the caller has to close it.
 	 */
 	abstract engine(box: Box): ModelEngine;
 
 	/**
 	 * @param box - A box with the role `plain-service`.
-	 * @returns The service there; close it when done.
+	 * @returns A client of the service on that box; the caller has to close it.
 	 */
 	abstract service(box: Box): PlainService;
 }
 
-/** Reaches upstreams over HTTP. */
+/** Creates HTTP clients. */
 export class HttpUpstreamConnector extends UpstreamConnector {
 	/** @returns The connector. */
 	static create(): HttpUpstreamConnector {
--- a/src/dispatch/upstream-links.ts
+++ b/src/dispatch/upstream-links.ts
@@ -1,5 +1,5 @@
 /**
- * The links of this box to upstreams: one task for each upstream of the box list.
+ * The links of this box to upstreams: a client for each linked upstream, and a fiber that polls its load.
  */
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
@@ -17,7 +17,7 @@
 import type {UpstreamFailure} from '../upstream/upstream-failure.js';
 import type {UpstreamConnector} from './upstream-connector.js';
 
-/** Milliseconds between two load reports. */
+/** Milliseconds between a load report and the next request for one. */
 const reportInterval = 500;
 
 /** A link to a model engine. */
@@ -32,19 +32,19 @@
 	readonly service: PlainService;
 };
 
-/** Either, as far as its task is concerned. */
+/** The common part of a model engine and a plain service. */
 type Upstream = {
 	readonly load: () => Effect.Effect<LoadReport, UpstreamFailure>;
 	readonly close: () => void;
 };
 
-/** A link and the task that serves it. */
+/** The client of an upstream and the fiber that polls its load. */
 type Task = {
 	readonly upstream: Upstream;
 	readonly fiber: Fiber.Fiber<unknown>;
 };
 
-/** What the links need. */
+/** The services that the links depend on. */
 export type UpstreamLinksServices = {
 	/** This box. */
 	readonly self: BoxId;
@@ -54,11 +54,11 @@
 	readonly log: EventLog;
 };
 
-/** Holds a link to each upstream. */
+/** Holds links to the upstreams of each pool: to all of a small pool, to a subset of a large one. */
 export class UpstreamLinks {
 	/**
-	 * @param services - What the links need.
-	 * @returns No links yet; run them to begin.
+	 * @param services - The services that the links depend on.
+	 * @returns An empty collection; `run` opens the links.
 	 */
 	static create(services: UpstreamLinksServices): UpstreamLinks {
 		return new UpstreamLinks(services);
@@ -70,7 +70,7 @@
 
 	private constructor(private readonly services: UpstreamLinksServices) {}
 
-	/** @returns Keeps a task for each upstream of the box list until interrupted; then closes all. */
+	/** @returns Opens and closes links as the box list changes, until interrupted; then closes all. */
 	run(): Effect.Effect<void> {
 		const {directory} = this.services;
 		const follow = Effect.callback<never>(() => {
@@ -79,7 +79,7 @@
 				directory.onDidChange(() => {
 					this.reconcile();
 				}),
-				// Where an upstream of a part is leaving, another takes its place at once.
+				// An upstream of a subset that is leaving is replaced at once.
 				directory.onDidLeave(() => {
 					this.reconcile();
 				}),
@@ -96,17 +96,17 @@
 	}
 
 	/**
-	 * @param pool - Which pool.
-	 * @returns Links to its engines that may get new work now.
+	 * @param pool - Name of the pool.
+	 * @returns Links to its engines that can take new requests.
 	 */
 	engines(pool: PoolName): readonly EngineLink[] {
 		return this.usable(pool, this.engineLinks);
 	}
 
 	/**
-	 * @param pool - Which pool.
-	 * @returns Links to its plain services that may get new work now. Where all of them failed lately they are
-	 * all given again: a call that is tried may work, one that is refused cannot.
+	 * @param pool - Name of the pool.
+	 * @returns Links to its plain services that can take new requests. If recent failures exclude all of them, all are
+	 * returned: an attempt may succeed, a refusal cannot.
 	 */
 	plainServices(pool: PoolName): readonly ServiceLink[] {
 		const usable = this.usable(pool, this.serviceLinks);
@@ -114,15 +114,15 @@
 	}
 
 	/**
-	 * @param pool - Which pool.
-	 * @returns How full it is, as far as can be told.
+	 * @param pool - Name of the pool.
+	 * @returns Its load, estimated from the last load reports.
 	 */
 	load(pool: PoolName): PoolLoad {
 		const states = [...this.engines(pool), ...this.plainServices(pool)].map(({state}) => state);
 		const queued = states.map(({queued}) => queued);
 		return {
 			upstreams: states.length,
-			// The least loaded one tells whether there is room.
+			// The pool has room if its least loaded upstream has.
 			queued: queued.length === 0 ? 0 : Math.min(...queued),
 		};
 	}
@@ -147,7 +147,7 @@
 		}
 	}
 
-	/** Of a large pool, a part; of a small one, all. */
+	/** @returns The upstreams to link: all of a small pool, a subset of a large one. */
 	private wanted(listed: ReadonlyMap<BoxId, Box>): ReadonlySet<BoxId> {
 		const {directory, self} = this.services;
 		const pools = new Set([...listed.values()].flatMap(({pool}) => pool === undefined ? [] : [pool]));
@@ -157,7 +157,7 @@
 		return new Set(subsets.flatMap(subset => [...subset]));
 	}
 
-	/** A link that is no longer wanted stays while the upstream is leaving or has requests of this box. */
+	/** A link outside the subset stays open while the upstream is leaving or has requests of this box. */
 	private isDropped(id: BoxId, wanted: ReadonlySet<BoxId>): boolean {
 		const link = this.engineLinks.get(id) ?? this.serviceLinks.get(id);
 		return !wanted.has(id) && !this.services.directory.isLeaving(id) && link?.state.inFlight === 0;
@@ -195,7 +195,7 @@
 		};
 	}
 
-	/** A report that fails says nothing about requests: those find out themselves. */
+	/** Polls the load once. A failure is ignored: requests detect an unreachable upstream themselves. */
 	private report(box: Box, state: UpstreamState, upstream: Upstream): Effect.Effect<void> {
 		return upstream.load().pipe(
 			Effect.map(report => {
