--- a/src/dispatch/chat-attempt.ts
+++ b/src/dispatch/chat-attempt.ts
@@ -13,9 +13,9 @@
 /** Milliseconds between two checks of the progress of an answer. */
 const checkInterval = 1000;
 /** Milliseconds without a token after which the engine is considered unavailable and the attempt fails. */
-const longestStall = 5000;
+const maxStall = 5000;
 /** Milliseconds without the first token after which the engine is considered unavailable and the attempt fails. */
-const longestFirstToken = 15_000;
+const maxFirstTokenDelay = 15_000;
 /** Milliseconds per token that are assumed until two tokens have arrived: the rate that the capacity plan allows. */
 const assumedTokenTime = 54;
 /** Milliseconds before an engine leaves that are reserved for moving the stream to another engine. */
@@ -75,7 +75,7 @@
 		const {state} = this.link;
 		return Effect.suspend(() => {
 			state.begin();
-			return this.receiveWatched();
+			return this.receiveWithChecks();
 		}).pipe(Effect.ensuring(Effect.sync(() => {
 			state.end();
 			this.record.onDidDrain(() => undefined);
@@ -84,9 +84,9 @@
 
 	private receive(): Effect.Effect<AttemptOutcome> {
 		return this.link.engine.start(this.plan.request, {
-			onTokens: events => this.takeTokens(events),
+			onTokens: events => this.receiveTokens(events),
 			onUsage: (usage, event) => {
-				this.takeUsage(usage, event);
+				this.recordUsage(usage, event);
 			},
 		}).pipe(
 			Effect.flatMap(stream => {
@@ -105,7 +105,7 @@
 		);
 	}
 
-	private takeTokens(events: readonly string[]): boolean {
+	private receiveTokens(events: readonly string[]): boolean {
 		if (this.record.epoch !== this.epoch) {
 			return false;
 		}
@@ -122,20 +122,20 @@
 		return !this.isPaused;
 	}
 
-	private takeUsage(usage: EngineUsage, event: string): void {
+	private recordUsage(usage: EngineUsage, event: string): void {
 		const {offset} = this.plan.request;
 		this.record.usage = {...usage, recomputedTokens: offset === 0 ? 0 : Math.max(0, usage.promptTokens + offset - usage.cachedTokens)};
 		this.record.usageEvent = event;
 	}
 
 	/** Receives the answer; ends the attempt when the engine leaves too soon or sends no tokens, or when the deadline passes. */
-	private receiveWatched(): Effect.Effect<AttemptOutcome> {
+	private receiveWithChecks(): Effect.Effect<AttemptOutcome> {
 		const {directory, clock} = this.services;
 		return Effect.callback<AttemptOutcome>(resume => {
 			// Only the answer needs a fiber; timers and a listener do the checks.
 			const receiving = Effect.runFork(this.receive());
 			const check = () => {
-				const outcome = this.endedBy();
+				const outcome = this.earlyOutcome();
 				if (outcome) {
 					end(Effect.succeed(outcome));
 				}
@@ -143,7 +143,7 @@
 
 			const deadline = setTimeout(check, Math.max(0, this.plan.deadlineAt - clock.monotonic()) + 1);
 			const interval = setInterval(check, checkInterval);
-			const stopListening = directory.onDidLeave(({box}) => {
+			const unsubscribe = directory.onDidLeave(({box}) => {
 				if (box === this.link.state.box.id) {
 					check();
 				}
@@ -151,7 +151,7 @@
 			const stop = () => {
 				clearTimeout(deadline);
 				clearInterval(interval);
-				stopListening();
+				unsubscribe();
 			};
 
 			const end = (outcome: Effect.Effect<AttemptOutcome>) => {
@@ -170,7 +170,7 @@
 		});
 	}
 
-	private endedBy(): AttemptOutcome | undefined {
+	private earlyOutcome(): AttemptOutcome | undefined {
 		const now = this.services.clock.monotonic();
 		if (now >= this.plan.deadlineAt) {
 			return AttemptOutcome.DeadlinePassed();
@@ -180,10 +180,10 @@
 			return AttemptOutcome.Leaving();
 		}
 
-		const longest = this.firstTokenAt === undefined ? longestFirstToken : longestStall;
-		if (!this.isPaused && now - this.lastTokenAt > longest) {
+		const maxDelay = this.firstTokenAt === undefined ? maxFirstTokenDelay : maxStall;
+		if (!this.isPaused && now - this.lastTokenAt > maxDelay) {
 			return AttemptOutcome.Failed({
-				failure: new UpstreamFailure({reason: 'timeout', verdict: 'may-have-run', detail: `no token for ${longest} ms`}),
+				failure: new UpstreamFailure({reason: 'timeout', verdict: 'may-have-run', detail: `no token for ${maxDelay} ms`}),
 			});
 		}
 
--- a/src/dispatch/chat-run.ts
+++ b/src/dispatch/chat-run.ts
@@ -11,13 +11,13 @@
 import {ChatAttempt, type AttemptOutcome} from './chat-attempt.js';
 import {runClaimed} from './claimed-run.js';
 import {
-	backoff, judgeFailure, passCeiling, refuseWithoutUpstream,
+	backoff, evaluateFailure, passCeiling, refuseWithoutUpstream,
 } from './dispatch-outcome.js';
 import type {DispatchServices} from './dispatch-services.js';
 import type {EngineLink} from './upstream-links.js';
 
 /** Milliseconds between two searches for an engine when a stream in progress finds none. */
-const engineWait = 100;
+const engineSearchInterval = 100;
 
 /** Why a stream continues on another engine. */
 type MoveCause = 'leaving' | 'failure' | 'caller-resumed' | 'box-left';
@@ -47,11 +47,11 @@
 		return new ChatRun(services, record, plan);
 	}
 
-	private tries = 0;
+	private attempts = 0;
 	/** Consecutive attempts that were cut before any token arrived. */
-	private fruitlessCuts = 0;
+	private cutsWithoutProgress = 0;
 	/** Position of the record when the last attempt started. */
-	private triedFrom = 0;
+	private attemptStart = 0;
 	/** Whether an engine may have run the request in an earlier attempt. */
 	private mayHaveRun = false;
 	private moveCause: MoveCause | undefined;
@@ -69,9 +69,9 @@
 	/** @returns Completes when the record has ended; interruption cancels the request at the engine. */
 	run(): Effect.Effect<void> {
 		const {records} = this.services;
-		return this.admitted().pipe(
+		return this.serveAdmitted().pipe(
 			Effect.map(() => {
-				this.noteFinished();
+				this.finishRecord();
 			}),
 			Effect.catchTag('Refusal', refusal => Effect.sync(() => {
 				this.record.refuse(refusal);
@@ -86,20 +86,20 @@
 		);
 	}
 
-	private admitted(): Effect.Effect<void, Refusal> {
+	private serveAdmitted(): Effect.Effect<void, Refusal> {
 		const {row, service} = this.plan;
 		if (this.plan.origin !== 'new') {
 			return this.serve();
 		}
 
 		const cost = this.plan.prompt.tokens + this.plan.maximumTokens;
-		const passed = this.services.gates.gate(service.pool).pass(row, cost, this.claimed()).pipe(Effect.ensuring(Effect.sync(() => {
+		const passed = this.services.gates.gate(service.pool).pass(row, cost, this.serveWithClaim()).pipe(Effect.ensuring(Effect.sync(() => {
 			this.services.ceilings.giveBack(rowName(row), this.plan.maximumTokens - this.record.position);
 		})));
 		return passCeiling(this.services, row, cost).pipe(Effect.andThen(passed));
 	}
 
-	private claimed(): Effect.Effect<void, Refusal> {
+	private serveWithClaim(): Effect.Effect<void, Refusal> {
 		const {account, key, fingerprint, requestId} = this.record.origin;
 		if (this.plan.row.repeatable) {
 			return this.serve();
@@ -108,9 +108,9 @@
 		const claim = {
 			account, key, fingerprint, attempt: AttemptId(requestId),
 		};
-		const ran = Refusal.create('claim-held', 'This request has run.', {verdict: 'ran'});
+		const alreadyRan = Refusal.create('claim-held', 'This request has run.', {verdict: 'ran'});
 		return runClaimed(this.services.ledger, claim, this.serve(), () => undefined)
-			.pipe(Effect.catchTag('KeptAnswerFound', () => Effect.fail(ran)));
+			.pipe(Effect.catchTag('KeptAnswerFound', () => Effect.fail(alreadyRan)));
 	}
 
 	/** Makes one attempt after another until the answer is complete or no further attempt is allowed. */
@@ -118,15 +118,15 @@
 		return Effect.gen({self: this}, function * () {
 			for (;;) {
 				const link = yield * this.chooseEngine();
-				yield * this.bringCache(link);
-				this.tries++;
-				this.triedFrom = this.record.position;
+				yield * this.importCache(link);
+				this.attempts++;
+				this.attemptStart = this.record.position;
 				const outcome = yield * this.attempt(link);
 				if (outcome._tag === 'Finished') {
 					return;
 				}
 
-				yield * this.prepareNext(link, outcome);
+				yield * this.afterAttempt(link, outcome);
 			}
 		});
 	}
@@ -146,7 +146,7 @@
 				}
 
 				yield * this.checkDeadline();
-				yield * Effect.sleep(engineWait);
+				yield * Effect.sleep(engineSearchInterval);
 			}
 		});
 	}
@@ -158,7 +158,7 @@
 	}
 
 	/** Copies the KV cache of the request from the previous engine if the stream moves because that engine is leaving. */
-	private bringCache(link: EngineLink): Effect.Effect<void> {
+	private importCache(link: EngineLink): Effect.Effect<void> {
 		const {source} = this;
 		if (!source || source === link || this.moveCause !== 'leaving') {
 			return Effect.void;
@@ -171,7 +171,7 @@
 
 	private attempt(link: EngineLink): Effect.Effect<AttemptOutcome> {
 		const {record, plan} = this;
-		const believed = link.state.prefixes.cachedTokens(plan.prompt);
+		const expectedCachedTokens = link.state.prefixes.cachedTokens(plan.prompt);
 		link.state.prefixes.note(plan.prompt);
 		const offset = record.position;
 		const attempt = ChatAttempt.create(this.services, link, record, {
@@ -187,13 +187,13 @@
 		});
 		return attempt.run().pipe(Effect.tap(outcome => Effect.sync(() => {
 			if (outcome._tag === 'Finished' && offset === 0 && record.usage) {
-				link.state.prefixes.correct(believed, record.usage.cachedTokens);
+				link.state.prefixes.correct(expectedCachedTokens, record.usage.cachedTokens);
 			}
 		})));
 	}
 
 	/** Records the outcome of an attempt; fails where no further attempt is allowed. */
-	private prepareNext(link: EngineLink, outcome: Exclude<AttemptOutcome, {readonly _tag: 'Finished'}>): Effect.Effect<void, Refusal> {
+	private afterAttempt(link: EngineLink, outcome: Exclude<AttemptOutcome, {readonly _tag: 'Finished'}>): Effect.Effect<void, Refusal> {
 		this.source = link;
 		switch (outcome._tag) {
 			case 'DeadlinePassed': {
@@ -201,7 +201,7 @@
 			}
 
 			case 'Leaving': {
-				this.noteMove('leaving', link);
+				this.recordMove('leaving', link);
 				return Effect.void;
 			}
 
@@ -213,15 +213,15 @@
 
 	private afterFailure(link: EngineLink, failure: UpstreamFailure): Effect.Effect<void, Refusal> {
 		const isCut = failure.reason === 'cut' || failure.reason === 'garbled';
-		this.fruitlessCuts = isCut && this.record.position === this.triedFrom ? this.fruitlessCuts + 1 : 0;
-		const refusal = judgeFailure(this.services, {
+		this.cutsWithoutProgress = isCut && this.record.position === this.attemptStart ? this.cutsWithoutProgress + 1 : 0;
+		const refusal = evaluateFailure(this.services, {
 			failure,
 			upstream: link.state,
 			isRepeatable: this.plan.row.repeatable,
 			hasBegun: this.record.position > 0,
 			mayHaveRun: this.mayHaveRun,
-			tries: this.tries,
-			fruitlessCuts: this.fruitlessCuts,
+			attempts: this.attempts,
+			cutsWithoutProgress: this.cutsWithoutProgress,
 			pool: this.plan.service.pool,
 		});
 		this.mayHaveRun ||= failure.verdict !== 'not-run';
@@ -230,13 +230,13 @@
 		}
 
 		if (this.record.position > 0) {
-			this.noteMove('failure', link);
+			this.recordMove('failure', link);
 		}
 
-		return this.checkDeadline().pipe(Effect.andThen(failure.reason === 'leaving' ? Effect.void : Effect.sleep(backoff(this.tries))));
+		return this.checkDeadline().pipe(Effect.andThen(failure.reason === 'leaving' ? Effect.void : Effect.sleep(backoff(this.attempts))));
 	}
 
-	private noteMove(cause: MoveCause, link: EngineLink): void {
+	private recordMove(cause: MoveCause, link: EngineLink): void {
 		this.moveCause = cause;
 		if (this.record.position > 0) {
 			this.services.metrics.moves.inc({cause});
@@ -250,7 +250,7 @@
 			: Effect.fail(Refusal.create('deadline-passed', 'The answer was not whole at the deadline. It is given up.'));
 	}
 
-	private noteFinished(): void {
+	private finishRecord(): void {
 		const {metrics, gates} = this.services;
 		gates.budget(this.plan.service.pool).deposit();
 		const {usage} = this.record;
--- a/src/dispatch/claimed-run.ts
+++ b/src/dispatch/claimed-run.ts
@@ -9,11 +9,11 @@
 } from '../claims/claim.js';
 
 /** Maximum milliseconds that a refusal waits for the release of its claim, so that an immediate retry by the caller finds the key free. */
-const releaseWait = 1000;
+const maxReleaseWait = 1000;
 /** Retries of a failed release. */
-const releaseTries = 20;
+const releaseRetries = 20;
 /** Milliseconds between two attempts to release a claim. */
-const releasePause = 500;
+const releaseRetryDelay = 500;
 
 /** The request already ran, and its answer was stored with the claim. */
 export class KeptAnswerFound extends Data.TaggedError('KeptAnswerFound')<{
@@ -48,12 +48,12 @@
 			`The request is marked as not repeatable, and its claim could not be recorded: ${error.detail}. It was not run.`,
 		))))),
 		Effect.flatMap((outcome): Effect.Effect<Answer, Refusal | KeptAnswerFound> => outcome._tag === 'Held'
-			? Effect.fail(refusalOf(claim, outcome.entry))
-			: settleAfter(ledger, claim, run, answerOf)),
+			? Effect.fail(outcomeOfExistingClaim(claim, outcome.entry))
+			: runAndSettle(ledger, claim, run, answerOf)),
 	);
 }
 
-function settleAfter<Answer>(
+function runAndSettle<Answer>(
 	ledger: ClaimLedger,
 	claim: ClaimRequest,
 	run: Effect.Effect<Answer, Refusal>,
@@ -69,7 +69,7 @@
 			? Effect.sync(() => Effect.runFork(release(ledger, claim))).pipe(Effect.flatMap(releasing => Effect.callback<void>(resume => {
 				const timer = setTimeout(() => {
 					resume(Effect.void);
-				}, releaseWait);
+				}, maxReleaseWait);
 				releasing.addObserver(() => {
 					clearTimeout(timer);
 					resume(Effect.void);
@@ -81,14 +81,14 @@
 
 /** Releases the claim, with retries. Until it is released, a retry by the caller is refused as one that may have run. */
 function release(ledger: ClaimLedger, claim: ClaimRequest): Effect.Effect<void> {
-	const once = ledger.settle(claim, ClaimEnd.Released());
-	const again = (left: number): Effect.Effect<void> => once.pipe(Effect.catch(() => left === 0
+	const settle = ledger.settle(claim, ClaimEnd.Released());
+	const attempt = (retriesLeft: number): Effect.Effect<void> => settle.pipe(Effect.catch(() => retriesLeft === 0
 		? Effect.void
-		: Effect.sleep(releasePause).pipe(Effect.andThen(Effect.suspend(() => again(left - 1))))));
-	return again(releaseTries);
+		: Effect.sleep(releaseRetryDelay).pipe(Effect.andThen(Effect.suspend(() => attempt(retriesLeft - 1))))));
+	return attempt(releaseRetries);
 }
 
-function refusalOf(claim: ClaimRequest, entry: ClaimEntry): Refusal | KeptAnswerFound {
+function outcomeOfExistingClaim(claim: ClaimRequest, entry: ClaimEntry): Refusal | KeptAnswerFound {
 	if (entry.fingerprint !== claim.fingerprint) {
 		return Refusal.create('request-key-reused', 'This Idempotency-Key was used for a request with another content. Take a new key.');
 	}
--- a/src/dispatch/dispatch-outcome.ts
+++ b/src/dispatch/dispatch-outcome.ts
@@ -11,18 +11,18 @@
 import type {DispatchServices} from './dispatch-services.js';
 
 /** Maximum number of attempts of one request, whatever the retry budget allows. */
-const mostTries = 10;
+const maxAttempts = 10;
 /**
  * Maximum number of consecutive attempts that were cut before any of the answer arrived. A request that crashes every upstream that runs it
  * would otherwise crash one with each of its ten attempts.
  */
-const mostFruitlessCuts = 3;
+const maxCutsWithoutProgress = 3;
 /** Milliseconds; doubled with each attempt. */
 const firstBackoff = 20;
 /** Milliseconds. */
-const longestBackoff = 1000;
+const maxBackoff = 1000;
 /** Maximum of `Retry-After`, in milliseconds. */
-const longestAbsence = 60_000;
+const maxRetryAfter = 60_000;
 
 const refusalReasonOf = {
 	unreachable: 'upstream-unreachable',
@@ -50,17 +50,17 @@
 			: Effect.fail(Refusal.create(
 				'ceiling-reached',
 				`The ceiling of ${rowName(row)} is reached over all boxes. It was not run.`,
-				{retryAfter: Math.ceil(Math.min(wait, longestAbsence) / 1000)},
+				{retryAfter: Math.ceil(Math.min(wait, maxRetryAfter) / 1000)},
 			));
 	});
 }
 
 /**
- * @param tries - Number of attempts made.
+ * @param attempts - Number of attempts made.
  * @returns Milliseconds to wait before the next attempt, with jitter.
  */
-export function backoff(tries: number): number {
-	return Math.min(longestBackoff, firstBackoff * (2 ** tries)) * Math.random();
+export function backoff(attempts: number): number {
+	return Math.min(maxBackoff, firstBackoff * (2 ** attempts)) * Math.random();
 }
 
 /** A failed attempt and the state of its request. */
@@ -74,9 +74,9 @@
 	/** Whether an earlier attempt may have run the request; the outcome of the last attempt does not change that. */
 	readonly mayHaveRun: boolean;
 	/** Number of attempts made, including this one. */
-	readonly tries: number;
+	readonly attempts: number;
 	/** Consecutive attempts, including this one, that were cut before any of the answer arrived. */
-	readonly fruitlessCuts: number;
+	readonly cutsWithoutProgress: number;
 };
 
 /**
@@ -86,9 +86,9 @@
  * @param attempt - The failed attempt and the state of its request.
  * @returns `undefined` to retry; otherwise the refusal for the caller.
  */
-export function judgeFailure(services: DispatchServices, attempt: FailedAttempt): Refusal | undefined {
-	noteFailure(services, attempt);
-	const because = denialOf(services, attempt);
+export function evaluateFailure(services: DispatchServices, attempt: FailedAttempt): Refusal | undefined {
+	recordFailure(services, attempt);
+	const because = retryDenialOf(services, attempt);
 	const {failure} = attempt;
 	if (because === undefined) {
 		services.metrics.retries.inc({reason: failure.reason});
@@ -99,8 +99,8 @@
 	const verdict = attempt.hasBegun || attempt.mayHaveRun ? 'may-have-run' : failure.verdict;
 	const reason = refusalReasonOf[failure.reason];
 	// Some reasons, and their HTTP statuses, guarantee that the request did not run: they must not be sent with another verdict.
-	const isPromise = refusalReasons[reason].verdict === 'not-run';
-	return Refusal.create(isPromise && verdict !== 'not-run' ? 'upstream-cut' : reason, `The upstream failed: ${failure.detail}.`, {verdict});
+	const guaranteesNotRun = refusalReasons[reason].verdict === 'not-run';
+	return Refusal.create(guaranteesNotRun && verdict !== 'not-run' ? 'upstream-cut' : reason, `The upstream failed: ${failure.detail}.`, {verdict});
 }
 
 /**
@@ -114,7 +114,7 @@
 		: Refusal.create('no-upstream', `No upstream of pool ${pool} can take the request. It was not run.`);
 }
 
-function noteFailure({metrics, directory, log}: DispatchServices, {failure, upstream}: FailedAttempt): void {
+function recordFailure({metrics, directory, log}: DispatchServices, {failure, upstream}: FailedAttempt): void {
 	const {box} = upstream;
 	if (failure.reason === 'leaving') {
 		metrics.leavingDispatches.inc();
@@ -128,7 +128,7 @@
 }
 
 /** @returns Why a retry is not allowed, as the label of the metric; `undefined` where it is allowed. */
-function denialOf({gates}: DispatchServices, {failure, isRepeatable, hasBegun, tries, fruitlessCuts, pool}: FailedAttempt) {
+function retryDenialOf({gates}: DispatchServices, {failure, isRepeatable, hasBegun, attempts, cutsWithoutProgress, pool}: FailedAttempt) {
 	if (failure.verdict === 'may-have-run' && !isRepeatable) {
 		return 'not-repeatable';
 	}
@@ -137,11 +137,11 @@
 		return 'bad-answer';
 	}
 
-	if (tries >= mostTries) {
+	if (attempts >= maxAttempts) {
 		return 'tries';
 	}
 
-	if (fruitlessCuts >= mostFruitlessCuts) {
+	if (cutsWithoutProgress >= maxCutsWithoutProgress) {
 		return 'cuts';
 	}
 
--- a/src/dispatch/pool-gates.ts
+++ b/src/dispatch/pool-gates.ts
@@ -48,9 +48,9 @@
 	 * @returns Its gate.
 	 */
 	gate(pool: PoolName): PoolGate {
-		const known = this.gates.get(pool);
-		if (known) {
-			return known;
+		const existing = this.gates.get(pool);
+		if (existing) {
+			return existing;
 		}
 
 		const gate = PoolGate.create(() => this.links.load(pool), this.clock);
@@ -63,9 +63,9 @@
 	 * @returns Its retry budget.
 	 */
 	budget(pool: PoolName): RetryBudget {
-		const known = this.budgets.get(pool);
-		if (known) {
-			return known;
+		const existing = this.budgets.get(pool);
+		if (existing) {
+			return existing;
 		}
 
 		const budget = RetryBudget.create(this.clock);
--- a/src/dispatch/service-run.ts
+++ b/src/dispatch/service-run.ts
@@ -14,12 +14,12 @@
 import {runClaimed} from './claimed-run.js';
 import type {DispatchServices} from './dispatch-services.js';
 import {
-	backoff, judgeFailure, passCeiling, refuseWithoutUpstream,
+	backoff, evaluateFailure, passCeiling, refuseWithoutUpstream,
 } from './dispatch-outcome.js';
 import type {ServiceLink} from './upstream-links.js';
 
 /** Maximum size in bytes of an answer that is stored with its claim. */
-const largestKeptAnswer = 1024;
+const maxKeptAnswer = 1024;
 
 /** A call to run. */
 export type ServicePlan = {
@@ -39,11 +39,11 @@
 /** An answer, and whether it is the stored answer of an earlier run. */
 export type ServiceAnswer = PlainAnswer & {readonly isReplayed: boolean};
 
-const keep = (answer: PlainAnswer): KeptAnswer | undefined => answer.body.length > largestKeptAnswer
+const toKeptAnswer = (answer: PlainAnswer): KeptAnswer | undefined => answer.body.length > maxKeptAnswer
 	? undefined
 	: {status: answer.status, contentType: answer.contentType, body: Buffer.from(answer.body).toString('base64')};
 
-const replay = (answer: KeptAnswer): ServiceAnswer => ({
+const replayedAnswer = (answer: KeptAnswer): ServiceAnswer => ({
 	status: answer.status, contentType: answer.contentType, body: Buffer.from(answer.body, 'base64'), isReplayed: true,
 });
 
@@ -58,9 +58,9 @@
 		return new ServiceRun(services, plan);
 	}
 
-	private tries = 0;
+	private attempts = 0;
 	/** Consecutive attempts that were cut. */
-	private fruitlessCuts = 0;
+	private consecutiveCuts = 0;
 	/** Whether an upstream may have run the call in an earlier attempt. */
 	private mayHaveRun = false;
 
@@ -69,11 +69,11 @@
 	/** @returns The answer; a refusal says whether the call may have run. */
 	run(): Effect.Effect<ServiceAnswer, Refusal> {
 		const {row, service} = this.plan;
-		const passed = this.services.gates.gate(service.pool).pass(row, 1, this.claimed());
+		const passed = this.services.gates.gate(service.pool).pass(row, 1, this.serveWithClaim());
 		return passCeiling(this.services, row, 1).pipe(Effect.andThen(passed));
 	}
 
-	private claimed(): Effect.Effect<ServiceAnswer, Refusal> {
+	private serveWithClaim(): Effect.Effect<ServiceAnswer, Refusal> {
 		const {account, key, fingerprint, attempt, row} = this.plan;
 		if (row.repeatable || key === undefined) {
 			return this.serve();
@@ -82,30 +82,30 @@
 		const claim: ClaimRequest = {
 			account, key, fingerprint, attempt,
 		};
-		return runClaimed(this.services.ledger, claim, this.serve(), keep)
-			.pipe(Effect.catchTag('KeptAnswerFound', ({answer}) => Effect.succeed(replay(answer))));
+		return runClaimed(this.services.ledger, claim, this.serve(), toKeptAnswer)
+			.pipe(Effect.catchTag('KeptAnswerFound', ({answer}) => Effect.succeed(replayedAnswer(answer))));
 	}
 
 	private serve(): Effect.Effect<ServiceAnswer, Refusal> {
 		return Effect.gen({self: this}, function * () {
-			let avoided: ServiceLink | undefined;
+			let failedLink: ServiceLink | undefined;
 			for (;;) {
-				const link = yield * this.chooseService(avoided);
-				this.tries++;
+				const link = yield * this.chooseService(failedLink);
+				this.attempts++;
 				const answer = yield * this.attempt(link).pipe(Effect.catch(error => this.afterFailure(link, error)));
 				if (answer) {
 					return answer;
 				}
 
-				avoided = link;
+				failedLink = link;
 			}
 		});
 	}
 
-	private chooseService(avoided: ServiceLink | undefined): Effect.Effect<ServiceLink, Refusal> {
+	private chooseService(failedLink: ServiceLink | undefined): Effect.Effect<ServiceLink, Refusal> {
 		const {service} = this.plan;
 		const links = this.services.links.plainServices(service.pool);
-		const others = links.filter(link => link !== avoided);
+		const others = links.filter(link => link !== failedLink);
 		const candidates = others.length > 0 ? others : links;
 		if (candidates.length === 0) {
 			return Effect.fail(refuseWithoutUpstream(service.pool, this.mayHaveRun));
@@ -130,9 +130,9 @@
 				key: this.plan.key,
 				timeout: Math.max(1, this.plan.deadlineAt - startedAt),
 			}).pipe(Effect.map(answer => {
-				const took = clock.monotonic() - startedAt;
-				state.noteFirstToken(took);
-				state.noteSuccess(took);
+				const duration = clock.monotonic() - startedAt;
+				state.noteFirstToken(duration);
+				state.noteSuccess(duration);
 				this.services.gates.budget(this.plan.service.pool).deposit();
 				return {...answer, isReplayed: false};
 			}));
@@ -143,15 +143,15 @@
 
 	/** @returns `undefined` to retry, after a backoff. */
 	private afterFailure(link: ServiceLink, failure: UpstreamFailure): Effect.Effect<undefined, Refusal> {
-		this.fruitlessCuts = failure.reason === 'cut' ? this.fruitlessCuts + 1 : 0;
-		const refusal = judgeFailure(this.services, {
+		this.consecutiveCuts = failure.reason === 'cut' ? this.consecutiveCuts + 1 : 0;
+		const refusal = evaluateFailure(this.services, {
 			failure,
 			upstream: link.state,
 			isRepeatable: this.plan.row.repeatable,
 			hasBegun: false,
 			mayHaveRun: this.mayHaveRun,
-			tries: this.tries,
-			fruitlessCuts: this.fruitlessCuts,
+			attempts: this.attempts,
+			cutsWithoutProgress: this.consecutiveCuts,
 			pool: this.plan.service.pool,
 		});
 		this.mayHaveRun ||= failure.verdict !== 'not-run';
@@ -163,6 +163,6 @@
 			return Effect.fail(Refusal.create('deadline-passed', 'No answer came before the deadline.', {verdict: this.mayHaveRun ? 'may-have-run' : 'not-run'}));
 		}
 
-		return Effect.as(Effect.sleep(backoff(this.tries)), undefined);
+		return Effect.as(Effect.sleep(backoff(this.attempts)), undefined);
 	}
 }
--- a/src/dispatch/test/dispatch-outcome.test.ts
+++ b/src/dispatch/test/dispatch-outcome.test.ts
@@ -8,7 +8,7 @@
 import type {PoolName} from '../../base/identifiers.js';
 import type {UpstreamState} from '../../routing/upstream-state.js';
 import {UpstreamFailure} from '../../upstream/upstream-failure.js';
-import {judgeFailure, type FailedAttempt} from '../dispatch-outcome.js';
+import {evaluateFailure, type FailedAttempt} from '../dispatch-outcome.js';
 import type {DispatchServices} from '../dispatch-services.js';
 
 const counter = {inc: () => undefined};
@@ -22,16 +22,16 @@
 
 const attempt = (changes: Partial<FailedAttempt>): FailedAttempt => ({
 	failure: new UpstreamFailure({reason: 'cut', verdict: 'may-have-run', detail: 'the connection was cut'}),
-	upstream, pool: 'pool' as PoolName, isRepeatable: true, hasBegun: false, mayHaveRun: false, tries: 1, fruitlessCuts: 1, ...changes,
+	upstream, pool: 'pool' as PoolName, isRepeatable: true, hasBegun: false, mayHaveRun: false, attempts: 1, cutsWithoutProgress: 1, ...changes,
 });
 
 test('a request is not retried after three consecutive attempts that were cut before any of the answer arrived', () => {
-	assert.equal(judgeFailure(services, attempt({tries: 2, fruitlessCuts: 2})), undefined);
-	const refusal = judgeFailure(services, attempt({tries: 3, fruitlessCuts: 3}));
+	assert.equal(evaluateFailure(services, attempt({attempts: 2, cutsWithoutProgress: 2})), undefined);
+	const refusal = evaluateFailure(services, attempt({attempts: 3, cutsWithoutProgress: 3}));
 	assert.deepEqual([refusal?.reason, refusal?.verdict], ['upstream-cut', 'may-have-run']);
-	assert.ok(judgeFailure(services, attempt({tries: 3, fruitlessCuts: 3, hasBegun: true})), 'also if part of the answer arrived in an earlier attempt');
+	assert.ok(evaluateFailure(services, attempt({attempts: 3, cutsWithoutProgress: 3, hasBegun: true})), 'also if part of the answer arrived in an earlier attempt');
 });
 
 test('the limit of consecutive cuts does not apply to a stream that progresses at each upstream', () => {
-	assert.equal(judgeFailure(services, attempt({tries: 9, fruitlessCuts: 0, hasBegun: true})), undefined);
+	assert.equal(evaluateFailure(services, attempt({attempts: 9, cutsWithoutProgress: 0, hasBegun: true})), undefined);
 });
--- a/src/dispatch/upstream-links.ts
+++ b/src/dispatch/upstream-links.ts
@@ -39,7 +39,7 @@
 };
 
 /** The client of an upstream and the fiber that polls its load. */
-type Task = {
+type LinkTask = {
 	readonly upstream: Upstream;
 	readonly fiber: Fiber.Fiber<unknown>;
 };
@@ -66,16 +66,16 @@
 
 	private readonly engineLinks = new Map<BoxId, EngineLink>();
 	private readonly serviceLinks = new Map<BoxId, ServiceLink>();
-	private readonly tasks = new Map<BoxId, Task>();
+	private readonly tasks = new Map<BoxId, LinkTask>();
 
 	private constructor(private readonly services: UpstreamLinksServices) {}
 
 	/** @returns Opens and closes links as the box list changes, until interrupted; then closes all. */
 	run(): Effect.Effect<void> {
 		const {directory} = this.services;
-		const follow = Effect.callback<never>(() => {
+		const followBoxList = Effect.callback<never>(() => {
 			this.reconcile();
-			const stops = [
+			const unsubscribers = [
 				directory.onDidChange(() => {
 					this.reconcile();
 				}),
@@ -85,12 +85,12 @@
 				}),
 			];
 			return Effect.sync(() => {
-				for (const stop of stops) {
-					stop();
+				for (const unsubscribe of unsubscribers) {
+					unsubscribe();
 				}
 			});
 		});
-		return follow.pipe(Effect.ensuring(Effect.sync(() => {
+		return followBoxList.pipe(Effect.ensuring(Effect.sync(() => {
 			this.closeAll();
 		})));
 	}
@@ -137,18 +137,18 @@
 
 	private reconcile(): void {
 		const listed = new Map(this.services.directory.boxes.filter(({role}) => role !== 'entry').map(box => [box.id, box]));
-		const wanted = this.wanted(listed);
-		for (const box of [...listed.values()].filter(({id}) => wanted.has(id) && !this.tasks.has(id))) {
+		const chosen = this.chooseUpstreams(listed);
+		for (const box of [...listed.values()].filter(({id}) => chosen.has(id) && !this.tasks.has(id))) {
 			this.open(box);
 		}
 
-		for (const id of [...this.tasks.keys()].filter(known => !listed.has(known) || this.isDropped(known, wanted))) {
+		for (const id of [...this.tasks.keys()].filter(known => !listed.has(known) || this.canClose(known, chosen))) {
 			this.close(id);
 		}
 	}
 
 	/** @returns The upstreams to link: all of a small pool, a subset of a large one. */
-	private wanted(listed: ReadonlyMap<BoxId, Box>): ReadonlySet<BoxId> {
+	private chooseUpstreams(listed: ReadonlyMap<BoxId, Box>): ReadonlySet<BoxId> {
 		const {directory, self} = this.services;
 		const pools = new Set([...listed.values()].flatMap(({pool}) => pool === undefined ? [] : [pool]));
 		const subsets = [...pools].map(pool => chooseSubset({
@@ -158,9 +158,9 @@
 	}
 
 	/** A link outside the subset stays open while the upstream is leaving or has requests of this box. */
-	private isDropped(id: BoxId, wanted: ReadonlySet<BoxId>): boolean {
+	private canClose(id: BoxId, chosen: ReadonlySet<BoxId>): boolean {
 		const link = this.engineLinks.get(id) ?? this.serviceLinks.get(id);
-		return !wanted.has(id) && !this.services.directory.isLeaving(id) && link?.state.inFlight === 0;
+		return !chosen.has(id) && !this.services.directory.isLeaving(id) && link?.state.inFlight === 0;
 	}
 
 	private open(box: Box): void {
@@ -169,7 +169,7 @@
 		const upstream = box.role === 'model-engine'
 			? this.openEngine(box, state, connector)
 			: this.openService(box, state, connector);
-		const fiber = Effect.runFork(Effect.forever(this.report(box, state, upstream)));
+		const fiber = Effect.runFork(Effect.forever(this.pollLoad(box, state, upstream)));
 		this.tasks.set(box.id, {upstream, fiber});
 	}
 
@@ -196,7 +196,7 @@
 	}
 
 	/** Polls the load once. A failure is ignored: requests detect an unreachable upstream themselves. */
-	private report(box: Box, state: UpstreamState, upstream: Upstream): Effect.Effect<void> {
+	private pollLoad(box: Box, state: UpstreamState, upstream: Upstream): Effect.Effect<void> {
 		return upstream.load().pipe(
 			Effect.map(report => {
 				state.takeReport(report);
