--- a/src/door/authentication.ts
+++ b/src/door/authentication.ts
@@ -1,5 +1,5 @@
 /**
- * Finds out who calls.
+ * Authenticates requests by API key.
  */
 import {createHash} from 'node:crypto';
 import type {IncomingMessage} from 'node:http';
@@ -12,13 +12,13 @@
 
 /**
  * @param key - An API key.
- * @returns Its hash as the table holds it.
+ * @returns Its hash, in the form stored in the table.
  */
 export function hashKey(key: string): string {
 	return `sha256:${createHash('sha256').update(key).digest('hex')}`;
 }
 
-/** Keys that were seen lately, with their hashes: hashing costs more than looking up. */
+/** Hashes by key, since hashing costs more than a look-up. Cleared when full. */
 const knownHashes = new Map<string, string>();
 const mostKnownHashes = 4096;
 
@@ -38,8 +38,8 @@
 }
 
 /**
- * Finds the client account of a request by its API key. Keys are long and random, so that looking up their
- * hash tells nothing by its time.
+ * Finds the client account of a request by its API key. The look-up by hash need not take constant time: keys are long and random,
+ * so its timing reveals nothing useful.
  *
  * @param incoming - The request.
  * @param table - The table in force.
--- a/src/door/body-reader.ts
+++ b/src/door/body-reader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the body of a caller's request within limits.
+ * Reads request bodies with a size limit.
  */
 import {Buffer} from 'node:buffer';
 import type {IncomingMessage} from 'node:http';
@@ -9,11 +9,11 @@
 const tooLarge = (limit: number) => Refusal.create('body-too-large', `A body may have ${limit} bytes at most.`);
 
 /**
- * Reads a body. Node's own server ends senders that are too slow.
+ * Reads a body. There is no timeout here, since Node's HTTP server closes connections of slow senders.
  *
  * @param incoming - The request.
- * @param limit - Bytes.
- * @returns The body; refused as soon as it is over the limit, without reading the rest.
+ * @param limit - Maximum size in bytes.
+ * @returns The body; fails as soon as the limit is exceeded, without reading the rest.
  */
 export function readBody(incoming: IncomingMessage, limit: number): Effect.Effect<Uint8Array, Refusal> {
 	return Effect.callback<Uint8Array, Refusal>(resume => {
--- a/src/door/caller-exchange.ts
+++ b/src/door/caller-exchange.ts
@@ -1,5 +1,5 @@
 /**
- * A caller's request whose caller is known.
+ * An authenticated request, and the parsing of its headers.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import * as Effect from 'effect/Effect';
@@ -9,12 +9,12 @@
 import type {ClientAccount, Row, Service} from '../table/table.js';
 import type {TableView} from '../table/table-view.js';
 
-/** A request and where its answer goes. */
+/** An authenticated request and its response. */
 export type CallerExchange = {
 	readonly incoming: IncomingMessage;
 	readonly response: ServerResponse;
 	readonly account: ClientAccount;
-	/** Path and query. */
+	/** Path without the query. */
 	readonly path: string;
 	readonly body: Uint8Array;
 };
@@ -23,10 +23,10 @@
 const isRequestKind = Schema.is(RequestKind);
 
 /**
- * Reads the caller's name for the request.
+ * Reads the `Idempotency-Key` header.
  *
  * @param incoming - The request.
- * @returns The key; `undefined` where none was given.
+ * @returns The key; `undefined` where the header is absent.
  */
 export function readRequestKey(incoming: IncomingMessage): Effect.Effect<RequestKey | undefined, Refusal> {
 	const header = incoming.headers['idempotency-key'];
@@ -40,10 +40,10 @@
 }
 
 /**
- * Reads the request kind from its header.
+ * Reads the `Waydrift-Kind` header.
  *
  * @param incoming - The request.
- * @returns The kind; `undefined` where none was given.
+ * @returns The request kind; `undefined` where the header is absent.
  */
 export function readRequestKind(incoming: IncomingMessage): Effect.Effect<RequestKind | undefined, Refusal> {
 	const header = incoming.headers['waydrift-kind'];
@@ -57,11 +57,11 @@
 }
 
 /**
- * Reads how long the caller is ready to wait, and takes the lesser of that and the service's own deadline.
+ * Reads the `Waydrift-Timeout` header, in seconds.
  *
  * @param incoming - The request.
- * @param service - What is called.
- * @returns Milliseconds.
+ * @param service - The service that is called.
+ * @returns Timeout of the request in milliseconds: the header, limited by the deadline of the service.
  */
 export function readTimeout(incoming: IncomingMessage, service: Service): Effect.Effect<number, Refusal> {
 	const longest = service.deadline * 1000;
@@ -76,19 +76,19 @@
 		: Effect.fail(Refusal.create('malformed', 'Waydrift-Timeout: expected seconds, a number above 0.'));
 }
 
-/** What governs a request. */
+/** The service that a request calls, and the table row with its limits. */
 export type Governed = {
 	readonly service: Service;
 	readonly row: Row;
 };
 
 /**
- * Finds what governs a request.
+ * Finds the service that a request calls, and its table row.
  *
  * @param table - The table in force.
- * @param account - Who calls.
- * @param wanted - What is called.
- * @returns The service and the row.
+ * @param account - The client account of the request.
+ * @param wanted - The requested service, its type, and the request kind.
+ * @returns The service and the row; fails where the table has no such service or no row for the account.
  */
 export function govern(
 	table: TableView,
--- a/src/door/callers-door.ts
+++ b/src/door/callers-door.ts
@@ -1,5 +1,5 @@
 /**
- * The door for callers: HTTP on Node's own server, hardened, one task for each request of a connection.
+ * The HTTP server for callers: Node's server with strict limits, and one fiber per request.
  */
 import {once} from 'node:events';
 import {
@@ -25,16 +25,18 @@
 import type {RequestDoor} from './request-door.js';
 import type {ServiceDoor} from './service-door.js';
 
-/** Milliseconds between two looks for senders that are too slow. */
+/** Milliseconds between two checks for slow senders. */
 const slowSenderCheck = 1000;
+/** Milliseconds after which an idle connection is closed. */
 const keepAlive = 65_000;
-/** Milliseconds between two looks for idle connections while stopping. */
+/** Milliseconds between two checks for idle connections during a shutdown. */
 const idleCheck = 100;
+/** Maximum length of a path in characters; the rest is cut off. */
 const longestPath = 2048;
-/** Header fields of one request at most. */
+/** Maximum number of header fields of a request. */
 const mostHeaders = 100;
 
-/** What the door needs. */
+/** The services that the listener depends on. */
 export type CallersDoorServices = {
 	readonly settings: Settings['callers'];
 	readonly table: TableView;
@@ -45,20 +47,20 @@
 	readonly requests: RequestDoor;
 };
 
-/** Where a path leads. */
+/** A method, the paths it applies to, and their handler. */
 type Route = {
 	readonly method: 'GET' | 'POST';
 	readonly matches: (path: string) => boolean;
 	readonly answer: (exchange: CallerExchange) => Effect.Effect<void, Refusal>;
 };
 
-/** Listens for callers. */
+/** Listens for callers, authenticates their requests and routes them to handlers. */
 export class CallersDoor {
 	/**
-	 * Opens the door until its scope closes.
+	 * Listens until the scope closes.
 	 *
-	 * @param services - What it needs.
-	 * @returns The door, listening.
+	 * @param services - The services that the listener depends on.
+	 * @returns The listener, which already listens.
 	 */
 	static open(services: CallersDoorServices): Effect.Effect<CallersDoor, never, Scope.Scope> {
 		const listen = Effect.promise(async () => {
@@ -76,7 +78,7 @@
 	private readonly server: Server;
 	private readonly routes: readonly Route[];
 	private readonly requestsByAccount = new Map<ClientAccountName, number>();
-	/** Requests in progress on a connection. */
+	/** Number of requests in progress, by connection. */
 	private readonly busySockets = new WeakMap<Socket, number>();
 	private readonly refusalLog: RefusalLog;
 	private isStopping = false;
@@ -105,17 +107,17 @@
 		];
 	}
 
-	/** TCP port it listens on. */
+	/** The TCP port of the listener. */
 	get port(): number {
 		return (this.server.address() as AddressInfo).port;
 	}
 
-	/** Goes on answering, but asks each caller to come by a new connection: the balancer then finds another box. */
+	/** Closes each connection after its next response, while still answering: the load balancer then sends callers to another box. */
 	beginStopping(): void {
 		this.isStopping = true;
 	}
 
-	/** @returns Takes no new connections; ends when those that are open have got their answers and closed. */
+	/** @returns Accepts no new connections; completes when the open ones have received their responses and closed. */
 	stopListening(): Effect.Effect<void> {
 		return Effect.callback<void>(resume => {
 			const timer = setInterval(() => {
@@ -178,7 +180,7 @@
 		});
 	}
 
-	/** Keeps one client account from taking all connections of a box. */
+	/** Limits the concurrent requests of a client account, so that one account cannot use all connections of a box. */
 	private limited(account: ClientAccountName, answer: Effect.Effect<void, Refusal>): Effect.Effect<void, Refusal> {
 		return Effect.suspend(() => {
 			const open = this.requestsByAccount.get(account) ?? 0;
@@ -201,7 +203,7 @@
 		}
 
 		if (!incoming.complete) {
-			// The rest of the body is thrown away: the connection cannot be used again.
+			// The rest of the body is discarded, so the connection cannot be reused.
 			response.shouldKeepAlive = false;
 			writeProblem(response, refusal);
 			endLingering(incoming, response);
@@ -211,7 +213,10 @@
 		sendProblem(response, refusal);
 	}
 
-	/** What is not HTTP gets a refusal, unless an answer is on its way: that one is sent whole first. */
+	/**
+	 * Answers a parse error, a timeout or another error of a connection with a refusal. While a response is in progress on the connection no
+	 * refusal is written, since it would corrupt that response.
+	 */
 	private refuseGarbage(error: NodeJS.ErrnoException, socket: Socket): void {
 		const refusal = garbageRefusal(error.code);
 		this.services.metrics.refusals.inc({reason: refusal.reason, verdict: refusal.verdict});
--- a/src/door/chat-door.ts
+++ b/src/door/chat-door.ts
@@ -1,5 +1,5 @@
 /**
- * Chat completions, as callers ask for them.
+ * The HTTP handler of chat completions.
  */
 import {createHash, randomUUID} from 'node:crypto';
 import * as Effect from 'effect/Effect';
@@ -19,14 +19,14 @@
 import {sendProblem} from './problem.js';
 import type {RecordFinder} from './record-finder.js';
 
-/** A chat request that may be answered. */
+/** A validated chat request. */
 type Call = {
 	readonly exchange: CallerExchange;
 	readonly request: ChatRequest;
 	readonly governed: Governed;
 	readonly key: RequestKey | undefined;
 	readonly fingerprint: string;
-	/** Events that the caller has already. */
+	/** Number of events that the caller already has. */
 	readonly from: number;
 	/** Monotonic milliseconds. */
 	readonly deadlineAt: number;
@@ -34,13 +34,13 @@
 
 const digits = /^\d{1,9}$/v;
 
-/** Answers chat completions. */
+/** Answers chat completions; resumes streams after a disconnect, also streams of other boxes. */
 export class ChatDoor {
 	/**
-	 * @param services - What runs requests.
+	 * @param services - The services of this box.
 	 * @param table - The table in force.
 	 * @param finder - Finds records at other boxes.
-	 * @returns The door.
+	 * @returns The handler.
 	 */
 	static create(services: DispatchServices, table: TableView, finder: RecordFinder): ChatDoor {
 		return new ChatDoor(services, table, finder);
@@ -56,7 +56,7 @@
 	 * Answers one request.
 	 *
 	 * @param exchange - The request.
-	 * @returns Ends when the answer is sent. Interruption means that the caller hung up.
+	 * @returns Completes when the answer is sent. Interruption means that the caller disconnected.
 	 */
 	answer(exchange: CallerExchange): Effect.Effect<void, Refusal> {
 		return Effect.gen({self: this}, function * () {
@@ -87,14 +87,14 @@
 				governed,
 				key,
 				from,
-				// Only a key can be used again for something else.
+				// The fingerprint detects a key that is reused for another request, so a request without a key needs none.
 				fingerprint: key === undefined ? '' : createHash('sha256').update(exchange.body).digest('base64url'),
 				deadlineAt: this.services.clock.monotonic() + timeout,
 			};
 		});
 	}
 
-	/** A record that is known is gone on with; otherwise the request is new. */
+	/** @returns The record of the request: an existing one with the same key, or a new one. */
 	private recordFor(call: Call): Effect.Effect<RequestRecord, Refusal> {
 		return Effect.gen({self: this}, function * () {
 			const {key} = call;
@@ -141,13 +141,13 @@
 			return known;
 		}
 
-		// What was refused without having run may be asked for again under its key.
+		// A request that was refused without having run may be retried with the same key.
 		return known.state === 'refused' && known.refusal?.verdict === 'not-run'
 			? this.startNew(call, {account: known.origin.account, key: known.origin.key})
 			: known;
 	}
 
-	/** Takes a record over from a peer, so that the stream goes on here. */
+	/** Takes a record over from a peer, so that the stream continues on this box. */
 	private fetch(name: RecordName, call: Call): Effect.Effect<RequestRecord | undefined> {
 		return this.finder.lookUp(name, true).pipe(Effect.map(snapshot => snapshot && this.adopt(snapshot, call)));
 	}
@@ -204,7 +204,7 @@
 		}
 	}
 
-	/** Work that may be repeated is cancelled when nobody reads it any more; its caller may come back for the rest. */
+	/** Stops a repeatable request that has no reader left; the caller may resume it. */
 	private afterHangUp(record: RequestRecord, {governed}: Call): Effect.Effect<void> {
 		return record.isRead || !governed.row.repeatable || record.state !== 'running'
 			? Effect.void
@@ -212,7 +212,7 @@
 	}
 }
 
-/** Reads how many events the caller has: only a named request can be resumed. */
+/** Reads the `Last-Event-ID` header: the number of events that the caller already has. Only a request with a key can be resumed. */
 function readPosition({incoming}: CallerExchange, key: RequestKey | undefined): Effect.Effect<number, Refusal> {
 	const header = incoming.headers['last-event-id'];
 	if (header === undefined) {
@@ -228,7 +228,7 @@
 		: Effect.fail(Refusal.create('malformed', 'Last-Event-ID: expected the id of an event of the stream.'));
 }
 
-/** Waits for the end and sends all at once. */
+/** @returns A listener that sends the whole answer when the record ends. */
 function wholeAnswer(record: RequestRecord, {exchange: {response}}: Call, onEnd: () => void): RecordListener {
 	const listener: RecordListener = {
 		onEvents: () => true,
--- a/src/door/chat-request.ts
+++ b/src/door/chat-request.ts
@@ -1,5 +1,5 @@
 /**
- * The body of a chat completion, as far as this system reads it; the rest is passed on.
+ * Decodes the body of a chat completion request. Fields that are not read here are passed on unchanged.
  */
 import {Buffer} from 'node:buffer';
 import * as Effect from 'effect/Effect';
@@ -10,7 +10,9 @@
 import {Refusal} from '../base/verdict.js';
 import {describePrompt, type Prompt} from '../routing/prefix-belief.js';
 
+/** Tokens. */
 const largestAnswer = 131_072;
+/** Tokens of an answer where the caller sets no maximum. */
 const defaultAnswer = 1024;
 const AnswerLength = Schema.Int.check(Schema.isBetween({minimum: 1, maximum: largestAnswer}, {expected: `a whole number from 1 to ${largestAnswer}`}));
 const Message = Schema.Struct({
@@ -18,7 +20,7 @@
 	content: Schema.optionalKey(Schema.NullOr(Schema.Union([Schema.String, Schema.Array(Schema.Struct({type: Schema.String}))]))),
 });
 
-/** What this system reads; what it does not is passed on as it came. */
+/** The fields that are read here. */
 const ChatBody = Schema.Struct({
 	model: Schema.NonEmptyString,
 	messages: Schema.Array(Message).check(Schema.isMinLength(1, {expected: 'at least one message'})),
@@ -31,26 +33,26 @@
 
 const decodeBody = createDecoder(ChatBody, 'ignore');
 
-/** A chat completion that was asked for. */
+/** A decoded chat completion request. */
 export type ChatRequest = {
-	/** Name of the service; callers may write `service:kind` as the model. */
+	/** Name of the service. The field `model` holds `service` or `service:kind`. */
 	readonly service: string;
 	readonly kind: RequestKind | undefined;
 	readonly prompt: Prompt;
 	readonly maximumTokens: number;
 	readonly isStreamed: boolean;
 	readonly wantsUsage: boolean;
-	/** What goes to the engine. */
+	/** The body that is sent to the engine. */
 	readonly body: Readonly<Record<string, unknown>>;
 };
 
 const malformed = (detail: string) => Effect.fail(Refusal.create('malformed', detail));
 
 /**
- * Reads the body of a chat completion.
+ * Decodes the body of a chat completion request.
  *
  * @param bytes - The body.
- * @returns What was asked for; refused with every fault named.
+ * @returns The request; fails with a refusal that lists all faults.
  */
 export function decodeChatRequest(bytes: Uint8Array): Effect.Effect<ChatRequest, Refusal> {
 	const input = parseJson(bytes);
@@ -83,7 +85,7 @@
 
 /**
  * @param messages - The messages of a chat.
- * @returns The prompt they make.
+ * @returns Their prompt: its approximate length in tokens, and its blocks.
  */
 export function promptOf(messages: ReadonlyArray<{readonly content?: unknown}>): Prompt {
 	return describePrompt(messages
--- a/src/door/event-stream.ts
+++ b/src/door/event-stream.ts
@@ -1,5 +1,5 @@
 /**
- * Writes a record to its caller as server-sent events, each with its position as id.
+ * Writes a record to the caller as server-sent events. The id of an event is its position, so that the caller can resume with `Last-Event-ID`.
  */
 import type {ServerResponse} from 'node:http';
 import type {RecordListener, RequestRecord} from '../records/request-record.js';
@@ -7,23 +7,23 @@
 
 const doneEvent = 'data: [DONE]\n\n';
 
-/** What to write. */
+/** The record to write, and the options of the request. */
 export type EventStreamPlan = {
 	readonly record: RequestRecord;
-	/** Events the caller has already. */
+	/** Number of events that the caller already has. */
 	readonly from: number;
-	/** Whether the caller asked for the usage at the end. */
+	/** Whether the caller asked for a usage event at the end. */
 	readonly wantsUsage: boolean;
-	/** Called when all is written. */
+	/** Called when everything is written. */
 	readonly onEnd: () => void;
 };
 
-/** Writes one record to one caller. */
+/** Writes one record to one response. */
 export class EventStream implements RecordListener {
 	/**
-	 * @param response - Where to; its head must not have been sent.
-	 * @param plan - What to write.
-	 * @returns The stream; it has written what the record holds already.
+	 * @param response - The response; its head must not have been sent.
+	 * @param plan - The record to write, and the options of the request.
+	 * @returns The stream, after writing the events that the record already holds.
 	 */
 	static create(response: ServerResponse, plan: EventStreamPlan): EventStream {
 		const stream = new EventStream(response, plan);
--- a/src/door/operators-door.ts
+++ b/src/door/operators-door.ts
@@ -1,5 +1,5 @@
 /**
- * The port for operators and the balancer: metrics and health.
+ * The HTTP server for operators and the load balancer: metrics, health and status.
  */
 import {once} from 'node:events';
 import {createServer, type Server, type ServerResponse} from 'node:http';
@@ -8,17 +8,17 @@
 import type * as Scope from 'effect/Scope';
 import type {Metrics} from '../base/metrics.js';
 
-/** Whether this box should get callers, and why not. */
+/** Whether the load balancer should send callers to this box, and the reason if not. */
 export type Readiness = {
 	readonly isReady: boolean;
 	readonly detail: string;
 };
 
-/** What the port shows. */
+/** The sources of the responses. */
 export type OperatorsDoorServices = {
 	readonly metrics: Metrics;
 	readonly readiness: () => Readiness;
-	/** @returns What `/status` shows, as JSON. */
+	/** @returns The content of `/status`, serialised as JSON. */
 	readonly status: () => unknown;
 };
 
@@ -60,7 +60,7 @@
 /**
  * Listens for operators until its scope closes.
  *
- * @param services - What to show.
+ * @param services - The sources of the responses.
  * @param host - IP number.
  * @param port - TCP port; zero for any.
  * @returns The TCP port.
--- a/src/door/problem.ts
+++ b/src/door/problem.ts
@@ -1,5 +1,5 @@
 /**
- * Refusals as callers see them: problem documents.
+ * Responses for refused requests: problem documents.
  *
  * @remarks Source: RFC 9457.
  */
@@ -8,7 +8,7 @@
 import {refusalReasons} from '../base/refusal-reason.js';
 import type {Refusal} from '../base/verdict.js';
 
-/** A problem document. The member `error` is what callers' libraries for chat completions look for. */
+/** A problem document. Client libraries for chat completions read the member `error`. */
 export type Problem = {
 	readonly type: string;
 	readonly title: string;
@@ -20,8 +20,8 @@
 };
 
 /**
- * @param refusal - Why there is no answer.
- * @returns The document.
+ * @param refusal - Why the request was refused.
+ * @returns Its problem document.
  */
 export function problemOf(refusal: Refusal): Problem {
 	const {status, title} = refusalReasons[refusal.reason];
@@ -37,10 +37,10 @@
 }
 
 /**
- * Writes a refusal as a whole answer, and leaves it to the caller to end it.
+ * Writes a refusal as a whole response without ending it.
  *
- * @param response - Where to; its head must not have been sent.
- * @param refusal - Why.
+ * @param response - The response; its head must not have been sent.
+ * @param refusal - Why the request was refused.
  */
 export function writeProblem(response: ServerResponse, refusal: Refusal): void {
 	const problem = problemOf(refusal);
@@ -56,10 +56,10 @@
 }
 
 /**
- * Sends a refusal as a whole answer.
+ * Sends a refusal as a whole response and ends it.
  *
- * @param response - Where to; its head must not have been sent.
- * @param refusal - Why.
+ * @param response - The response; its head must not have been sent.
+ * @param refusal - Why the request was refused.
  */
 export function sendProblem(response: ServerResponse, refusal: Refusal): void {
 	writeProblem(response, refusal);
--- a/src/door/refusal-log.ts
+++ b/src/door/refusal-log.ts
@@ -1,21 +1,21 @@
 /**
- * Logs refused requests, so that a refusal can be traced to the decision behind it. The lines are bounded, since callers may be refused at any rate.
+ * Logs refused requests with their reasons. The number of lines per second is limited, since the rate of refused requests is not.
  */
 import type {IncomingMessage} from 'node:http';
 import type {EventLog} from '../base/event-log.js';
 import type {Refusal} from '../base/verdict.js';
 
-/** Lines a second; further refusals of that second are counted alone. */
+/** Maximum number of lines per second; further refusals of that second are only counted. */
 const linesPerSecond = 50;
-/** Characters of a path that are logged. */
+/** Maximum number of characters of a path in the log; the rest is cut off. */
 const longestPath = 200;
 const millisecondsPerSecond = 1000;
 
-/** The log of one door. */
+/** Writes refused requests to the event log, with a rate limit. */
 export class RefusalLog {
 	/**
-	 * @param log - Where lines go.
-	 * @param now - Reads monotonic milliseconds.
+	 * @param log - Receives the lines.
+	 * @param now - Returns monotonic milliseconds.
 	 * @returns The log.
 	 */
 	static create(log: EventLog, now: () => number = () => performance.now()): RefusalLog {
@@ -31,7 +31,7 @@
 	/**
 	 * @param refusal - Why the request was refused.
 	 * @param incoming - The request.
-	 * @param took - Milliseconds from its head to the refusal.
+	 * @param took - Milliseconds from the request head to the refusal.
 	 */
 	write({reason, verdict, detail, retryAfter}: Refusal, {method, url}: Pick<IncomingMessage, 'method' | 'url'>, took: number): void {
 		this.beginSecond();
--- a/src/door/request-door.ts
+++ b/src/door/request-door.ts
@@ -1,5 +1,5 @@
 /**
- * State and answer of a request by its key, at whatever box a caller asks.
+ * The HTTP handler for the state and answer of an earlier request, looked up by its key on all boxes.
  */
 import {Buffer} from 'node:buffer';
 import * as Effect from 'effect/Effect';
@@ -15,11 +15,11 @@
 import {problemOf} from './problem.js';
 import type {RecordFinder} from './record-finder.js';
 
-/** What is known of a request. */
+/** The response body. */
 type Status = {
 	readonly key: string;
 	readonly state: string;
-	/** Tokens received so far, of a chat. */
+	/** Tokens received so far; only for a chat request. */
 	readonly position?: number;
 	readonly answer?: unknown;
 	readonly refusal?: unknown;
@@ -28,12 +28,12 @@
 const prefix = '/v1/requests/';
 const isRequestKey = Schema.is(RequestKey);
 
-/** Answers questions about requests. */
+/** Answers queries for the state of a request. */
 export class RequestDoor {
 	/**
-	 * @param services - Records and claims.
+	 * @param services - Provide the records and claims.
 	 * @param finder - Finds records at other boxes.
-	 * @returns The door.
+	 * @returns The handler.
 	 */
 	static create(services: DispatchServices, finder: RecordFinder): RequestDoor {
 		return new RequestDoor(services, finder);
@@ -42,10 +42,10 @@
 	private constructor(private readonly services: DispatchServices, private readonly finder: RecordFinder) {}
 
 	/**
-	 * Answers one question. Only the account's own requests are looked for.
+	 * Answers one query. Finds only requests of the same client account.
 	 *
-	 * @param exchange - The question.
-	 * @returns Ends when the answer is sent.
+	 * @param exchange - The query.
+	 * @returns Completes when the answer is sent.
 	 */
 	answer(exchange: CallerExchange): Effect.Effect<void, Refusal> {
 		return Effect.gen({self: this}, function * () {
--- a/src/door/service-door.ts
+++ b/src/door/service-door.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of plain services, as callers make them.
+ * The HTTP handler of calls to plain services.
  */
 import {createHash, randomUUID} from 'node:crypto';
 import * as Effect from 'effect/Effect';
@@ -14,12 +14,12 @@
 
 const pathPattern = /^\/v1\/services\/(?<service>[^\/?]{1,63})(?<rest>\/[^?#]*)?$/v;
 
-/** Answers calls of plain services. */
+/** Answers calls to plain services. */
 export class ServiceDoor {
 	/**
-	 * @param services - What runs requests.
+	 * @param services - The services of this box.
 	 * @param table - The table in force.
-	 * @returns The door.
+	 * @returns The handler.
 	 */
 	static create(services: DispatchServices, table: TableView): ServiceDoor {
 		return new ServiceDoor(services, table);
@@ -31,8 +31,8 @@
 	 * Answers one call.
 	 *
 	 * @param exchange - The call.
-	 * @returns Ends when the answer is sent. Interruption means that the caller hung up: a call that may not
-	 * be repeated goes on all the same, for nobody can call it back.
+	 * @returns Completes when the answer is sent. Interruption means that the caller disconnected. It cancels a repeatable call; a call that is
+	 * not repeatable continues, since its effects cannot be undone.
 	 */
 	answer(exchange: CallerExchange): Effect.Effect<void, Refusal> {
 		return Effect.gen({self: this}, function * () {
@@ -79,7 +79,7 @@
 	}
 }
 
-/** Runs on when its caller is gone. */
+/** @returns The same run, which continues when the waiting fiber is interrupted. */
 function detached<Answer, Failure>(run: Effect.Effect<Answer, Failure>): Effect.Effect<Answer, Failure> {
 	return Effect.callback<Answer, Failure>(resume => {
 		Effect.runFork(run).addObserver(exit => {
--- a/src/door/test/callers-door.test.ts
+++ b/src/door/test/callers-door.test.ts
@@ -55,13 +55,13 @@
 	});
 }
 
-test('a missing and an unknown key are refused, and counted', async () => {
+test('a missing and an unknown API key are refused and counted', async () => {
 	await assertProblem(await post('/v1/chat/completions', '{}', {Authorization: ''}), 401, 'key-missing');
 	await assertProblem(await post('/v1/chat/completions', '{}', {Authorization: 'Bearer nobody'}), 401, 'key-unknown');
 	assert.equal(await readMetric(operatorsPort, 'waydrift_refusals_total{reason="key-unknown",verdict="not-run"}'), 1);
 });
 
-test('malformed, oversized and mistaken requests are refused with what was expected', async () => {
+test('malformed, oversized and invalid requests are refused with the status and reason of each fault', async () => {
 	await assertProblem(await post('/v1/chat/completions', '{"model":'), 400, 'malformed');
 	await assertProblem(await post('/v1/chat/completions', '{"model":"assistant","messages":[],"max_tokens":0}'), 400, 'malformed');
 	await assertProblem(await post('/v1/chat/completions', JSON.stringify({model: 'nothing', messages})), 404, 'no-such-service');
@@ -71,7 +71,7 @@
 	await assertProblem(await post('/v1/chat/completions', 'x'.repeat(5_000_000)), 413, 'body-too-large');
 });
 
-test('an endless head, garbage and a slow sender get a refusal and a closed connection', async () => {
+test('an oversized head, invalid HTTP and a slow sender get a refusal and a closed connection', async () => {
 	const endless = await sendRaw(send => {
 		send(`GET / HTTP/1.1\r\n${'X-Filler: y\r\n'.repeat(5000)}`);
 	});
@@ -86,7 +86,7 @@
 	assert.match(slow, /^HTTP\/1.1 408 .*"sender-too-slow"/sv);
 });
 
-test('garbage behind a request does not touch the answer on its way', async () => {
+test('invalid HTTP after a request does not corrupt the response in progress', async () => {
 	const body = JSON.stringify({
 		model: 'assistant', messages, max_tokens: 20, stream: true,
 	});
@@ -100,7 +100,7 @@
 	assert.doesNotMatch(received, /malformed/v);
 });
 
-test('nobody finds the request of another account', async () => {
+test('a client account cannot find the request of another account', async () => {
 	const key = 'shared-name';
 	const own = await post('/v1/services/orders/release', 'mine', {'Idempotency-Key': key, 'Waydrift-Kind': 'release'});
 	assert.equal(own.status, 200);
@@ -113,13 +113,13 @@
 	});
 });
 
-test('a key that named another request is refused', async () => {
+test('an Idempotency-Key that was used for another request is refused', async () => {
 	const headers = {'Idempotency-Key': 'named-once', 'Waydrift-Kind': 'release'};
 	assert.equal((await post('/v1/services/orders/release', 'one', headers)).status, 200);
 	await assertProblem(await post('/v1/services/orders/release', 'two', headers), 422, 'request-key-reused');
 });
 
-test('a caller that hangs up cancels its work at the engine', async () => {
+test('a caller that disconnects cancels its request at the engine', async () => {
 	const engine = installation.members.get('engine-1')!.box.port;
 	const cancelled = async () => {
 		const totals = await control(engine, 'totals', {}) as {readonly cancelled: number};
@@ -142,7 +142,7 @@
 	await until(async () => await readMetric(operatorsPort, 'waydrift_requests_in_progress') === 0);
 });
 
-test('a library for the published interface works unmodified, streamed and whole', async () => {
+test('the OpenAI client library works unmodified, with and without streaming', async () => {
 	const client = new OpenAI({apiKey: testKeys.alpha, baseURL: `http://127.0.0.1:${port}/v1`, maxRetries: 0});
 	const whole = await client.chat.completions.create({model: 'assistant', messages, max_completion_tokens: 12});
 	assert.equal(whole.choices[0]!.message.content, expectedAnswer(messages, 12));
--- a/src/door/test/refusal-log.test.ts
+++ b/src/door/test/refusal-log.test.ts
@@ -8,7 +8,7 @@
 const request: Pick<IncomingMessage, 'method' | 'url'> = {method: 'POST', url: '/v1/services/orders/release?token=secret'};
 const refusal = Refusal.create('claim-unavailable', 'the claim shard is full');
 
-test('a refusal is logged with its reason, its verdict and its cause, without the query', () => {
+test('a refusal is logged with its reason, verdict and detail, but without the query string', () => {
 	const log = new KeepingLog();
 	RefusalLog.create(log, () => 0).write(refusal, request, 49.4);
 	assert.deepEqual(log.lines, [{
@@ -16,7 +16,7 @@
 	}]);
 });
 
-test('however many are refused, the log gets some lines a second and the number of the others', () => {
+test('the log gets a limited number of lines per second, and the number of omitted lines', () => {
 	const log = new KeepingLog();
 	let now = 0;
 	const refusals = RefusalLog.create(log, () => now);
