--- a/src/door/authentication.ts
+++ b/src/door/authentication.ts
@@ -8,7 +8,7 @@
 import type {ClientAccount} from '../table/table.js';
 import type {TableView} from '../table/table-view.js';
 
-const scheme = /^Bearer (?<key>\S{1,512})$/v;
+const bearerPattern = /^Bearer (?<key>\S{1,512})$/v;
 
 /**
  * @param key - An API key.
@@ -19,21 +19,21 @@
 }
 
 /** Hashes by key, since hashing costs more than a look-up. Cleared when full. */
-const knownHashes = new Map<string, string>();
-const mostKnownHashes = 4096;
+const hashCache = new Map<string, string>();
+const maxCachedHashes = 4096;
 
-function knownHash(key: string): string {
-	const known = knownHashes.get(key);
-	if (known !== undefined) {
-		return known;
+function cachedHashOf(key: string): string {
+	const cached = hashCache.get(key);
+	if (cached !== undefined) {
+		return cached;
 	}
 
-	if (knownHashes.size >= mostKnownHashes) {
-		knownHashes.clear();
+	if (hashCache.size >= maxCachedHashes) {
+		hashCache.clear();
 	}
 
 	const hash = hashKey(key);
-	knownHashes.set(key, hash);
+	hashCache.set(key, hash);
 	return hash;
 }
 
@@ -50,12 +50,12 @@
 		return Effect.fail(Refusal.create('not-ready', 'This box has not read its configuration yet.'));
 	}
 
-	const key = scheme.exec(incoming.headers.authorization ?? '')?.groups?.key;
+	const key = bearerPattern.exec(incoming.headers.authorization ?? '')?.groups?.key;
 	if (key === undefined) {
 		return Effect.fail(Refusal.create('key-missing', 'Send your API key as "Authorization: Bearer KEY".'));
 	}
 
-	const account = table.accountOf(knownHash(key));
+	const account = table.accountOf(cachedHashOf(key));
 	return account
 		? Effect.succeed(account)
 		: Effect.fail(Refusal.create('key-unknown', 'This API key is not valid, or no longer.'));
--- a/src/door/caller-exchange.ts
+++ b/src/door/caller-exchange.ts
@@ -64,20 +64,20 @@
  * @returns Timeout of the request in milliseconds: the header, limited by the deadline of the service.
  */
 export function readTimeout(incoming: IncomingMessage, service: Service): Effect.Effect<number, Refusal> {
-	const longest = service.deadline * 1000;
+	const maxTimeout = service.deadline * 1000;
 	const header = incoming.headers['waydrift-timeout'];
 	if (header === undefined) {
-		return Effect.succeed(longest);
+		return Effect.succeed(maxTimeout);
 	}
 
 	const seconds = Number(header);
 	return Number.isFinite(seconds) && seconds > 0
-		? Effect.succeed(Math.min(longest, seconds * 1000))
+		? Effect.succeed(Math.min(maxTimeout, seconds * 1000))
 		: Effect.fail(Refusal.create('malformed', 'Waydrift-Timeout: expected seconds, a number above 0.'));
 }
 
 /** The service that a request calls, and the table row with its limits. */
-export type Governed = {
+export type ServiceRow = {
 	readonly service: Service;
 	readonly row: Row;
 };
@@ -87,21 +87,21 @@
  *
  * @param table - The table in force.
  * @param account - The client account of the request.
- * @param wanted - The requested service, its type, and the request kind.
+ * @param requested - The requested service, its type, and the request kind.
  * @returns The service and the row; fails where the table has no such service or no row for the account.
  */
-export function govern(
+export function findServiceRow(
 	table: TableView,
 	account: ClientAccount,
-	wanted: {readonly service: string; readonly type: Service['type']; readonly kind: RequestKind | undefined},
-): Effect.Effect<Governed, Refusal> {
-	const service = table.service(wanted.service);
-	if (service?.type !== wanted.type) {
-		return Effect.fail(Refusal.create('no-such-service', `There is no ${wanted.type} service "${wanted.service.slice(0, 64)}".`));
+	requested: {readonly service: string; readonly type: Service['type']; readonly kind: RequestKind | undefined},
+): Effect.Effect<ServiceRow, Refusal> {
+	const service = table.service(requested.service);
+	if (service?.type !== requested.type) {
+		return Effect.fail(Refusal.create('no-such-service', `There is no ${requested.type} service "${requested.service.slice(0, 64)}".`));
 	}
 
-	const row = table.row(account.name, service.name, wanted.kind);
+	const row = table.row(account.name, service.name, requested.kind);
 	return row
 		? Effect.succeed({service, row})
-		: Effect.fail(Refusal.create('not-allowed', `The table has no row for this client account, service and kind "${wanted.kind ?? 'any'}".`));
+		: Effect.fail(Refusal.create('not-allowed', `The table has no row for this client account, service and kind "${requested.kind ?? 'any'}".`));
 }
--- a/src/door/callers-door.ts
+++ b/src/door/callers-door.ts
@@ -26,18 +26,18 @@
 import type {ServiceDoor} from './service-door.js';
 
 /** Milliseconds between two checks for slow senders. */
-const slowSenderCheck = 1000;
+const slowSenderCheckInterval = 1000;
 /** Milliseconds after which an idle connection is closed. */
-const keepAlive = 65_000;
+const idleTimeout = 65_000;
 /** Milliseconds between two checks for idle connections during a shutdown. */
-const idleCheck = 100;
+const idleCheckInterval = 100;
 /** Maximum length of a path in characters; the rest is cut off. */
-const longestPath = 2048;
+const maxPathLength = 2048;
 /** Maximum number of header fields of a request. */
-const mostHeaders = 100;
+const maxHeaderFields = 100;
 
 /** The services that the listener depends on. */
-export type CallersDoorServices = {
+export type CallerListenerServices = {
 	readonly settings: Settings['callers'];
 	readonly table: TableView;
 	readonly log: EventLog;
@@ -62,12 +62,12 @@
 	 * @param services - The services that the listener depends on.
 	 * @returns The listener, which already listens.
 	 */
-	static open(services: CallersDoorServices): Effect.Effect<CallersDoor, never, Scope.Scope> {
+	static open(services: CallerListenerServices): Effect.Effect<CallersDoor, never, Scope.Scope> {
 		const listen = Effect.promise(async () => {
-			const door = new CallersDoor(services);
-			door.server.listen(services.settings.port, services.settings.host);
-			await once(door.server, 'listening');
-			return door;
+			const listener = new CallersDoor(services);
+			listener.server.listen(services.settings.port, services.settings.host);
+			await once(listener.server, 'listening');
+			return listener;
 		});
 		return Effect.acquireRelease(listen, door => Effect.sync(() => {
 			door.server.close();
@@ -79,26 +79,26 @@
 	private readonly routes: readonly Route[];
 	private readonly requestsByAccount = new Map<ClientAccountName, number>();
 	/** Number of requests in progress, by connection. */
-	private readonly busySockets = new WeakMap<Socket, number>();
+	private readonly requestsBySocket = new WeakMap<Socket, number>();
 	private readonly refusalLog: RefusalLog;
 	private isStopping = false;
 
-	private constructor(private readonly services: CallersDoorServices) {
+	private constructor(private readonly services: CallerListenerServices) {
 		const {settings, chat, plainServices, requests, log} = services;
 		this.refusalLog = RefusalLog.create(log);
 		this.server = createServer({
 			maxHeaderSize: settings.maximumHeaders,
 			requestTimeout: settings.receiveTimeout,
 			headersTimeout: settings.receiveTimeout,
-			connectionsCheckingInterval: slowSenderCheck,
-			keepAliveTimeout: keepAlive,
+			connectionsCheckingInterval: slowSenderCheckInterval,
+			keepAliveTimeout: idleTimeout,
 			noDelay: true,
 		}, (incoming, response) => {
 			this.serve(incoming, response);
 		});
-		this.server.maxHeadersCount = mostHeaders;
+		this.server.maxHeadersCount = maxHeaderFields;
 		this.server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
-			this.refuseGarbage(error, socket as Socket);
+			this.answerClientError(error, socket as Socket);
 		});
 		this.routes = [
 			{method: 'POST', matches: path => path === '/v1/chat/completions', answer: exchange => chat.answer(exchange)},
@@ -122,7 +122,7 @@
 		return Effect.callback<void>(resume => {
 			const timer = setInterval(() => {
 				this.server.closeIdleConnections();
-			}, idleCheck);
+			}, idleCheckInterval);
 			this.server.close(() => {
 				clearInterval(timer);
 				resume(Effect.void);
@@ -133,14 +133,14 @@
 
 	private serve(incoming: IncomingMessage, response: ServerResponse): void {
 		const {socket} = incoming;
-		this.busySockets.set(socket, (this.busySockets.get(socket) ?? 0) + 1);
+		this.requestsBySocket.set(socket, (this.requestsBySocket.get(socket) ?? 0) + 1);
 		if (this.isStopping) {
 			response.shouldKeepAlive = false;
 		}
 
 		const fiber = Effect.runFork(this.answer(incoming, response, performance.now()));
 		response.once('close', () => {
-			this.busySockets.set(socket, (this.busySockets.get(socket) ?? 1) - 1);
+			this.requestsBySocket.set(socket, (this.requestsBySocket.get(socket) ?? 1) - 1);
 			if (!response.writableFinished) {
 				Effect.runFork(Fiber.interrupt(fiber));
 			}
@@ -162,7 +162,7 @@
 
 	private route(incoming: IncomingMessage, response: ServerResponse): Effect.Effect<void, Refusal> {
 		return Effect.gen({self: this}, function * () {
-			const path = (incoming.url ?? '/').slice(0, longestPath).split('?', 1)[0]!;
+			const path = (incoming.url ?? '/').slice(0, maxPathLength).split('?', 1)[0]!;
 			const route = this.routes.find(({matches}) => matches(path));
 			const account = yield * authenticate(incoming, this.services.table);
 			if (!route) {
@@ -174,14 +174,14 @@
 			}
 
 			const body = yield * readBody(incoming, this.services.settings.maximumBody);
-			yield * this.limited(account.name, route.answer({
+			yield * this.limitConcurrency(account.name, route.answer({
 				incoming, response, account, path, body,
 			}));
 		});
 	}
 
 	/** Limits the concurrent requests of a client account, so that one account cannot use all connections of a box. */
-	private limited(account: ClientAccountName, answer: Effect.Effect<void, Refusal>): Effect.Effect<void, Refusal> {
+	private limitConcurrency(account: ClientAccountName, answer: Effect.Effect<void, Refusal>): Effect.Effect<void, Refusal> {
 		return Effect.suspend(() => {
 			const open = this.requestsByAccount.get(account) ?? 0;
 			if (open >= this.services.settings.maximumRequestsPerAccount) {
@@ -217,15 +217,15 @@
 	 * Answers a parse error, a timeout or another error of a connection with a refusal. While a response is in progress on the connection no
 	 * refusal is written, since it would corrupt that response.
 	 */
-	private refuseGarbage(error: NodeJS.ErrnoException, socket: Socket): void {
-		const refusal = garbageRefusal(error.code);
+	private answerClientError(error: NodeJS.ErrnoException, socket: Socket): void {
+		const refusal = refusalOfClientError(error.code);
 		this.services.metrics.refusals.inc({reason: refusal.reason, verdict: refusal.verdict});
 		if (error.code === 'ECONNRESET' || !socket.writable) {
 			socket.destroy();
 			return;
 		}
 
-		if ((this.busySockets.get(socket) ?? 0) > 0) {
+		if ((this.requestsBySocket.get(socket) ?? 0) > 0) {
 			return;
 		}
 
@@ -235,7 +235,7 @@
 	}
 }
 
-function garbageRefusal(code: string | undefined): Refusal {
+function refusalOfClientError(code: string | undefined): Refusal {
 	if (code === 'HPE_HEADER_OVERFLOW') {
 		return Refusal.create('headers-too-large', 'The request head is too large.');
 	}
--- a/src/door/chat-door.ts
+++ b/src/door/chat-door.ts
@@ -12,7 +12,7 @@
 import {RequestRecord, type RecordListener, type RecordName} from '../records/request-record.js';
 import type {TableView} from '../table/table-view.js';
 import {
-	govern, readRequestKey, readRequestKind, readTimeout, type CallerExchange, type Governed,
+	findServiceRow, readRequestKey, readRequestKind, readTimeout, type CallerExchange, type ServiceRow,
 } from './caller-exchange.js';
 import {decodeChatRequest, type ChatRequest} from './chat-request.js';
 import {EventStream} from './event-stream.js';
@@ -23,7 +23,7 @@
 type Call = {
 	readonly exchange: CallerExchange;
 	readonly request: ChatRequest;
-	readonly governed: Governed;
+	readonly serviceRow: ServiceRow;
 	readonly key: RequestKey | undefined;
 	readonly fingerprint: string;
 	/** Number of events that the caller already has. */
@@ -32,7 +32,7 @@
 	readonly deadlineAt: number;
 };
 
-const digits = /^\d{1,9}$/v;
+const positionPattern = /^\d{1,9}$/v;
 
 /** Answers chat completions; resumes streams after a disconnect, also streams of other boxes. */
 export class ChatDoor {
@@ -61,8 +61,8 @@
 	answer(exchange: CallerExchange): Effect.Effect<void, Refusal> {
 		return Effect.gen({self: this}, function * () {
 			const call = yield * this.admit(exchange);
-			const record = yield * this.recordFor(call);
-			yield * this.send(record, call).pipe(Effect.onInterrupt(() => this.afterHangUp(record, call)));
+			const record = yield * this.findOrStart(call);
+			yield * this.send(record, call).pipe(Effect.onInterrupt(() => this.afterDisconnect(record, call)));
 		});
 	}
 
@@ -70,21 +70,21 @@
 		return Effect.gen({self: this}, function * () {
 			const request = yield * decodeChatRequest(exchange.body);
 			const kind = request.kind ?? (yield * readRequestKind(exchange.incoming));
-			const governed = yield * govern(this.table, exchange.account, {service: request.service, type: 'model', kind});
+			const serviceRow = yield * findServiceRow(this.table, exchange.account, {service: request.service, type: 'model', kind});
 			const key = yield * readRequestKey(exchange.incoming);
-			if (key === undefined && !governed.row.repeatable) {
+			if (key === undefined && !serviceRow.row.repeatable) {
 				return yield * Effect.fail(Refusal.create(
 					'request-key-missing',
 					'Requests of this kind are not repeatable: name each with an Idempotency-Key.',
 				));
 			}
 
-			const timeout = yield * readTimeout(exchange.incoming, governed.service);
+			const timeout = yield * readTimeout(exchange.incoming, serviceRow.service);
 			const from = yield * readPosition(exchange, key);
 			return {
 				exchange,
 				request,
-				governed,
+				serviceRow,
 				key,
 				from,
 				// The fingerprint detects a key that is reused for another request, so a request without a key needs none.
@@ -95,7 +95,7 @@
 	}
 
 	/** @returns The record of the request: an existing one with the same key, or a new one. */
-	private recordFor(call: Call): Effect.Effect<RequestRecord, Refusal> {
+	private findOrStart(call: Call): Effect.Effect<RequestRecord, Refusal> {
 		return Effect.gen({self: this}, function * () {
 			const {key} = call;
 			if (key === undefined) {
@@ -103,7 +103,7 @@
 			}
 
 			const name = {account: call.exchange.account.name, key};
-			const known = this.services.records.lookUp(name) ?? (call.from > 0 ? yield * this.fetch(name, call) : undefined);
+			const known = this.services.records.lookUp(name) ?? (call.from > 0 ? yield * this.adoptFromPeer(name, call) : undefined);
 			if (!known) {
 				return call.from > 0
 					? yield * Effect.fail(Refusal.create('record-lost', 'No box has this stream any more. Ask again without Last-Event-ID.'))
@@ -114,17 +114,17 @@
 				return yield * Effect.fail(Refusal.create('request-key-reused', 'This Idempotency-Key was used for a request with another content. Take a new key.'));
 			}
 
-			return this.goOn(known, call);
+			return this.continueKnown(known, call);
 		});
 	}
 
 	private startNew(call: Call, name: RecordName): RequestRecord {
-		const {request, governed, fingerprint} = call;
+		const {request, serviceRow, fingerprint} = call;
 		const record = RequestRecord.create({
 			...name,
 			fingerprint,
-			service: governed.service.name,
-			kind: governed.row.kind,
+			service: serviceRow.service.name,
+			kind: serviceRow.row.kind,
 			body: request.body,
 			requestId: randomUUID(),
 			isNamed: call.key !== undefined,
@@ -134,7 +134,7 @@
 		return record;
 	}
 
-	private goOn(known: RequestRecord, call: Call): RequestRecord {
+	private continueKnown(known: RequestRecord, call: Call): RequestRecord {
 		if (known.state === 'paused') {
 			known.restart();
 			this.run(known, call, 'caller-resumed');
@@ -148,7 +148,7 @@
 	}
 
 	/** Takes a record over from a peer, so that the stream continues on this box. */
-	private fetch(name: RecordName, call: Call): Effect.Effect<RequestRecord | undefined> {
+	private adoptFromPeer(name: RecordName, call: Call): Effect.Effect<RequestRecord | undefined> {
 		return this.finder.lookUp(name, true).pipe(Effect.map(snapshot => snapshot && this.adopt(snapshot, call)));
 	}
 
@@ -171,9 +171,9 @@
 		return record;
 	}
 
-	private run(record: RequestRecord, {request, governed, deadlineAt}: Call, origin: ChatPlan['origin']): void {
+	private run(record: RequestRecord, {request, serviceRow, deadlineAt}: Call, origin: ChatPlan['origin']): void {
 		const run = ChatRun.create(this.services, record, {
-			...governed, prompt: request.prompt, maximumTokens: request.maximumTokens, deadlineAt, origin,
+			...serviceRow, prompt: request.prompt, maximumTokens: request.maximumTokens, deadlineAt, origin,
 		});
 		this.services.runs.start(record, run.run());
 	}
@@ -190,7 +190,7 @@
 				? EventStream.create(response, {
 					record, from: call.from, wantsUsage: call.request.wantsUsage, onEnd,
 				})
-				: wholeAnswer(record, call, onEnd);
+				: createWholeAnswerListener(record, call, onEnd);
 			const stop = record.listen(listener);
 			return Effect.sync(stop);
 		});
@@ -205,8 +205,8 @@
 	}
 
 	/** Stops a repeatable request that has no reader left; the caller may resume it. */
-	private afterHangUp(record: RequestRecord, {governed}: Call): Effect.Effect<void> {
-		return record.isRead || !governed.row.repeatable || record.state !== 'running'
+	private afterDisconnect(record: RequestRecord, {serviceRow}: Call): Effect.Effect<void> {
+		return record.isRead || !serviceRow.row.repeatable || record.state !== 'running'
 			? Effect.void
 			: this.services.runs.stop(record);
 	}
@@ -223,13 +223,13 @@
 		return Effect.fail(Refusal.create('malformed', 'Last-Event-ID: expected the Idempotency-Key of the stream with it.'));
 	}
 
-	return typeof header === 'string' && digits.test(header)
+	return typeof header === 'string' && positionPattern.test(header)
 		? Effect.succeed(Number(header))
 		: Effect.fail(Refusal.create('malformed', 'Last-Event-ID: expected the id of an event of the stream.'));
 }
 
 /** @returns A listener that sends the whole answer when the record ends. */
-function wholeAnswer(record: RequestRecord, {exchange: {response}}: Call, onEnd: () => void): RecordListener {
+function createWholeAnswerListener(record: RequestRecord, {exchange: {response}}: Call, onEnd: () => void): RecordListener {
 	const listener: RecordListener = {
 		onEvents: () => true,
 		onEnd() {
--- a/src/door/chat-request.ts
+++ b/src/door/chat-request.ts
@@ -11,10 +11,10 @@
 import {describePrompt, type Prompt} from '../routing/prefix-belief.js';
 
 /** Tokens. */
-const largestAnswer = 131_072;
+const maxAnswerTokens = 131_072;
 /** Tokens of an answer where the caller sets no maximum. */
-const defaultAnswer = 1024;
-const AnswerLength = Schema.Int.check(Schema.isBetween({minimum: 1, maximum: largestAnswer}, {expected: `a whole number from 1 to ${largestAnswer}`}));
+const defaultAnswerTokens = 1024;
+const AnswerLength = Schema.Int.check(Schema.isBetween({minimum: 1, maximum: maxAnswerTokens}, {expected: `a whole number from 1 to ${maxAnswerTokens}`}));
 const Message = Schema.Struct({
 	role: Schema.String,
 	content: Schema.optionalKey(Schema.NullOr(Schema.Union([Schema.String, Schema.Array(Schema.Struct({type: Schema.String}))]))),
@@ -71,7 +71,7 @@
 		return malformed(`model: "${kind}" is not the name of a request kind`);
 	}
 
-	const maximumTokens = body.max_completion_tokens ?? body.max_tokens ?? defaultAnswer;
+	const maximumTokens = body.max_completion_tokens ?? body.max_tokens ?? defaultAnswerTokens;
 	return Effect.succeed({
 		service: service as ServiceName,
 		kind,
--- a/src/door/event-stream.ts
+++ b/src/door/event-stream.ts
@@ -61,9 +61,9 @@
 
 	private begin(): void {
 		const {record, from} = this.plan;
-		const missed = record.events.slice(from);
-		if (missed.length > 0) {
-			this.onEvents(missed, from);
+		const pending = record.events.slice(from);
+		if (pending.length > 0) {
+			this.onEvents(pending, from);
 		}
 
 		if (record.state === 'finished' || record.state === 'refused') {
--- a/src/door/operators-door.ts
+++ b/src/door/operators-door.ts
@@ -15,7 +15,7 @@
 };
 
 /** The sources of the responses. */
-export type OperatorsDoorServices = {
+export type OperatorsListenerServices = {
 	readonly metrics: Metrics;
 	readonly readiness: () => Readiness;
 	/** @returns The content of `/status`, serialised as JSON. */
@@ -26,7 +26,7 @@
 	response.writeHead(status, {'Content-Type': type}).end(body);
 }
 
-function answer(path: string, response: ServerResponse, {metrics, readiness, status}: OperatorsDoorServices): void {
+function answer(path: string, response: ServerResponse, {metrics, readiness, status}: OperatorsListenerServices): void {
 	switch (path) {
 		case '/healthz': {
 			send(response, 200, 'text/plain', 'alive\n');
@@ -65,7 +65,7 @@
  * @param port - TCP port; zero for any.
  * @returns The TCP port.
  */
-export function openOperatorsDoor(services: OperatorsDoorServices, host: string, port: number): Effect.Effect<number, never, Scope.Scope> {
+export function openOperatorsDoor(services: OperatorsListenerServices, host: string, port: number): Effect.Effect<number, never, Scope.Scope> {
 	const open = Effect.promise(async (): Promise<Server> => {
 		const server = createServer((incoming, response) => {
 			answer(incoming.url ?? '/', response, services);
--- a/src/door/refusal-log.ts
+++ b/src/door/refusal-log.ts
@@ -6,9 +6,9 @@
 import type {Refusal} from '../base/verdict.js';
 
 /** Maximum number of lines per second; further refusals of that second are only counted. */
-const linesPerSecond = 50;
+const maxLinesPerSecond = 50;
 /** Maximum number of characters of a path in the log; the rest is cut off. */
-const longestPath = 200;
+const maxPathLength = 200;
 const millisecondsPerSecond = 1000;
 
 /** Writes refused requests to the event log, with a rate limit. */
@@ -24,7 +24,7 @@
 
 	private second = 0;
 	private lines = 0;
-	private leftOut = 0;
+	private omittedLines = 0;
 
 	private constructor(private readonly log: EventLog, private readonly now: () => number) {}
 
@@ -35,14 +35,14 @@
 	 */
 	write({reason, verdict, detail, retryAfter}: Refusal, {method, url}: Pick<IncomingMessage, 'method' | 'url'>, took: number): void {
 		this.beginSecond();
-		if (this.lines >= linesPerSecond) {
-			this.leftOut++;
+		if (this.lines >= maxLinesPerSecond) {
+			this.omittedLines++;
 			return;
 		}
 
 		this.lines++;
 		this.log.write('callerRefused', {
-			method, path: (url ?? '').split('?', 1)[0]!.slice(0, longestPath), reason, verdict, detail, retryAfter, took: Math.round(took),
+			method, path: (url ?? '').split('?', 1)[0]!.slice(0, maxPathLength), reason, verdict, detail, retryAfter, took: Math.round(took),
 		});
 	}
 
@@ -54,9 +54,9 @@
 
 		this.second = second;
 		this.lines = 0;
-		if (this.leftOut > 0) {
-			this.log.write('logLinesLeftOut', {lines: this.leftOut});
-			this.leftOut = 0;
+		if (this.omittedLines > 0) {
+			this.log.write('logLinesLeftOut', {lines: this.omittedLines});
+			this.omittedLines = 0;
 		}
 	}
 }
--- a/src/door/request-door.ts
+++ b/src/door/request-door.ts
@@ -62,9 +62,9 @@
 	}
 
 	private statusOfRecord(name: RecordName): Effect.Effect<Status | undefined> {
-		const own = this.services.records.lookUp(name);
-		return own
-			? Effect.succeed(statusOf(own))
+		const localRecord = this.services.records.lookUp(name);
+		return localRecord
+			? Effect.succeed(statusOf(localRecord))
 			: this.finder.lookUp(name, false).pipe(Effect.map(snapshot => snapshot && statusOf(recordOf(snapshot))));
 	}
 
@@ -105,10 +105,10 @@
 }
 
 function statusOfEntry({key}: RecordName, {state, answer}: ClaimEntry): Status {
-	const words = {claimed: 'may-have-run', released: 'not-run', ran: 'ran'} as const;
+	const stateNames = {claimed: 'may-have-run', released: 'not-run', ran: 'ran'} as const;
 	return {
 		key,
-		state: words[state],
+		state: stateNames[state],
 		...(answer ? {answer: {...answer, body: Buffer.from(answer.body, 'base64').toString()}} : {}),
 	};
 }
--- a/src/door/service-door.ts
+++ b/src/door/service-door.ts
@@ -9,7 +9,7 @@
 import {ServiceRun, type ServiceAnswer, type ServicePlan} from '../dispatch/service-run.js';
 import type {TableView} from '../table/table-view.js';
 import {
-	govern, readRequestKey, readRequestKind, readTimeout, type CallerExchange,
+	findServiceRow, readRequestKey, readRequestKind, readTimeout, type CallerExchange,
 } from './caller-exchange.js';
 
 const pathPattern = /^\/v1\/services\/(?<service>[^\/?]{1,63})(?<rest>\/[^?#]*)?$/v;
@@ -38,7 +38,7 @@
 		return Effect.gen({self: this}, function * () {
 			const plan = yield * this.admit(exchange);
 			const run = this.services.runs.track(ServiceRun.create(this.services, plan).run());
-			const answer = plan.row.repeatable ? yield * run : yield * detached(run);
+			const answer = plan.row.repeatable ? yield * run : yield * runDetached(run);
 			this.services.metrics.requests.inc({service: plan.service.name, outcome: 'answered'});
 			send(exchange, answer);
 		});
@@ -53,7 +53,7 @@
 			}
 
 			const kind = yield * readRequestKind(incoming);
-			const {service, row} = yield * govern(this.table, account, {service: path.service!, type: 'plain', kind});
+			const {service, row} = yield * findServiceRow(this.table, account, {service: path.service!, type: 'plain', kind});
 			const key = yield * readRequestKey(incoming);
 			if (key === undefined && !row.repeatable) {
 				return yield * Effect.fail(Refusal.create(
@@ -80,7 +80,7 @@
 }
 
 /** @returns The same run, which continues when the waiting fiber is interrupted. */
-function detached<Answer, Failure>(run: Effect.Effect<Answer, Failure>): Effect.Effect<Answer, Failure> {
+function runDetached<Answer, Failure>(run: Effect.Effect<Answer, Failure>): Effect.Effect<Answer, Failure> {
 	return Effect.callback<Answer, Failure>(resume => {
 		Effect.runFork(run).addObserver(exit => {
 			resume(exit);
