--- a/src/upstream/engine-event.ts
+++ b/src/upstream/engine-event.ts
@@ -1,5 +1,5 @@
 /**
- * What is proved of an engine's events before their text is passed on with ids of our own.
+ * Validates the events of an engine before they are passed on to the caller with event ids of this system.
  *
  * @remarks Source: the chunk object of a chat completion, and the end of its stream, in the interface that OpenAI published.
  */
@@ -11,28 +11,28 @@
 
 const field = 'data: ';
 const doneEvent = 'data: [DONE]\n\n';
-/** Behind the only line of an event. */
+/** The end of an event, after its only line. */
 const blankLine = '\n\n';
-/** Where the text of a token begins; inside a string of JSON this would have backslashes. */
+/** Marks the start of the text of a token. It cannot occur inside a JSON string, where its quotes would be escaped. */
 const textStart = '"content":"';
-/** What stands in a string of JSON as it is. */
+/** Characters that need no escape in a JSON string. */
 const plainText = /^[^"\\\p{Cc}]*$/v;
-/** Characters of an event that are shown in a failure. */
+/** Maximum number of characters of an event that are quoted in a failure. */
 const longestShown = 60;
 
-/** What an event is. */
+/** The kind of an event. */
 export type EngineEvent = Data.TaggedEnum<{
-	/** One token, for the caller. */
+	/** A token, which is passed on to the caller. */
 	readonly Token: Readonly<Record<never, never>>;
 	readonly Usage: {readonly usage: EngineUsage};
-	/** A comment, or what stands behind the end or behind what cannot be read: not for the caller. */
+	/** A comment, or an event after the end of the answer or after an invalid event. It is not passed on. */
 	readonly Nothing: Readonly<Record<never, never>>;
 	readonly Done: Readonly<Record<never, never>>;
-	/** No event of this answer. */
+	/** An event that is invalid or belongs to another answer. */
 	readonly Garbled: {readonly detail: string};
 }>;
 const EngineEvent = Data.taggedEnum<EngineEvent>();
-/** Made once: the first is read for each token. */
+/** Created once, since one of them is returned for almost every token. */
 const [token, nothing, done] = [EngineEvent.Token(), EngineEvent.Nothing(), EngineEvent.Done()];
 
 const Count = Schema.Int.check(Schema.isGreaterThanOrEqualTo(0));
@@ -43,13 +43,13 @@
 		prompt_tokens_details: Schema.optionalKey(Schema.NullOr(Schema.Struct({cached_tokens: Schema.optionalKey(Schema.NullOr(Count))}))),
 	}),
 });
-/** What engines add is skipped. */
+/** Ignores unknown fields, which engines may add. */
 const decodeUsage = createDecoder(UsageLayout, 'ignore');
 
 type Fields = Readonly<Record<string, unknown>>;
 
 const isObject = (value: unknown): value is Fields => typeof value === 'object' && value !== null;
-/** The interface has null where there is no text, or no call. */
+/** The published interface allows null where a token has no text or no tool call. */
 const isAbsent = (value: unknown): boolean => value === undefined || value === null;
 
 /** Reads the events of one answer, in order. */
@@ -60,22 +60,22 @@
 	}
 
 	private id: unknown;
-	/** What stood around the text of the last token that was read in full: an event that differs in its text alone is proved by it. */
+	/** The parts before and after the text of the last token that was parsed. An event that differs only in its text is valid without parsing. */
 	private around: {readonly before: string; readonly behind: string} | undefined;
 	private ending: 'done' | 'garbled' | undefined;
 
 	private constructor() {
-		// Made by create().
+		// Use create().
 	}
 
-	/** Whether the last event of the answer has come. */
+	/** Whether the last event of the answer was read. */
 	get isDone(): boolean {
 		return this.ending === 'done';
 	}
 
 	/**
 	 * @param event - The next event, with its closing blank line.
-	 * @returns What it is; nothing more is read once the answer has ended, or once one could not be read.
+	 * @returns Its kind. All events after the end of the answer or after an invalid event are ignored.
 	 */
 	read(event: string): EngineEvent {
 		if (this.ending !== undefined) {
@@ -96,7 +96,7 @@
 		return seen;
 	}
 
-	/** Most events do, and to compare costs a fraction of reading them in full. */
+	/** @returns Whether only the text differs from the last parsed token. Most events do, and the comparison costs a fraction of parsing. */
 	private differsInTextAlone(event: string): boolean {
 		if (this.around === undefined) {
 			return false;
@@ -130,7 +130,7 @@
 		return content.choices.length === 0 ? usageOf(content) : this.judgeToken(content, content.choices, event);
 	}
 
-	/** By hand: a schema costs many times as much. */
+	/** Validates by hand, since decoding with a schema costs many times as much. */
 	private judgeToken({id}: Fields, choices: readonly unknown[], event: string): EngineEvent {
 		if (!choices.every(choice => isObject(choice) && isDelta(choice.delta))) {
 			return garbled('a token without its text', event);
@@ -149,7 +149,7 @@
 		const mark = event.indexOf(textStart);
 		const start = mark + textStart.length;
 		const end = event.indexOf('"', start);
-		// A backslash may stand before a quote that ends nothing.
+		// With a backslash in the text, the quote found may be an escaped one rather than the end of the string.
 		if (mark !== -1 && plainText.test(event.slice(start, end))) {
 			this.around = {before: event.slice(0, start), behind: event.slice(end)};
 		}
--- a/src/upstream/event-splitter.ts
+++ b/src/upstream/event-splitter.ts
@@ -1,20 +1,20 @@
 /**
- * Cuts a stream of text into whole server-sent events, however its bytes arrive.
+ * Splits a stream of text into server-sent events, regardless of chunk boundaries.
  */
 
 const boundary = '\n\n';
 const lineEnd = '\n';
-/** Characters of one event at most. A sender that never ends one would otherwise fill the memory. */
+/** Maximum length of an event in characters. Without it, a sender that never ends an event would exhaust the memory. */
 const largestEvent = 1_048_576;
 const comment = /^(?:(?::.*)?\n)+$/v;
 
 /**
- * @param event - What stands before a blank line, with it.
- * @returns Whether it is no event but only comments, with which a sender keeps a connection in use.
+ * @param event - An event with its closing blank line.
+ * @returns Whether it consists only of comments, which senders use as keep-alive.
  */
 export const isComment = (event: string): boolean => comment.test(event);
 
-/** Keeps what is not yet a whole event. */
+/** Buffers an incomplete event until the rest arrives. */
 export class EventSplitter {
 	/** @returns A splitter at the start of a stream. */
 	static create(): EventSplitter {
@@ -25,31 +25,33 @@
 	private endsLine = false;
 
 	private constructor() {
-		// Made by create().
+		// Use create().
 	}
 
-	/** Characters that have come and are not yet a whole event. */
+	/** Number of characters received of an incomplete event. */
 	get heldBack(): number {
 		return this.rest.length;
 	}
 
-	/** Whether what is held back is too large to become an event. */
+	/** Whether the incomplete event exceeds the maximum length. */
 	get isOverfull(): boolean {
 		return this.rest.length > largestEvent;
 	}
 
 	/**
-	 * @param chunk - The next piece of the stream, of any length.
-	 * @returns The events that are whole now, each with its closing blank line.
+	 * @param chunk - The next chunk of the stream, of any length.
+	 * @returns The events that are now complete, each with its closing blank line.
 	 */
 	split(chunk: string): readonly string[] {
 		const found = chunk.indexOf(boundary);
-		// Mostly a chunk is exactly one event: 1.5 us an event in place of 3.5 (npm run bench -- streams). A position of -1 is no end of one.
+		// Fast path, since most chunks are exactly one event: 1.5 µs per event instead of 3.5 µs (npm run bench -- streams). The check for -1 is
+		// needed because -1 + 2 is the length of a chunk of one character.
 		if (this.rest === '' && found !== -1 && found + boundary.length === chunk.length) {
 			return [chunk];
 		}
 
-		// The blank line may be cut in two. Nothing is searched twice before it has come, so that bytes one by one cost no square of their number.
+		// A blank line may be split between two chunks. Only the new chunk is searched; searching the whole buffer for each chunk would take
+		// quadratic time where a stream arrives byte by byte.
 		const isEnded = found !== -1 || (this.endsLine && chunk.startsWith(lineEnd));
 		this.rest += chunk;
 		this.endsLine = chunk === '' ? this.endsLine : chunk.endsWith(lineEnd);
--- a/src/upstream/http-load.ts
+++ b/src/upstream/http-load.ts
@@ -1,5 +1,5 @@
 /**
- * Load reports over HTTP, which all upstreams give the same way.
+ * Load reports over HTTP, in the same form from all upstreams.
  */
 import {Buffer} from 'node:buffer';
 import * as Effect from 'effect/Effect';
@@ -10,13 +10,14 @@
 import type {LoadReport} from './load-report.js';
 import {UpstreamFailure} from './upstream-failure.js';
 
+/** Milliseconds. */
 const reportTimeout = 1000;
 const Count = Schema.Int.check(Schema.isGreaterThanOrEqualTo(0));
-/** What an upstream adds is skipped. */
+/** Ignores unknown fields, which upstreams may add. */
 const decodeReport = createDecoder(Schema.Struct({running: Count, queued: Count, isLeaving: Schema.Boolean}), 'ignore');
 
 /**
- * @param client - Connections to the upstream.
+ * @param client - HTTP client of the upstream.
  * @returns Its load report.
  */
 export function readLoad(client: HttpClient): Effect.Effect<LoadReport, UpstreamFailure> {
@@ -29,8 +30,8 @@
 }
 
 /**
- * @param body - Body of a 503 of an upstream.
- * @returns The reason it names: leaving, or another refusal.
+ * @param body - Body of a response with status 503 from an upstream.
+ * @returns `leaving` if the body names that reason; otherwise `refused`.
  */
 export function refusalReasonOf(body: Uint8Array): 'leaving' | 'refused' {
 	return Buffer.from(body).includes('"leaving"') ? 'leaving' : 'refused';
--- a/src/upstream/http-model-engine.ts
+++ b/src/upstream/http-model-engine.ts
@@ -1,5 +1,5 @@
 /**
- * A model engine over HTTP with the interface that OpenAI published, and server-sent events.
+ * A client of a model engine over HTTP, with the interface that OpenAI published and server-sent events.
  */
 import {Buffer} from 'node:buffer';
 import * as Effect from 'effect/Effect';
@@ -20,10 +20,11 @@
 
 const ok = 200;
 const unavailable = 503;
-/** Statuses from here on are failures of the engine itself; it may have run the request before. */
+/** From this status on, the engine itself failed, possibly after it ran the request. */
 const firstServerError = 500;
-/** Milliseconds an engine may take for an answer; callers' deadlines are shorter and kept elsewhere. */
+/** Milliseconds; practically no timeout, since each attempt enforces the shorter deadline of its caller. */
 const longestAnswer = 86_400_000;
+/** Milliseconds. */
 const importTimeout = 5000;
 
 const decodeImport = createDecoder(Schema.Struct({tokens: Schema.Int}), 'ignore');
@@ -36,10 +37,10 @@
 
 const broken = (reason: 'cut' | 'garbled', detail: string): UpstreamFailure => new UpstreamFailure({reason, verdict: 'may-have-run', detail});
 
-/** Speaks to an engine by HTTP. */
+/** Talks to an engine over HTTP. */
 export class HttpModelEngine extends ModelEngine {
 	/**
-	 * @param client - Connections to the engine.
+	 * @param client - HTTP client of the engine.
 	 * @returns The engine.
 	 */
 	static create(client: HttpClient): HttpModelEngine {
@@ -117,7 +118,7 @@
 	);
 }
 
-/** Bytes go from the engine to the listener by Node's own stream: this is the hot path. */
+/** Passes the response on to the listener. Uses the events of Node's stream directly, since this is the hot path. */
 function streamOf({message}: OpenAnswer, listener: EngineListener): EngineStream {
 	const splitter = EventSplitter.create();
 	const reader = EngineEventReader.create();
@@ -135,7 +136,7 @@
 		return seen._tag === 'Token';
 	};
 
-	/** What was proved before something could not be read is passed on all the same. */
+	/** Passes on the valid tokens of a chunk, also those before an invalid event. */
 	const take = (chunk: string): void => {
 		const tokens = splitter.split(chunk).filter(event => isToken(event));
 		if (tokens.length > 0 && !listener.onTokens(tokens)) {
@@ -155,7 +156,7 @@
 
 		message.on('data', (chunk: string) => {
 			if (reader.isDone) {
-				// The answer is whole; what comes behind it is none of it, and its connection is not used again.
+				// Data after the last event is not part of the answer. It is dropped, and the connection is not reused.
 				end(Effect.void);
 				message.destroy();
 				return;
@@ -174,7 +175,7 @@
 			resume(Effect.fail(broken('cut', error.message)));
 		});
 		message.once('close', () => {
-			// Each answer closes; building a failure for each would cost more than all else here.
+			// Every response emits 'close'. The check avoids creating an error for each complete answer, which would dominate the cost.
 			if (!hasEnded) {
 				resume(Effect.fail(broken('cut', 'the connection closed before the answer was whole')));
 			}
--- a/src/upstream/http-plain-service.ts
+++ b/src/upstream/http-plain-service.ts
@@ -1,5 +1,5 @@
 /**
- * A plain service over HTTP.
+ * A client of a plain service over HTTP.
  */
 import * as Effect from 'effect/Effect';
 import type {HttpAnswer, HttpClient, HttpFailure} from '../base/http-client.js';
@@ -14,10 +14,10 @@
 	? new UpstreamFailure({reason: 'cut', verdict: 'may-have-run', detail: failure.detail})
 	: new UpstreamFailure({reason: 'unreachable', verdict: 'not-run', detail: failure.detail});
 
-/** Calls a plain service by HTTP, over a connection of its own for each call. */
+/** Calls a plain service over HTTP, with a new connection for each call. */
 export class HttpPlainService extends PlainService {
 	/**
-	 * @param client - Connections to the upstream.
+	 * @param client - HTTP client of the upstream.
 	 * @returns The service.
 	 */
 	static create(client: HttpClient): HttpPlainService {
@@ -51,7 +51,7 @@
 	}
 }
 
-/** An upstream that answers 503 has refused before it ran anything: that is its word in the published interface. */
+/** The interface defines status 503 as a refusal before the call ran. Any other status is an answer. */
 function answerOf(answer: HttpAnswer): Effect.Effect<PlainAnswer, UpstreamFailure> {
 	return answer.status === unavailable
 		? Effect.fail(new UpstreamFailure({reason: refusalReasonOf(answer.body), verdict: 'not-run', detail: 'the upstream answered 503'}))
--- a/src/upstream/load-report.ts
+++ b/src/upstream/load-report.ts
@@ -1,12 +1,12 @@
 /**
- * What an upstream says of its load, with a lag.
+ * The load that an upstream reports. A report lags behind the actual load.
  */
 
 /** A load report. */
 export type LoadReport = {
-	/** Requests that run. */
+	/** Number of running requests. */
 	readonly running: number;
-	/** Requests that wait. */
+	/** Number of waiting requests. */
 	readonly queued: number;
 	readonly isLeaving: boolean;
 };
--- a/src/upstream/model-engine.ts
+++ b/src/upstream/model-engine.ts
@@ -1,5 +1,5 @@
 /**
- * A model engine, as the system speaks to it.
+ * The interface of a model engine, independent of its protocol.
  */
 import type * as Effect from 'effect/Effect';
 import type {LoadReport} from './load-report.js';
@@ -7,29 +7,29 @@
 
 /** A chat completion to run on an engine. */
 export type EngineRequest = {
-	/** Name of the request at the engine: the same over all attempts. */
+	/** Id of the request at the engine; the same for all attempts. */
 	readonly requestId: string;
-	/** The caller's request: what the published interface holds. */
+	/** The request body of the caller, in the form of the published interface. */
 	readonly body: Readonly<Record<string, unknown>>;
 	readonly priority: number;
-	/** Tokens of the answer that the caller has already; the engine goes on after them. */
+	/** Number of tokens of the answer that already exist; the engine continues after them. */
 	readonly offset: number;
 	/** Text of those tokens. */
 	readonly textSoFar: string;
 };
 
-/** What an engine says at the end of an answer. */
+/** The token counts that an engine reports at the end of an answer. */
 export type EngineUsage = {
 	readonly promptTokens: number;
 	readonly completionTokens: number;
 	readonly cachedTokens: number;
 };
 
-/** Takes the pieces of an answer as they come. */
+/** Receives the parts of an answer as they arrive. */
 export type EngineListener = {
 	/**
-	 * Some tokens came, each as one event of the published stream, in order.
-	 * Called with whole events only. Returns false when the listener wants a pause.
+	 * Called with new tokens in order, each as one complete server-sent event.
+	 * Returns false to pause the stream.
 	 */
 	readonly onTokens: (events: readonly string[]) => boolean;
 	readonly onUsage: (usage: EngineUsage, event: string) => void;
@@ -37,41 +37,41 @@
 
 /** An answer that is being received. */
 export type EngineStream = {
-	/** Ends when the answer is whole; fails when it is cut. Interruption cancels the request at the engine. */
+	/** Completes when the answer is complete; fails when it is cut or invalid. Interruption cancels the request at the engine. */
 	readonly completed: Effect.Effect<void, UpstreamFailure>;
-	/** The listener is ready for more after it asked for a pause. */
+	/** Resumes the stream after the listener paused it. */
 	readonly resume: () => void;
 };
 
-/** KV cache that another engine holds for a request. */
+/** The engine that holds the KV cache of a request. */
 export type CacheSource = {
 	readonly requestId: string;
 	readonly host: string;
 	readonly port: number;
 };
 
-/** A model engine. Another protocol costs one more class like this. */
+/** A model engine. Each protocol has its own subclass. */
 export abstract class ModelEngine {
 	/**
-	 * Starts a request, or goes on with it at an offset.
+	 * Starts a request, or continues it at an offset.
 	 *
-	 * @param request - What to run.
-	 * @param listener - Takes the answer.
-	 * @returns The answer as it comes, once the engine has accepted the request.
+	 * @param request - The request.
+	 * @param listener - Receives the answer.
+	 * @returns The stream of the answer, once the engine has accepted the request.
 	 */
 	abstract start(request: EngineRequest, listener: EngineListener): Effect.Effect<EngineStream, UpstreamFailure>;
 
 	/**
-	 * Fetches a request's KV cache from another engine, so that its tokens need not be computed again.
+	 * Imports the KV cache of a request from another engine, so that its tokens need not be recomputed.
 	 *
-	 * @param source - Who holds it.
-	 * @returns Tokens that came over.
+	 * @param source - The engine that holds it.
+	 * @returns Number of imported tokens.
 	 */
 	abstract importCache(source: CacheSource): Effect.Effect<number, UpstreamFailure>;
 
 	/** @returns The load, as the engine last reported it. */
 	abstract load(): Effect.Effect<LoadReport, UpstreamFailure>;
 
-	/** Closes the connections that are kept. */
+	/** Closes the pooled connections. */
 	abstract close(): void;
 }
--- a/src/upstream/plain-service.ts
+++ b/src/upstream/plain-service.ts
@@ -1,34 +1,34 @@
 /**
- * A plain service, as the system speaks to it.
+ * The interface of a plain service, independent of its protocol.
  */
 import type * as Effect from 'effect/Effect';
 import type {LoadReport} from './load-report.js';
 import type {UpstreamFailure} from './upstream-failure.js';
 
-/** A call of a plain service. */
+/** A call to a plain service. */
 export type PlainCall = {
 	readonly path: string;
 	readonly contentType: string;
 	readonly body: Uint8Array;
-	/** The caller's name for the request, passed on. */
+	/** The idempotency key of the caller, which is passed on to the service. */
 	readonly key: string | undefined;
 	/** Milliseconds for the whole answer. */
 	readonly timeout: number;
 };
 
-/** A whole answer of a plain service. */
+/** The complete answer of a plain service. */
 export type PlainAnswer = {
 	readonly status: number;
 	readonly contentType: string;
 	readonly body: Uint8Array;
 };
 
-/** A plain service on one upstream. Another protocol costs one more class like this. */
+/** A plain service on one upstream. Each protocol has its own subclass. */
 export abstract class PlainService {
 	/**
-	 * Sends a call once. It is never sent again by this class.
+	 * Sends a call once, without retries.
 	 *
-	 * @param call - What to send.
+	 * @param call - The call.
 	 * @returns The answer; a failure says whether the call may have run.
 	 */
 	abstract call(call: PlainCall): Effect.Effect<PlainAnswer, UpstreamFailure>;
@@ -36,6 +36,6 @@
 	/** @returns The load, as the service last reported it. */
 	abstract load(): Effect.Effect<LoadReport, UpstreamFailure>;
 
-	/** Closes the connections that are kept. */
+	/** Closes the pooled connections. */
 	abstract close(): void;
 }
--- a/src/upstream/test/engine-event.test.ts
+++ b/src/upstream/test/engine-event.test.ts
@@ -7,10 +7,10 @@
 const runs = 5000;
 const id = 'chatcmpl-1';
 const withText = (content: string): string => `data: ${JSON.stringify({id, choices: [{index: 0, delta: {content}, finish_reason: null}]})}\n\n`;
-/** Has no text, so that nothing can be compared with it. */
+/** A token without text: the reader cannot take the fast path for the event after it, and parses that event. */
 const textless = `data: ${JSON.stringify({id, choices: [{index: 0, delta: {}}]})}\n\n`;
 
-/** @returns What a reader says of an event that has read another one before. */
+/** @returns The kind of an event, from a reader that has read another event before. */
 function readBehind(before: string, event: string): string {
 	const reader = EngineEventReader.create();
 	assert.equal(reader.read(before)._tag, 'Token');
@@ -18,10 +18,10 @@
 }
 
 const text = fc.string({unit: 'binary', maxLength: 12});
-/** Characters that mean something in JSON or between events. */
+/** Characters and sequences with a special meaning in JSON or in the event format. */
 const oddText = fc.constantFrom('"', '\\', String.raw`\"`, String.raw`\u00`, '\n', '\n\n', '\r', '\u0000', '}', ']', ',', '"content":"', 'data: ', '\u{D800}');
 
-test('an event that is compared with one before it is judged as one that is read in full', () => {
+test('the comparison with the previous event gives the same result as parsing', () => {
 	const event = fc.tuple(text, fc.nat(200), fc.nat(10), fc.oneof(oddText, text, fc.constant(''))).map(([content, place, length, inserted]) => {
 		const good = withText(content);
 		return good.slice(0, place) + inserted + good.slice(place + length);
@@ -35,7 +35,7 @@
 	assert.deepEqual([...tags].sort(), ['Garbled', 'Token']);
 });
 
-test('a token whose text holds quotes, backslashes and lines is a token', () => {
+test('a token whose text contains quotes, backslashes and line breaks is valid', () => {
 	fc.assert(fc.property(fc.array(fc.oneof(text, oddText.filter(value => value !== '\u{D800}')), {minLength: 1, maxLength: 5}), parts => {
 		const reader = EngineEventReader.create();
 		for (const part of [...parts, parts.join('')]) {
@@ -44,7 +44,7 @@
 	}), {seed, numRuns: runs});
 });
 
-test('no text may hide the end of a string', () => {
+test('the comparison gives the same result as parsing for text with quotes, backslashes and line breaks that are not escaped', () => {
 	const whole = withText('a');
 	for (const tail of ['b\\', 'b"', 'b","x":"', 'b"}}],"choices":[{"delta":{"content":"c', '\n', '\r']) {
 		const event = whole.replace('"a"', `"${tail}"`);
--- a/src/upstream/test/http-model-engine.test.ts
+++ b/src/upstream/test/http-model-engine.test.ts
@@ -1,6 +1,6 @@
 /**
- * An event with the usage mark that was not JSON threw in a 'data' handler and ended the process; one of another shape was trusted. Whatever
- * stood between two blank lines went to the caller as a token, with an id of ours.
+ * Guards against invalid data from an engine. A usage event that was not JSON threw in a 'data' handler and crashed the process; a usage event
+ * of another shape was accepted. Anything between two blank lines was passed on to the caller as a token, with an event id.
  */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -32,7 +32,7 @@
 	server.close();
 });
 
-/** What a listener was given, and how the answer ended. */
+/** The events and usages that a listener received, and how the answer ended. */
 type Seen = {readonly events: readonly string[]; readonly usages: readonly EngineUsage[]; readonly ending: string};
 
 const heads = {
@@ -62,10 +62,10 @@
 	return {events, usages, ending};
 }
 
-/** An answer in chunks, as engines send it, with each part in a packet of its own. */
+/** Receives a chunked answer, as engines send it, with each part in its own packet. */
 const receiveParts = async (...parts: readonly string[]): Promise<Seen> => receive({pieces: [heads.chunked, ...parts.map(part => chunkOf(part)), '0\r\n\r\n'], ending: 'open'});
 
-test('a whole answer is passed on event by event, and its usage told', async () => {
+test('a complete answer is passed on event by event, and its usage is reported', async () => {
 	assert.deepEqual(await receiveParts(...tokens, usage + done), {
 		events: tokens, usages: [{promptTokens: 7, completionTokens: 3, cachedTokens: 4}], ending: 'whole',
 	});
@@ -73,67 +73,67 @@
 
 const oddUsages: Readonly<Record<string, string>> = {
 	'that is not JSON': 'data: {"choices":[], "usage"\n\n',
-	'without a usage': 'data: {"id":"chatcmpl-1","choices":[]}\n\n',
-	'with null for it': usageOf(null),
-	'with text for numbers': usageOf({prompt_tokens: '7', completion_tokens: 3}),
-	'with numbers below zero': usageOf({prompt_tokens: -7, completion_tokens: 3}),
-	'with half tokens': usageOf({prompt_tokens: 7.5, completion_tokens: 3}),
+	'without a usage field': 'data: {"id":"chatcmpl-1","choices":[]}\n\n',
+	'whose usage is null': usageOf(null),
+	'with strings instead of numbers': usageOf({prompt_tokens: '7', completion_tokens: 3}),
+	'with negative numbers': usageOf({prompt_tokens: -7, completion_tokens: 3}),
+	'with fractional numbers': usageOf({prompt_tokens: 7.5, completion_tokens: 3}),
 };
 
 for (const [name, event] of Object.entries(oddUsages)) {
-	test(`an event of usage ${name} fails the answer, and nothing of it is told`, async () => {
+	test(`a usage event ${name} fails the answer, and no usage is reported`, async () => {
 		assert.deepEqual(await receiveParts(tokens[0]!, event, done), {events: [tokens[0]], usages: [], ending: 'garbled, may-have-run'});
 	});
 }
 
-test('a usage whose details are null, as some engines write it, is read', async () => {
+test('a usage event whose details are null, as some engines send it, is accepted', async () => {
 	const event = usageOf({prompt_tokens: 7, completion_tokens: 3, prompt_tokens_details: null});
 	assert.deepEqual((await receiveParts(tokens[0]!, event, done)).usages, [{promptTokens: 7, completionTokens: 3, cachedTokens: 0}]);
 });
 
 const oddTokens: Readonly<Record<string, string>> = {
 	'that is not JSON': 'data: {"id":"chatcmpl-1","choices":[{"index"\n\n',
-	'of two that were joined': `${tokens[1]!.slice(0, 20)}${tokens[1]!}`,
-	'of two lines': `data: {"id":"chatcmpl-1",\n${tokens[1]!}`,
-	'with an id of its own': `id: 9\n${tokens[1]!}`,
-	'with a name': `event: error\n${tokens[1]!}`,
+	'that consists of two joined events': `${tokens[1]!.slice(0, 20)}${tokens[1]!}`,
+	'with two lines': `data: {"id":"chatcmpl-1",\n${tokens[1]!}`,
+	'with an id field': `id: 9\n${tokens[1]!}`,
+	'with an event field': `event: error\n${tokens[1]!}`,
 	'with a lone carriage return': 'data: {"choices":\r[{"delta":{}}]}\n\n',
-	'whose line has no field': `x${tokens[1]!}`,
+	'whose line is not a data field': `x${tokens[1]!}`,
 	'without choices': 'data: {"id":"chatcmpl-1"}\n\n',
-	'with an error in their place': 'data: {"error":{"message":"out of memory"}}\n\n',
+	'with an error instead of choices': 'data: {"error":{"message":"out of memory"}}\n\n',
 	'whose choice has no delta': 'data: {"id":"chatcmpl-1","choices":[{"index":0}]}\n\n',
-	'whose content is no text': 'data: {"id":"chatcmpl-1","choices":[{"index":0,"delta":{"content":7}}]}\n\n',
-	'whose tool calls are none': 'data: {"id":"chatcmpl-1","choices":[{"index":0,"delta":{"tool_calls":[null]}}]}\n\n',
-	'of a number alone': 'data: 7\n\n',
-	'of null': 'data: null\n\n',
-	'of another answer': tokenOf(1, 'chatcmpl-2'),
+	'whose content is not a string': 'data: {"id":"chatcmpl-1","choices":[{"index":0,"delta":{"content":7}}]}\n\n',
+	'whose tool calls are invalid': 'data: {"id":"chatcmpl-1","choices":[{"index":0,"delta":{"tool_calls":[null]}}]}\n\n',
+	'that is only a number': 'data: 7\n\n',
+	'that is null': 'data: null\n\n',
+	'that belongs to another answer': tokenOf(1, 'chatcmpl-2'),
 };
 
 for (const [name, event] of Object.entries(oddTokens)) {
-	test(`an event ${name} fails the answer, and neither it nor what follows is passed on`, async () => {
+	test(`an event ${name} fails the answer, and neither it nor later events are passed on`, async () => {
 		const expected = {events: [tokens[0]], usages: [], ending: 'garbled, may-have-run'};
-		assert.deepEqual(await receiveParts(tokens[0]!, event, tokens[2]!, usage + done), expected, 'each by itself');
-		assert.deepEqual(await receiveParts(tokens[0]! + event + tokens[2]! + usage + done), expected, 'all together');
+		assert.deepEqual(await receiveParts(tokens[0]!, event, tokens[2]!, usage + done), expected, 'each in its own packet');
+		assert.deepEqual(await receiveParts(tokens[0]! + event + tokens[2]! + usage + done), expected, 'all in one packet');
 	});
 }
 
-test('a comment is neither passed on nor counted', async () => {
+test('a comment is not passed on as a token', async () => {
 	const {events, ending} = await receiveParts(': keep-alive\n\n', tokens[0]!, ':\n\n', tokens[1]!, done);
 	assert.deepEqual([events, ending], [[tokens[0], tokens[1]], 'whole']);
 });
 
-test('nothing that comes behind the end of an answer is passed on', async () => {
+test('data after the end of an answer is not passed on', async () => {
 	for (const surplus of [tokens[1]!, usage, 'data: {"choices":[],\n\n', 'part of an event']) {
 		assert.deepEqual(await receiveParts(tokens[0]!, done + surplus), {events: [tokens[0]], usages: [], ending: 'whole'});
 		assert.deepEqual(await receiveParts(tokens[0]!, done, surplus, tokens[2]!), {events: [tokens[0]], usages: [], ending: 'whole'});
 	}
 });
 
-test('an answer that ends inside an event, or before its last one, is cut', async () => {
+test('an answer that ends inside an event or before the last event fails as cut', async () => {
 	const text = tokens.join('') + usage + done;
 	const whole = [...tokens, usage, done];
 	const ends = Array.from({length: text.length - 1}, (_, index) => index + 1);
-	// Each end lies in one of the events; a few of each are enough.
+	// Every seventh position is enough: it cuts each event at least once.
 	for (const end of ends.filter(place => place % 7 === 0)) {
 		const part = text.slice(0, end);
 		const before = whole.filter((_, index) => whole.slice(0, index + 1).join('').length <= end);
@@ -145,13 +145,13 @@
 	}
 });
 
-test('an engine that sends without end and without an event is given up on', async () => {
+test('an answer with an event that never ends is aborted', async () => {
 	const part = 'x'.repeat(200_000);
 	const {events, ending} = await receiveParts(tokens[0]!, ...Array.from({length: 6}, () => part));
 	assert.deepEqual([events, ending], [[tokens[0]], 'garbled, may-have-run']);
 });
 
-test('an answer to a fetch of a cache that cannot be read is a failure', async () => {
+test('an invalid answer to a cache import is a failure', async () => {
 	for (const body of ['oops', '{"tokens":"many"}', '{}', 'null', '{"tok']) {
 		server.script = {pieces: [`HTTP/1.1 200 OK\r\nContent-Length: ${body.length}\r\n\r\n${body}`], ending: 'open'};
 		const failure = await Effect.runPromise(Effect.flip(engine.importCache({requestId: 'r', host: '127.0.0.1', port: 1})));
@@ -159,7 +159,7 @@
 	}
 });
 
-test('a load report that cannot be read is a failure, and ends nothing', async () => {
+test('an invalid load report is a failure and does not crash the process', async () => {
 	for (const body of ['oops', '{"running":"many","queued":0,"isLeaving":false}', '[]', 'null', '{"runn']) {
 		server.script = {pieces: [`HTTP/1.1 200 OK\r\nContent-Length: ${body.length}\r\n\r\n${body}`], ending: 'open'};
 		const failure = await Effect.runPromise(Effect.flip(engine.load()));
@@ -170,8 +170,8 @@
 	assert.equal((await Effect.runPromise(Effect.flip(engine.load()))).reason, 'bad-answer');
 });
 
-/** Guards against a chat that may not be repeated and runs twice: its claim was released when the engine had failed it. */
-test('a failure that an engine answers may have run the request; a rejection has not', async () => {
+/** Guards against running a chat that is not repeatable twice: its claim was released although the engine had failed after it started. */
+test('a request that the engine answers with a server error may have run; one that it rejects has not', async () => {
 	const verdicts = {
 		400: 'not-run', 429: 'not-run', 500: 'may-have-run', 502: 'may-have-run', 503: 'not-run', 504: 'may-have-run',
 	};
--- a/src/upstream/test/http-plain-service.test.ts
+++ b/src/upstream/test/http-plain-service.test.ts
@@ -1,5 +1,5 @@
 /**
- * Half a body of a plain service, without a length and ended by a reset, went to its caller with status 200.
+ * Guards against incomplete answers: a partial body without a length, cut off by a connection reset, was passed on to the caller with status 200.
  */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -23,7 +23,7 @@
 	server.close();
 });
 
-test('a body without a length whose connection is reset may have run, and none of it is an answer', async () => {
+test('a call whose answer has no length and is cut off by a reset fails as one that may have run', async () => {
 	for (const ending of ['reset', 'late-reset'] as const) {
 		server.script = {pieces: [head, 'half'], ending};
 		const failure = await Effect.runPromise(Effect.flip(service.call({
