--- a/src/upstream/engine-event.ts
+++ b/src/upstream/engine-event.ts
@@ -9,16 +9,16 @@
 import {createDecoder, describeFaults} from '../base/faults.js';
 import type {EngineUsage} from './model-engine.js';
 
-const field = 'data: ';
+const dataField = 'data: ';
 const doneEvent = 'data: [DONE]\n\n';
 /** The end of an event, after its only line. */
 const blankLine = '\n\n';
 /** Marks the start of the text of a token. It cannot occur inside a JSON string, where its quotes would be escaped. */
 const textStart = '"content":"';
 /** Characters that need no escape in a JSON string. */
-const plainText = /^[^"\\\p{Cc}]*$/v;
+const unescapedText = /^[^"\\\p{Cc}]*$/v;
 /** Maximum number of characters of an event that are quoted in a failure. */
-const longestShown = 60;
+const maxQuotedLength = 60;
 
 /** The kind of an event. */
 export type EngineEvent = Data.TaggedEnum<{
@@ -26,14 +26,14 @@
 	readonly Token: Readonly<Record<never, never>>;
 	readonly Usage: {readonly usage: EngineUsage};
 	/** A comment, or an event after the end of the answer or after an invalid event. It is not passed on. */
-	readonly Nothing: Readonly<Record<never, never>>;
+	readonly Ignored: Readonly<Record<never, never>>;
 	readonly Done: Readonly<Record<never, never>>;
 	/** An event that is invalid or belongs to another answer. */
 	readonly Garbled: {readonly detail: string};
 }>;
 const EngineEvent = Data.taggedEnum<EngineEvent>();
 /** Created once, since one of them is returned for almost every token. */
-const [token, nothing, done] = [EngineEvent.Token(), EngineEvent.Nothing(), EngineEvent.Done()];
+const [token, ignored, done] = [EngineEvent.Token(), EngineEvent.Ignored(), EngineEvent.Done()];
 
 const Count = Schema.Int.check(Schema.isGreaterThanOrEqualTo(0));
 const UsageLayout = Schema.Struct({
@@ -61,7 +61,7 @@
 
 	private id: unknown;
 	/** The parts before and after the text of the last token that was parsed. An event that differs only in its text is valid without parsing. */
-	private around: {readonly before: string; readonly behind: string} | undefined;
+	private envelope: {readonly prefix: string; readonly suffix: string} | undefined;
 	private ending: 'done' | 'garbled' | undefined;
 
 	private constructor() {
@@ -79,37 +79,37 @@
 	 */
 	read(event: string): EngineEvent {
 		if (this.ending !== undefined) {
-			return nothing;
+			return ignored;
 		}
 
-		if (this.differsInTextAlone(event)) {
+		if (this.matchesEnvelope(event)) {
 			return token;
 		}
 
-		const seen = this.judge(event);
-		if (seen._tag === 'Done') {
+		const result = this.classify(event);
+		if (result._tag === 'Done') {
 			this.ending = 'done';
-		} else if (seen._tag === 'Garbled') {
+		} else if (result._tag === 'Garbled') {
 			this.ending = 'garbled';
 		}
 
-		return seen;
+		return result;
 	}
 
 	/** @returns Whether only the text differs from the last parsed token. Most events do, and the comparison costs a fraction of parsing. */
-	private differsInTextAlone(event: string): boolean {
-		if (this.around === undefined) {
+	private matchesEnvelope(event: string): boolean {
+		if (this.envelope === undefined) {
 			return false;
 		}
 
-		const {before, behind} = this.around;
-		return event.length >= before.length + behind.length
-			&& event.startsWith(before)
-			&& event.endsWith(behind)
-			&& plainText.test(event.slice(before.length, event.length - behind.length));
+		const {prefix, suffix} = this.envelope;
+		return event.length >= prefix.length + suffix.length
+			&& event.startsWith(prefix)
+			&& event.endsWith(suffix)
+			&& unescapedText.test(event.slice(prefix.length, event.length - suffix.length));
 	}
 
-	private judge(event: string): EngineEvent {
+	private classify(event: string): EngineEvent {
 		if (event === doneEvent) {
 			return done;
 		}
@@ -119,19 +119,19 @@
 		}
 
 		if (event.startsWith(':')) {
-			return nothing;
+			return ignored;
 		}
 
-		const content = event.startsWith(field) ? parse(event.slice(field.length)) : undefined;
+		const content = event.startsWith(dataField) ? parse(event.slice(dataField.length)) : undefined;
 		if (!isObject(content) || !Array.isArray(content.choices)) {
 			return garbled('an event that is no part of an answer', event);
 		}
 
-		return content.choices.length === 0 ? usageOf(content) : this.judgeToken(content, content.choices, event);
+		return content.choices.length === 0 ? usageOf(content) : this.classifyToken(content, content.choices, event);
 	}
 
 	/** Validates by hand, since decoding with a schema costs many times as much. */
-	private judgeToken({id}: Fields, choices: readonly unknown[], event: string): EngineEvent {
+	private classifyToken({id}: Fields, choices: readonly unknown[], event: string): EngineEvent {
 		if (!choices.every(choice => isObject(choice) && isDelta(choice.delta))) {
 			return garbled('a token without its text', event);
 		}
@@ -141,17 +141,17 @@
 			return garbled('a token of another answer', event);
 		}
 
-		this.noteAround(event);
+		this.recordEnvelope(event);
 		return token;
 	}
 
-	private noteAround(event: string): void {
-		const mark = event.indexOf(textStart);
-		const start = mark + textStart.length;
+	private recordEnvelope(event: string): void {
+		const textIndex = event.indexOf(textStart);
+		const start = textIndex + textStart.length;
 		const end = event.indexOf('"', start);
 		// With a backslash in the text, the quote found may be an escaped one rather than the end of the string.
-		if (mark !== -1 && plainText.test(event.slice(start, end))) {
-			this.around = {before: event.slice(0, start), behind: event.slice(end)};
+		if (textIndex !== -1 && unescapedText.test(event.slice(start, end))) {
+			this.envelope = {prefix: event.slice(0, start), suffix: event.slice(end)};
 		}
 	}
 }
@@ -182,4 +182,4 @@
 	});
 }
 
-const garbled = (what: string, event: string): EngineEvent => EngineEvent.Garbled({detail: `${what}: ${JSON.stringify(event.slice(0, longestShown))}`});
+const garbled = (problem: string, event: string): EngineEvent => EngineEvent.Garbled({detail: `${problem}: ${JSON.stringify(event.slice(0, maxQuotedLength))}`});
--- a/src/upstream/event-splitter.ts
+++ b/src/upstream/event-splitter.ts
@@ -5,7 +5,7 @@
 const boundary = '\n\n';
 const lineEnd = '\n';
 /** Maximum length of an event in characters. Without it, a sender that never ends an event would exhaust the memory. */
-const largestEvent = 1_048_576;
+const maxEventLength = 1_048_576;
 const comment = /^(?:(?::.*)?\n)+$/v;
 
 /**
@@ -21,8 +21,8 @@
 		return new EventSplitter();
 	}
 
-	private rest = '';
-	private endsLine = false;
+	private buffered = '';
+	private endsWithLineEnd = false;
 
 	private constructor() {
 		// Use create().
@@ -30,12 +30,12 @@
 
 	/** Number of characters received of an incomplete event. */
 	get heldBack(): number {
-		return this.rest.length;
+		return this.buffered.length;
 	}
 
 	/** Whether the incomplete event exceeds the maximum length. */
 	get isOverfull(): boolean {
-		return this.rest.length > largestEvent;
+		return this.buffered.length > maxEventLength;
 	}
 
 	/**
@@ -43,25 +43,25 @@
 	 * @returns The events that are now complete, each with its closing blank line.
 	 */
 	split(chunk: string): readonly string[] {
-		const found = chunk.indexOf(boundary);
+		const boundaryIndex = chunk.indexOf(boundary);
 		// Fast path, since most chunks are exactly one event: 1.5 µs per event instead of 3.5 µs (npm run bench -- streams). The check for -1 is
 		// needed because -1 + 2 is the length of a chunk of one character.
-		if (this.rest === '' && found !== -1 && found + boundary.length === chunk.length) {
+		if (this.buffered === '' && boundaryIndex !== -1 && boundaryIndex + boundary.length === chunk.length) {
 			return [chunk];
 		}
 
 		// A blank line may be split between two chunks. Only the new chunk is searched; searching the whole buffer for each chunk would take
 		// quadratic time where a stream arrives byte by byte.
-		const isEnded = found !== -1 || (this.endsLine && chunk.startsWith(lineEnd));
-		this.rest += chunk;
-		this.endsLine = chunk === '' ? this.endsLine : chunk.endsWith(lineEnd);
-		return isEnded ? this.takeWhole() : [];
+		const hasBoundary = boundaryIndex !== -1 || (this.endsWithLineEnd && chunk.startsWith(lineEnd));
+		this.buffered += chunk;
+		this.endsWithLineEnd = chunk === '' ? this.endsWithLineEnd : chunk.endsWith(lineEnd);
+		return hasBoundary ? this.takeComplete() : [];
 	}
 
-	private takeWhole(): readonly string[] {
-		const parts = this.rest.split(boundary);
-		this.rest = parts.pop() ?? '';
-		this.endsLine = this.rest.endsWith(lineEnd);
+	private takeComplete(): readonly string[] {
+		const parts = this.buffered.split(boundary);
+		this.buffered = parts.pop() ?? '';
+		this.endsWithLineEnd = this.buffered.endsWith(lineEnd);
 		return parts.map(part => part + boundary);
 	}
 }
--- a/src/upstream/http-model-engine.ts
+++ b/src/upstream/http-model-engine.ts
@@ -22,20 +22,20 @@
 const unavailable = 503;
 /** From this status on, the engine itself failed, possibly after it ran the request. */
 const firstServerError = 500;
-/** Milliseconds; practically no timeout, since each attempt enforces the shorter deadline of its caller. */
-const longestAnswer = 86_400_000;
+/** Milliseconds, i.e. one day: practically no timeout, since each attempt enforces the shorter deadline of its caller. */
+const maxAnswerTime = 86_400_000;
 /** Milliseconds. */
 const importTimeout = 5000;
 
 const decodeImport = createDecoder(Schema.Struct({tokens: Schema.Int}), 'ignore');
 
-const unreachable = (failure: HttpFailure): UpstreamFailure => new UpstreamFailure({
+const failureOf = (failure: HttpFailure): UpstreamFailure => new UpstreamFailure({
 	reason: failure.maySent ? 'cut' : 'unreachable',
 	verdict: failure.maySent ? 'may-have-run' : 'not-run',
 	detail: failure.detail,
 });
 
-const broken = (reason: 'cut' | 'garbled', detail: string): UpstreamFailure => new UpstreamFailure({reason, verdict: 'may-have-run', detail});
+const streamFailure = (reason: 'cut' | 'garbled', detail: string): UpstreamFailure => new UpstreamFailure({reason, verdict: 'may-have-run', detail});
 
 /** Talks to an engine over HTTP. */
 export class HttpModelEngine extends ModelEngine {
@@ -57,9 +57,9 @@
 			path: '/v1/chat/completions',
 			headers: {'Content-Type': 'application/json'},
 			body: JSON.stringify(bodyOf(request)),
-			timeout: longestAnswer,
+			timeout: maxAnswerTime,
 		}).pipe(
-			Effect.mapError(failure => unreachable(failure)),
+			Effect.mapError(failure => failureOf(failure)),
 			Effect.flatMap(answer => answer.message.statusCode === ok
 				? Effect.succeed(streamOf(answer, listener))
 				: refusalOf(answer)),
@@ -73,7 +73,7 @@
 			body: JSON.stringify({request: source.requestId, host: source.host, port: source.port}),
 			timeout: importTimeout,
 		}).pipe(
-			Effect.mapError(failure => unreachable(failure)),
+			Effect.mapError(failure => failureOf(failure)),
 			Effect.flatMap(answer => answer.status === ok
 				? importedTokens(answer)
 				: Effect.fail(new UpstreamFailure({reason: 'refused', verdict: 'not-run', detail: 'the engine could not import the cache'}))),
@@ -102,7 +102,7 @@
 
 function refusalOf(answer: OpenAnswer): Effect.Effect<never, UpstreamFailure> {
 	return readWhole(answer).pipe(
-		Effect.mapError(failure => unreachable(failure)),
+		Effect.mapError(failure => failureOf(failure)),
 		Effect.flatMap(({status, body}) => Effect.fail(new UpstreamFailure({
 			reason: status === unavailable ? refusalReasonOf(body) : 'bad-answer',
 			verdict: status >= firstServerError && status !== unavailable ? 'may-have-run' : 'not-run',
@@ -126,18 +126,18 @@
 	let hasEnded = false;
 	message.setEncoding('utf8');
 	const isToken = (event: string): boolean => {
-		const seen = reader.read(event);
-		if (seen._tag === 'Usage') {
-			listener.onUsage(seen.usage, event);
-		} else if (seen._tag === 'Garbled') {
-			fault = seen.detail;
+		const result = reader.read(event);
+		if (result._tag === 'Usage') {
+			listener.onUsage(result.usage, event);
+		} else if (result._tag === 'Garbled') {
+			fault = result.detail;
 		}
 
-		return seen._tag === 'Token';
+		return result._tag === 'Token';
 	};
 
 	/** Passes on the valid tokens of a chunk, also those before an invalid event. */
-	const take = (chunk: string): void => {
+	const processChunk = (chunk: string): void => {
 		const tokens = splitter.split(chunk).filter(event => isToken(event));
 		if (tokens.length > 0 && !listener.onTokens(tokens)) {
 			message.pause();
@@ -162,22 +162,22 @@
 				return;
 			}
 
-			take(chunk);
+			processChunk(chunk);
 			if (fault !== undefined) {
-				end(Effect.fail(broken('garbled', fault)));
+				end(Effect.fail(streamFailure('garbled', fault)));
 				message.destroy();
 			}
 		});
 		message.once('end', () => {
-			end(reader.isDone ? Effect.void : Effect.fail(broken('cut', 'the answer ended before its last event')));
+			end(reader.isDone ? Effect.void : Effect.fail(streamFailure('cut', 'the answer ended before its last event')));
 		});
 		message.on('error', error => {
-			resume(Effect.fail(broken('cut', error.message)));
+			resume(Effect.fail(streamFailure('cut', error.message)));
 		});
 		message.once('close', () => {
 			// Every response emits 'close'. The check avoids creating an error for each complete answer, which would dominate the cost.
 			if (!hasEnded) {
-				resume(Effect.fail(broken('cut', 'the connection closed before the answer was whole')));
+				resume(Effect.fail(streamFailure('cut', 'the connection closed before the answer was whole')));
 			}
 		});
 		return Effect.sync(() => message.destroy());
--- a/src/upstream/test/event-splitter.test.ts
+++ b/src/upstream/test/event-splitter.test.ts
@@ -16,8 +16,8 @@
 test('the events do not depend on how the stream is chunked, and the length of an incomplete event is known', () => {
 	const property = fc.property(fc.array(event, {maxLength: 5}), line, fc.array(fc.nat(), {maxLength: 12}), (events, part, positions) => {
 		const splitter = EventSplitter.create();
-		const got = cutAt(events.join('') + part, positions).flatMap(piece => splitter.split(piece));
-		assert.deepEqual(got, events);
+		const received = cutAt(events.join('') + part, positions).flatMap(piece => splitter.split(piece));
+		assert.deepEqual(received, events);
 		assert.equal(splitter.heldBack, part.length);
 	});
 	fc.assert(property, {seed, numRuns: 2000});
--- a/src/upstream/test/http-model-engine.test.ts
+++ b/src/upstream/test/http-model-engine.test.ts
@@ -33,7 +33,7 @@
 });
 
 /** The events and usages that a listener received, and how the answer ended. */
-type Seen = {readonly events: readonly string[]; readonly usages: readonly EngineUsage[]; readonly ending: string};
+type Received = {readonly events: readonly string[]; readonly usages: readonly EngineUsage[]; readonly ending: string};
 
 const heads = {
 	chunked: 'HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n',
@@ -42,7 +42,7 @@
 
 const chunkOf = (text: string): string => `${Buffer.byteLength(text).toString(16)}\r\n${text}\r\n`;
 
-async function receive(script: AnswerScript): Promise<Seen> {
+async function receive(script: AnswerScript): Promise<Received> {
 	server.script = script;
 	const events: string[] = [];
 	const usages: EngineUsage[] = [];
@@ -53,8 +53,8 @@
 			events.push(...arrived);
 			return true;
 		},
-		onUsage(told) {
-			usages.push(told);
+		onUsage(reported) {
+			usages.push(reported);
 		},
 	}).pipe(Effect.flatMap(({completed}) => completed));
 	const result = await Effect.runPromise(Effect.result(received));
@@ -63,7 +63,7 @@
 }
 
 /** Receives a chunked answer, as engines send it, with each part in its own packet. */
-const receiveParts = async (...parts: readonly string[]): Promise<Seen> => receive({pieces: [heads.chunked, ...parts.map(part => chunkOf(part)), '0\r\n\r\n'], ending: 'open'});
+const receiveParts = async (...parts: readonly string[]): Promise<Received> => receive({pieces: [heads.chunked, ...parts.map(part => chunkOf(part)), '0\r\n\r\n'], ending: 'open'});
 
 test('a complete answer is passed on event by event, and its usage is reported', async () => {
 	assert.deepEqual(await receiveParts(...tokens, usage + done), {
@@ -71,7 +71,7 @@
 	});
 });
 
-const oddUsages: Readonly<Record<string, string>> = {
+const invalidUsages: Readonly<Record<string, string>> = {
 	'that is not JSON': 'data: {"choices":[], "usage"\n\n',
 	'without a usage field': 'data: {"id":"chatcmpl-1","choices":[]}\n\n',
 	'whose usage is null': usageOf(null),
@@ -80,7 +80,7 @@
 	'with fractional numbers': usageOf({prompt_tokens: 7.5, completion_tokens: 3}),
 };
 
-for (const [name, event] of Object.entries(oddUsages)) {
+for (const [name, event] of Object.entries(invalidUsages)) {
 	test(`a usage event ${name} fails the answer, and no usage is reported`, async () => {
 		assert.deepEqual(await receiveParts(tokens[0]!, event, done), {events: [tokens[0]], usages: [], ending: 'garbled, may-have-run'});
 	});
@@ -91,7 +91,7 @@
 	assert.deepEqual((await receiveParts(tokens[0]!, event, done)).usages, [{promptTokens: 7, completionTokens: 3, cachedTokens: 0}]);
 });
 
-const oddTokens: Readonly<Record<string, string>> = {
+const invalidTokens: Readonly<Record<string, string>> = {
 	'that is not JSON': 'data: {"id":"chatcmpl-1","choices":[{"index"\n\n',
 	'that consists of two joined events': `${tokens[1]!.slice(0, 20)}${tokens[1]!}`,
 	'with two lines': `data: {"id":"chatcmpl-1",\n${tokens[1]!}`,
@@ -109,7 +109,7 @@
 	'that belongs to another answer': tokenOf(1, 'chatcmpl-2'),
 };
 
-for (const [name, event] of Object.entries(oddTokens)) {
+for (const [name, event] of Object.entries(invalidTokens)) {
 	test(`an event ${name} fails the answer, and neither it nor later events are passed on`, async () => {
 		const expected = {events: [tokens[0]], usages: [], ending: 'garbled, may-have-run'};
 		assert.deepEqual(await receiveParts(tokens[0]!, event, tokens[2]!, usage + done), expected, 'each in its own packet');
