--- a/src/door/callers-door.ts
+++ b/src/door/callers-door.ts
@@ -69,9 +69,9 @@
 			await once(listener.server, 'listening');
 			return listener;
 		});
-		return Effect.acquireRelease(listen, door => Effect.sync(() => {
-			door.server.close();
-			door.server.closeAllConnections();
+		return Effect.acquireRelease(listen, listener => Effect.sync(() => {
+			listener.server.close();
+			listener.server.closeAllConnections();
 		}));
 	}
 
--- a/src/door/chat-request.ts
+++ b/src/door/chat-request.ts
@@ -10,9 +10,8 @@
 import {Refusal} from '../base/verdict.js';
 import {describePrompt, type Prompt} from '../routing/prefix-belief.js';
 
-/** Tokens. */
 const maxAnswerTokens = 131_072;
-/** Tokens of an answer where the caller sets no maximum. */
+/** Maximum of an answer where the caller sets none. */
 const defaultAnswerTokens = 1024;
 const AnswerLength = Schema.Int.check(Schema.isBetween({minimum: 1, maximum: maxAnswerTokens}, {expected: `a whole number from 1 to ${maxAnswerTokens}`}));
 const Message = Schema.Struct({
