--- a/src/dispatch/chat-run.ts
+++ b/src/dispatch/chat-run.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a chat request to its end, over as many engines as it takes.
+ * Runs a chat request until its answer is complete, with as many attempts at engines as needed and allowed.
  */
 import * as Effect from 'effect/Effect';
 import {AttemptId} from '../base/identifiers.js';
@@ -11,50 +11,51 @@
 import {ChatAttempt, type AttemptOutcome} from './chat-attempt.js';
 import {runClaimed} from './claimed-run.js';
 import {
-	backoff, judgeFailure, passCeiling, refuseWithoutUpstream,
+	backoff, evaluateFailure, passCeiling, refuseWithoutUpstream,
 } from './dispatch-outcome.js';
 import type {DispatchServices} from './dispatch-services.js';
 import type {EngineLink} from './upstream-links.js';
 
-/** Milliseconds between two looks for an engine, when a stream in progress finds none. */
-const engineWait = 100;
+/** Milliseconds between two searches for an engine when a stream in progress finds none. */
+const engineSearchInterval = 100;
 
-/** Why a stream goes on at another engine. */
+/** Why a stream continues on another engine. */
 type MoveCause = 'leaving' | 'failure' | 'caller-resumed' | 'box-left';
 
-/** What is to run, and under which limits. */
+/** The request to run and its limits. */
 export type ChatPlan = {
 	readonly row: Row;
 	readonly service: Service;
 	readonly prompt: Prompt;
-	/** Tokens of the answer at most. */
+	/** Maximum number of tokens of the answer. */
 	readonly maximumTokens: number;
 	/** Monotonic milliseconds. */
 	readonly deadlineAt: number;
-	/** `new`: admitted and claimed first. Otherwise it was already, and goes on. */
+	/** `new`: the request has to be admitted and claimed first. The other values continue a request that already was. */
 	readonly origin: 'new' | 'caller-resumed' | 'box-left';
 };
 
-/** One chat request on its way. */
+/** Runs one chat request. */
 export class ChatRun {
 	/**
-	 * @param services - What it works with.
-	 * @param record - Takes the answer.
-	 * @param plan - What is to run.
-	 * @returns The run; run it to begin.
+	 * @param services - The services of this box.
+	 * @param record - Receives the answer.
+	 * @param plan - The request and its limits.
+	 * @returns The run; `run` starts it.
 	 */
 	static create(services: DispatchServices, record: RequestRecord, plan: ChatPlan): ChatRun {
 		return new ChatRun(services, record, plan);
 	}
 
-	private tries = 0;
-	/** Tries in a row that were cut without bringing anything, and where the last one began. */
-	private fruitlessCuts = 0;
-	private triedFrom = 0;
-	/** Whether a try may have run the request. */
+	private attempts = 0;
+	/** Consecutive attempts that were cut before any token arrived. */
+	private cutsWithoutProgress = 0;
+	/** Position of the record when the last attempt started. */
+	private attemptStart = 0;
+	/** Whether an engine may have run the request in an earlier attempt. */
 	private mayHaveRun = false;
 	private moveCause: MoveCause | undefined;
-	/** The engine that computed what the caller has. */
+	/** The engine of the last attempt, which holds the KV cache of the request. */
 	private source: EngineLink | undefined;
 
 	private constructor(
@@ -65,12 +66,12 @@
 		this.moveCause = plan.origin === 'new' ? undefined : plan.origin;
 	}
 
-	/** @returns Ends when the record has ended; interruption cancels the request at the engine. */
+	/** @returns Completes when the record has ended; interruption cancels the request at the engine. */
 	run(): Effect.Effect<void> {
 		const {records} = this.services;
-		return this.admitted().pipe(
+		return this.serveAdmitted().pipe(
 			Effect.map(() => {
-				this.noteFinished();
+				this.finishRecord();
 			}),
 			Effect.catchTag('Refusal', refusal => Effect.sync(() => {
 				this.record.refuse(refusal);
@@ -85,20 +86,20 @@
 		);
 	}
 
-	private admitted(): Effect.Effect<void, Refusal> {
+	private serveAdmitted(): Effect.Effect<void, Refusal> {
 		const {row, service} = this.plan;
 		if (this.plan.origin !== 'new') {
 			return this.serve();
 		}
 
 		const cost = this.plan.prompt.tokens + this.plan.maximumTokens;
-		const passed = this.services.gates.gate(service.pool).run(row, cost, this.claimed()).pipe(Effect.ensuring(Effect.sync(() => {
+		const passed = this.services.gates.gate(service.pool).run(row, cost, this.serveWithClaim()).pipe(Effect.ensuring(Effect.sync(() => {
 			this.services.ceilings.giveBack(rowName(row), this.plan.maximumTokens - this.record.position);
 		})));
 		return passCeiling(this.services, row, cost).pipe(Effect.andThen(passed));
 	}
 
-	private claimed(): Effect.Effect<void, Refusal> {
+	private serveWithClaim(): Effect.Effect<void, Refusal> {
 		const {account, key, fingerprint, requestId} = this.record.origin;
 		if (this.plan.row.repeatable) {
 			return this.serve();
@@ -107,25 +108,25 @@
 		const claim = {
 			account, key, fingerprint, attempt: AttemptId(requestId),
 		};
-		const ran = Refusal.create('claim-held', 'This request has run.', {verdict: 'ran'});
+		const alreadyRan = Refusal.create('claim-held', 'This request has run.', {verdict: 'ran'});
 		return runClaimed(this.services.ledger, claim, this.serve(), () => undefined)
-			.pipe(Effect.catchTag('KeptAnswerFound', () => Effect.fail(ran)));
+			.pipe(Effect.catchTag('KeptAnswerFound', () => Effect.fail(alreadyRan)));
 	}
 
-	/** One try after another, until the answer is whole or nothing more may be tried. */
+	/** Makes one attempt after another until the answer is complete or no further attempt is allowed. */
 	private serve(): Effect.Effect<void, Refusal> {
 		return Effect.gen({self: this}, function * () {
 			for (;;) {
 				const link = yield * this.chooseEngine();
-				yield * this.bringCache(link);
-				this.tries++;
-				this.triedFrom = this.record.position;
+				yield * this.importCache(link);
+				this.attempts++;
+				this.attemptStart = this.record.position;
 				const outcome = yield * this.attempt(link);
 				if (outcome._tag === 'Finished') {
 					return;
 				}
 
-				yield * this.prepareNext(link, outcome);
+				yield * this.afterAttempt(link, outcome);
 			}
 		});
 	}
@@ -145,7 +146,7 @@
 				}
 
 				yield * this.checkDeadline();
-				yield * Effect.sleep(engineWait);
+				yield * Effect.sleep(engineSearchInterval);
 			}
 		});
 	}
@@ -156,21 +157,21 @@
 		return candidates.find(link => link.state === state)!;
 	}
 
-	/** Moves the KV cache to the next engine if the last one can still give it. */
-	private bringCache(link: EngineLink): Effect.Effect<void> {
+	/** Copies the KV cache of the request from the previous engine if the stream moves because that engine is leaving. */
+	private importCache(link: EngineLink): Effect.Effect<void> {
 		const {source} = this;
 		if (!source || source === link || this.moveCause !== 'leaving') {
 			return Effect.void;
 		}
 
 		const {host, port} = source.state.box;
-		// Without the cache the tokens are computed again; that costs, but loses nothing.
+		// A failed import is ignored: the engine then recomputes the tokens.
 		return Effect.ignore(link.engine.importCache({requestId: this.record.origin.requestId, host, port}));
 	}
 
 	private attempt(link: EngineLink): Effect.Effect<AttemptOutcome> {
 		const {record, plan} = this;
-		const believed = link.state.prefixCache.cachedTokens(plan.prompt);
+		const expectedCachedTokens = link.state.prefixCache.cachedTokens(plan.prompt);
 		link.state.prefixCache.recordSent(plan.prompt);
 		const offset = record.position;
 		const attempt = ChatAttempt.create(this.services, link, record, {
@@ -186,13 +187,13 @@
 		});
 		return attempt.run().pipe(Effect.tap(outcome => Effect.sync(() => {
 			if (outcome._tag === 'Finished' && offset === 0 && record.usage) {
-				link.state.prefixCache.correct(believed, record.usage.cachedTokens);
+				link.state.prefixCache.correct(expectedCachedTokens, record.usage.cachedTokens);
 			}
 		})));
 	}
 
-	/** Notes how a try ended, and ends the run where nothing more may be tried. */
-	private prepareNext(link: EngineLink, outcome: Exclude<AttemptOutcome, {readonly _tag: 'Finished'}>): Effect.Effect<void, Refusal> {
+	/** Records the outcome of an attempt; fails where no further attempt is allowed. */
+	private afterAttempt(link: EngineLink, outcome: Exclude<AttemptOutcome, {readonly _tag: 'Finished'}>): Effect.Effect<void, Refusal> {
 		this.source = link;
 		switch (outcome._tag) {
 			case 'DeadlinePassed': {
@@ -200,7 +201,7 @@
 			}
 
 			case 'Leaving': {
-				this.noteMove('leaving', link);
+				this.recordMove('leaving', link);
 				return Effect.void;
 			}
 
@@ -212,15 +213,15 @@
 
 	private afterFailure(link: EngineLink, failure: UpstreamFailure): Effect.Effect<void, Refusal> {
 		const isCut = failure.reason === 'cut' || failure.reason === 'garbled';
-		this.fruitlessCuts = isCut && this.record.position === this.triedFrom ? this.fruitlessCuts + 1 : 0;
-		const refusal = judgeFailure(this.services, {
+		this.cutsWithoutProgress = isCut && this.record.position === this.attemptStart ? this.cutsWithoutProgress + 1 : 0;
+		const refusal = evaluateFailure(this.services, {
 			failure,
 			upstream: link.state,
 			isRepeatable: this.plan.row.repeatable,
 			hasBegun: this.record.position > 0,
 			mayHaveRun: this.mayHaveRun,
-			tries: this.tries,
-			fruitlessCuts: this.fruitlessCuts,
+			attempts: this.attempts,
+			cutsWithoutProgress: this.cutsWithoutProgress,
 			pool: this.plan.service.pool,
 		});
 		this.mayHaveRun ||= failure.verdict !== 'not-run';
@@ -229,13 +230,13 @@
 		}
 
 		if (this.record.position > 0) {
-			this.noteMove('failure', link);
+			this.recordMove('failure', link);
 		}
 
-		return this.checkDeadline().pipe(Effect.andThen(failure.reason === 'leaving' ? Effect.void : Effect.sleep(backoff(this.tries))));
+		return this.checkDeadline().pipe(Effect.andThen(failure.reason === 'leaving' ? Effect.void : Effect.sleep(backoff(this.attempts))));
 	}
 
-	private noteMove(cause: MoveCause, link: EngineLink): void {
+	private recordMove(cause: MoveCause, link: EngineLink): void {
 		this.moveCause = cause;
 		if (this.record.position > 0) {
 			this.services.metrics.moves.inc({cause});
@@ -249,7 +250,7 @@
 			: Effect.fail(Refusal.create('deadline-passed', 'The answer was not whole at the deadline. It is given up.'));
 	}
 
-	private noteFinished(): void {
+	private finishRecord(): void {
 		const {metrics, gates} = this.services;
 		gates.budget(this.plan.service.pool).deposit();
 		const {usage} = this.record;
--- a/src/door/callers-door.ts
+++ b/src/door/callers-door.ts
@@ -1,5 +1,5 @@
 /**
- * The door for callers: HTTP on Node's own server, hardened, one task for each request of a connection.
+ * The HTTP server for callers: Node's server with strict limits, and one fiber per request.
  */
 import {once} from 'node:events';
 import {
@@ -25,17 +25,19 @@
 import type {RequestDoor} from './request-door.js';
 import type {ServiceDoor} from './service-door.js';
 
-/** Milliseconds between two looks for senders that are too slow. */
-const slowSenderCheck = 1000;
-const keepAlive = 65_000;
-/** Milliseconds between two looks for idle connections while stopping. */
-const idleCheck = 100;
-const longestPath = 2048;
-/** Header fields of one request at most. */
-const mostHeaders = 100;
-
-/** What the door needs. */
-export type CallersDoorServices = {
+/** Milliseconds between two checks for slow senders. */
+const slowSenderCheckInterval = 1000;
+/** Milliseconds after which an idle connection is closed. */
+const idleTimeout = 65_000;
+/** Milliseconds between two checks for idle connections during a shutdown. */
+const idleCheckInterval = 100;
+/** Maximum length of a path in characters; the rest is cut off. */
+const maxPathLength = 2048;
+/** Maximum number of header fields of a request. */
+const maxHeaderFields = 100;
+
+/** The services that the listener depends on. */
+export type CallerListenerServices = {
 	readonly settings: Settings['callers'];
 	readonly table: TableView;
 	readonly log: EventLog;
@@ -45,58 +47,58 @@
 	readonly requests: RequestDoor;
 };
 
-/** Where a path leads. */
+/** A method, the paths it applies to, and their handler. */
 type Route = {
 	readonly method: 'GET' | 'POST';
 	readonly matches: (path: string) => boolean;
 	readonly answer: (exchange: CallerExchange) => Effect.Effect<void, Refusal>;
 };
 
-/** Listens for callers. */
+/** Listens for callers, authenticates their requests and routes them to handlers. */
 export class CallersDoor {
 	/**
-	 * Opens the door until its scope closes.
+	 * Listens until the scope closes.
 	 *
-	 * @param services - What it needs.
-	 * @returns The door, listening.
+	 * @param services - The services that the listener depends on.
+	 * @returns The listener, which already listens.
 	 */
-	static open(services: CallersDoorServices): Effect.Effect<CallersDoor, never, Scope.Scope> {
+	static open(services: CallerListenerServices): Effect.Effect<CallersDoor, never, Scope.Scope> {
 		const listen = Effect.promise(async () => {
-			const door = new CallersDoor(services);
-			door.server.listen(services.settings.port, services.settings.host);
-			await once(door.server, 'listening');
-			return door;
+			const listener = new CallersDoor(services);
+			listener.server.listen(services.settings.port, services.settings.host);
+			await once(listener.server, 'listening');
+			return listener;
 		});
-		return Effect.acquireRelease(listen, door => Effect.sync(() => {
-			door.server.close();
-			door.server.closeAllConnections();
+		return Effect.acquireRelease(listen, listener => Effect.sync(() => {
+			listener.server.close();
+			listener.server.closeAllConnections();
 		}));
 	}
 
 	private readonly server: Server;
 	private readonly routes: readonly Route[];
 	private readonly requestsByAccount = new Map<ClientAccountName, number>();
-	/** Requests in progress on a connection. */
-	private readonly busySockets = new WeakMap<Socket, number>();
+	/** Number of requests in progress, by connection. */
+	private readonly requestsBySocket = new WeakMap<Socket, number>();
 	private readonly refusalLog: RefusalLog;
 	private isStopping = false;
 
-	private constructor(private readonly services: CallersDoorServices) {
+	private constructor(private readonly services: CallerListenerServices) {
 		const {settings, chat, plainServices, requests, log} = services;
 		this.refusalLog = RefusalLog.create(log);
 		this.server = createServer({
 			maxHeaderSize: settings.maximumHeaders,
 			requestTimeout: settings.receiveTimeout,
 			headersTimeout: settings.receiveTimeout,
-			connectionsCheckingInterval: slowSenderCheck,
-			keepAliveTimeout: keepAlive,
+			connectionsCheckingInterval: slowSenderCheckInterval,
+			keepAliveTimeout: idleTimeout,
 			noDelay: true,
 		}, (incoming, response) => {
 			this.serve(incoming, response);
 		});
-		this.server.maxHeadersCount = mostHeaders;
+		this.server.maxHeadersCount = maxHeaderFields;
 		this.server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
-			this.refuseGarbage(error, socket as Socket);
+			this.answerClientError(error, socket as Socket);
 		});
 		this.routes = [
 			{method: 'POST', matches: path => path === '/v1/chat/completions', answer: exchange => chat.answer(exchange)},
@@ -105,22 +107,22 @@
 		];
 	}
 
-	/** TCP port it listens on. */
+	/** The TCP port of the listener. */
 	get port(): number {
 		return (this.server.address() as AddressInfo).port;
 	}
 
-	/** Goes on answering, but asks each caller to come by a new connection: the balancer then finds another box. */
+	/** Closes each connection after its next response, while still answering: the load balancer then sends callers to another box. */
 	beginStopping(): void {
 		this.isStopping = true;
 	}
 
-	/** @returns Takes no new connections; ends when those that are open have got their answers and closed. */
+	/** @returns Accepts no new connections; completes when the open ones have received their responses and closed. */
 	stopListening(): Effect.Effect<void> {
 		return Effect.callback<void>(resume => {
 			const timer = setInterval(() => {
 				this.server.closeIdleConnections();
-			}, idleCheck);
+			}, idleCheckInterval);
 			this.server.close(() => {
 				clearInterval(timer);
 				resume(Effect.void);
@@ -131,14 +133,14 @@
 
 	private serve(incoming: IncomingMessage, response: ServerResponse): void {
 		const {socket} = incoming;
-		this.busySockets.set(socket, (this.busySockets.get(socket) ?? 0) + 1);
+		this.requestsBySocket.set(socket, (this.requestsBySocket.get(socket) ?? 0) + 1);
 		if (this.isStopping) {
 			response.shouldKeepAlive = false;
 		}
 
 		const fiber = Effect.runFork(this.answer(incoming, response, performance.now()));
 		response.once('close', () => {
-			this.busySockets.set(socket, (this.busySockets.get(socket) ?? 1) - 1);
+			this.requestsBySocket.set(socket, (this.requestsBySocket.get(socket) ?? 1) - 1);
 			if (!response.writableFinished) {
 				Effect.runFork(Fiber.interrupt(fiber));
 			}
@@ -160,7 +162,7 @@
 
 	private route(incoming: IncomingMessage, response: ServerResponse): Effect.Effect<void, Refusal> {
 		return Effect.gen({self: this}, function * () {
-			const path = (incoming.url ?? '/').slice(0, longestPath).split('?', 1)[0]!;
+			const path = (incoming.url ?? '/').slice(0, maxPathLength).split('?', 1)[0]!;
 			const route = this.routes.find(({matches}) => matches(path));
 			const account = yield * authenticate(incoming, this.services.table);
 			if (!route) {
@@ -172,14 +174,14 @@
 			}
 
 			const body = yield * readBody(incoming, this.services.settings.maximumBody);
-			yield * this.limited(account.name, route.answer({
+			yield * this.limitConcurrency(account.name, route.answer({
 				incoming, response, account, path, body,
 			}));
 		});
 	}
 
-	/** Keeps one client account from taking all connections of a box. */
-	private limited(account: ClientAccountName, answer: Effect.Effect<void, Refusal>): Effect.Effect<void, Refusal> {
+	/** Limits the concurrent requests of a client account, so that one account cannot use all connections of a box. */
+	private limitConcurrency(account: ClientAccountName, answer: Effect.Effect<void, Refusal>): Effect.Effect<void, Refusal> {
 		return Effect.suspend(() => {
 			const open = this.requestsByAccount.get(account) ?? 0;
 			if (open >= this.services.settings.maximumRequestsPerAccount) {
@@ -201,7 +203,7 @@
 		}
 
 		if (!incoming.complete) {
-			// The rest of the body is thrown away: the connection cannot be used again.
+			// The rest of the body is discarded, so the connection cannot be reused.
 			response.shouldKeepAlive = false;
 			writeProblem(response, refusal);
 			endLingering(incoming, response);
@@ -211,16 +213,19 @@
 		sendProblem(response, refusal);
 	}
 
-	/** What is not HTTP gets a refusal, unless an answer is on its way: that one is sent whole first. */
-	private refuseGarbage(error: NodeJS.ErrnoException, socket: Socket): void {
-		const refusal = garbageRefusal(error.code);
+	/**
+	 * Answers a parse error, a timeout or another error of a connection with a refusal. While a response is in progress on the connection no
+	 * refusal is written, since it would corrupt that response.
+	 */
+	private answerClientError(error: NodeJS.ErrnoException, socket: Socket): void {
+		const refusal = refusalOfClientError(error.code);
 		this.services.metrics.refusals.inc({reason: refusal.reason, verdict: refusal.verdict});
 		if (error.code === 'ECONNRESET' || !socket.writable) {
 			socket.destroy();
 			return;
 		}
 
-		if ((this.busySockets.get(socket) ?? 0) > 0) {
+		if ((this.requestsBySocket.get(socket) ?? 0) > 0) {
 			return;
 		}
 
@@ -230,7 +235,7 @@
 	}
 }
 
-function garbageRefusal(code: string | undefined): Refusal {
+function refusalOfClientError(code: string | undefined): Refusal {
 	if (code === 'HPE_HEADER_OVERFLOW') {
 		return Refusal.create('headers-too-large', 'The request head is too large.');
 	}
--- a/src/door/refusal-log.ts
+++ b/src/door/refusal-log.ts
@@ -1,21 +1,21 @@
 /**
- * Logs refused requests, so that a refusal can be traced to the decision behind it. The lines are bounded, since callers may be refused at any rate.
+ * Logs refused requests with their reasons. The number of lines per second is limited, since the rate of refused requests is not.
  */
 import type {IncomingMessage} from 'node:http';
 import type {EventLog} from '../base/event-log.js';
 import type {Refusal} from '../base/verdict.js';
 
-/** Lines a second; further refusals of that second are counted alone. */
-const linesPerSecond = 50;
-/** Characters of a path that are logged. */
-const longestPath = 200;
+/** Maximum number of lines per second; further refusals of that second are only counted. */
+const maxLinesPerSecond = 50;
+/** Maximum number of characters of a path in the log; the rest is cut off. */
+const maxPathLength = 200;
 const millisecondsPerSecond = 1000;
 
-/** The log of one door. */
+/** Writes refused requests to the event log, with a rate limit. */
 export class RefusalLog {
 	/**
-	 * @param log - Where lines go.
-	 * @param now - Reads monotonic milliseconds.
+	 * @param log - Receives the lines.
+	 * @param now - Returns monotonic milliseconds.
 	 * @returns The log.
 	 */
 	static create(log: EventLog, now: () => number = () => performance.now()): RefusalLog {
@@ -24,25 +24,25 @@
 
 	private second = 0;
 	private lines = 0;
-	private leftOut = 0;
+	private omittedLines = 0;
 
 	private constructor(private readonly log: EventLog, private readonly now: () => number) {}
 
 	/**
 	 * @param refusal - Why the request was refused.
 	 * @param incoming - The request.
-	 * @param took - Milliseconds from its head to the refusal.
+	 * @param took - Milliseconds from the request head to the refusal.
 	 */
 	write({reason, verdict, detail, retryAfter}: Refusal, {method, url}: Pick<IncomingMessage, 'method' | 'url'>, took: number): void {
 		this.beginSecond();
-		if (this.lines >= linesPerSecond) {
-			this.leftOut++;
+		if (this.lines >= maxLinesPerSecond) {
+			this.omittedLines++;
 			return;
 		}
 
 		this.lines++;
 		this.log.write('callerRefused', {
-			method, path: (url ?? '').split('?', 1)[0]!.slice(0, longestPath), reason, verdict, detail, retryAfter, took: Math.round(took),
+			method, path: (url ?? '').split('?', 1)[0]!.slice(0, maxPathLength), reason, verdict, detail, retryAfter, took: Math.round(took),
 		});
 	}
 
@@ -54,9 +54,9 @@
 
 		this.second = second;
 		this.lines = 0;
-		if (this.leftOut > 0) {
-			this.log.write('logLinesLeftOut', {lines: this.leftOut});
-			this.leftOut = 0;
+		if (this.omittedLines > 0) {
+			this.log.write('logLinesLeftOut', {lines: this.omittedLines});
+			this.omittedLines = 0;
 		}
 	}
 }
--- a/src/door/service-door.ts
+++ b/src/door/service-door.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of plain services, as callers make them.
+ * The HTTP handler of calls to plain services.
  */
 import {createHash, randomUUID} from 'node:crypto';
 import * as Effect from 'effect/Effect';
@@ -9,17 +9,17 @@
 import {ServiceRun, type ServiceAnswer, type ServicePlan} from '../dispatch/service-run.js';
 import type {TableView} from '../table/table-view.js';
 import {
-	govern, readRequestKey, readRequestKind, readTimeout, type CallerExchange,
+	findServiceRow, readRequestKey, readRequestKind, readTimeout, type CallerExchange,
 } from './caller-exchange.js';
 
 const pathPattern = /^\/v1\/services\/(?<service>[^\/?]{1,63})(?<rest>\/[^?#]*)?$/v;
 
-/** Answers calls of plain services. */
+/** Answers calls to plain services. */
 export class ServiceDoor {
 	/**
-	 * @param services - What runs requests.
+	 * @param services - The services of this box.
 	 * @param table - The table in force.
-	 * @returns The door.
+	 * @returns The handler.
 	 */
 	static create(services: DispatchServices, table: TableView): ServiceDoor {
 		return new ServiceDoor(services, table);
@@ -31,14 +31,14 @@
 	 * Answers one call.
 	 *
 	 * @param exchange - The call.
-	 * @returns Ends when the answer is sent. Interruption means that the caller hung up: a call that may not
-	 * be repeated goes on all the same, for nobody can call it back.
+	 * @returns Completes when the answer is sent. Interruption means that the caller disconnected. It cancels a repeatable call; a call that is
+	 * not repeatable continues, since its effects cannot be undone.
 	 */
 	answer(exchange: CallerExchange): Effect.Effect<void, Refusal> {
 		return Effect.gen({self: this}, function * () {
 			const plan = yield * this.admit(exchange);
 			const run = this.services.runs.track(ServiceRun.create(this.services, plan).run());
-			const answer = plan.row.repeatable ? yield * run : yield * detached(run);
+			const answer = plan.row.repeatable ? yield * run : yield * runDetached(run);
 			this.services.metrics.requests.inc({service: plan.service.name, outcome: 'answered'});
 			send(exchange, answer);
 		});
@@ -53,7 +53,7 @@
 			}
 
 			const kind = yield * readRequestKind(incoming);
-			const {service, row} = yield * govern(this.table, account, {service: path.service!, type: 'plain', kind});
+			const {service, row} = yield * findServiceRow(this.table, account, {service: path.service!, type: 'plain', kind});
 			const key = yield * readRequestKey(incoming);
 			if (key === undefined && !row.repeatable) {
 				return yield * Effect.fail(Refusal.create(
@@ -79,8 +79,8 @@
 	}
 }
 
-/** Runs on when its caller is gone. */
-function detached<Answer, Failure>(run: Effect.Effect<Answer, Failure>): Effect.Effect<Answer, Failure> {
+/** @returns The same run, which continues when the waiting fiber is interrupted. */
+function runDetached<Answer, Failure>(run: Effect.Effect<Answer, Failure>): Effect.Effect<Answer, Failure> {
 	return Effect.callback<Answer, Failure>(resume => {
 		Effect.runFork(run).addObserver(exit => {
 			resume(exit);
--- a/src/upstream/engine-event.ts
+++ b/src/upstream/engine-event.ts
@@ -1,5 +1,5 @@
 /**
- * What is proved of an engine's events before their text is passed on with ids of our own.
+ * Validates the events of an engine before they are passed on to the caller with event ids of this system.
  *
  * @remarks Source: the chunk object of a chat completion, and the end of its stream, in the interface that OpenAI published.
  */
@@ -9,31 +9,31 @@
 import {createDecoder, describeFaults} from '../base/faults.js';
 import type {EngineUsage} from './model-engine.js';
 
-const field = 'data: ';
+const dataField = 'data: ';
 const doneEvent = 'data: [DONE]\n\n';
-/** Behind the only line of an event. */
+/** The end of an event, after its only line. */
 const blankLine = '\n\n';
-/** Where the text of a token begins; inside a string of JSON this would have backslashes. */
+/** Marks the start of the text of a token. It cannot occur inside a JSON string, where its quotes would be escaped. */
 const textStart = '"content":"';
-/** What stands in a string of JSON as it is. */
-const plainText = /^[^"\\\p{Cc}]*$/v;
-/** Characters of an event that are shown in a failure. */
-const longestShown = 60;
+/** Characters that need no escape in a JSON string. */
+const unescapedText = /^[^"\\\p{Cc}]*$/v;
+/** Maximum number of characters of an event that are quoted in a failure. */
+const maxQuotedLength = 60;
 
-/** What an event is. */
+/** The kind of an event. */
 export type EngineEvent = Data.TaggedEnum<{
-	/** One token, for the caller. */
+	/** A token, which is passed on to the caller. */
 	readonly Token: Readonly<Record<never, never>>;
 	readonly Usage: {readonly usage: EngineUsage};
-	/** A comment, or what stands behind the end or behind what cannot be read: not for the caller. */
-	readonly Nothing: Readonly<Record<never, never>>;
+	/** A comment, or an event after the end of the answer or after an invalid event. It is not passed on. */
+	readonly Ignored: Readonly<Record<never, never>>;
 	readonly Done: Readonly<Record<never, never>>;
-	/** No event of this answer. */
+	/** An event that is invalid or belongs to another answer. */
 	readonly Garbled: {readonly detail: string};
 }>;
 const EngineEvent = Data.taggedEnum<EngineEvent>();
-/** Made once: the first is read for each token. */
-const [token, nothing, done] = [EngineEvent.Token(), EngineEvent.Nothing(), EngineEvent.Done()];
+/** Created once, since one of them is returned for almost every token. */
+const [token, ignored, done] = [EngineEvent.Token(), EngineEvent.Ignored(), EngineEvent.Done()];
 
 const Count = Schema.Int.check(Schema.isGreaterThanOrEqualTo(0));
 const UsageLayout = Schema.Struct({
@@ -43,13 +43,13 @@
 		prompt_tokens_details: Schema.optionalKey(Schema.NullOr(Schema.Struct({cached_tokens: Schema.optionalKey(Schema.NullOr(Count))}))),
 	}),
 });
-/** What engines add is skipped. */
+/** Ignores unknown fields, which engines may add. */
 const decodeUsage = createDecoder(UsageLayout, 'ignore');
 
 type Fields = Readonly<Record<string, unknown>>;
 
 const isObject = (value: unknown): value is Fields => typeof value === 'object' && value !== null;
-/** The interface has null where there is no text, or no call. */
+/** The published interface allows null where a token has no text or no tool call. */
 const isAbsent = (value: unknown): boolean => value === undefined || value === null;
 
 /** Reads the events of one answer, in order. */
@@ -60,56 +60,56 @@
 	}
 
 	private id: unknown;
-	/** What stood around the text of the last token that was read in full: an event that differs in its text alone is proved by it. */
-	private around: {readonly before: string; readonly behind: string} | undefined;
+	/** The parts before and after the text of the last token that was parsed. An event that differs only in its text is valid without parsing. */
+	private envelope: {readonly prefix: string; readonly suffix: string} | undefined;
 	private ending: 'done' | 'garbled' | undefined;
 
 	private constructor() {
-		// Made by create().
+		// Use create().
 	}
 
-	/** Whether the last event of the answer has come. */
+	/** Whether the last event of the answer was read. */
 	get isDone(): boolean {
 		return this.ending === 'done';
 	}
 
 	/**
 	 * @param event - The next event, with its closing blank line.
-	 * @returns What it is; nothing more is read once the answer has ended, or once one could not be read.
+	 * @returns Its kind. All events after the end of the answer or after an invalid event are ignored.
 	 */
 	read(event: string): EngineEvent {
 		if (this.ending !== undefined) {
-			return nothing;
+			return ignored;
 		}
 
-		if (this.differsInTextAlone(event)) {
+		if (this.matchesEnvelope(event)) {
 			return token;
 		}
 
-		const seen = this.judge(event);
-		if (seen._tag === 'Done') {
+		const result = this.classify(event);
+		if (result._tag === 'Done') {
 			this.ending = 'done';
-		} else if (seen._tag === 'Garbled') {
+		} else if (result._tag === 'Garbled') {
 			this.ending = 'garbled';
 		}
 
-		return seen;
+		return result;
 	}
 
-	/** Most events do, and to compare costs a fraction of reading them in full. */
-	private differsInTextAlone(event: string): boolean {
-		if (this.around === undefined) {
+	/** @returns Whether only the text differs from the last parsed token. Most events do, and the comparison costs a fraction of parsing. */
+	private matchesEnvelope(event: string): boolean {
+		if (this.envelope === undefined) {
 			return false;
 		}
 
-		const {before, behind} = this.around;
-		return event.length >= before.length + behind.length
-			&& event.startsWith(before)
-			&& event.endsWith(behind)
-			&& plainText.test(event.slice(before.length, event.length - behind.length));
+		const {prefix, suffix} = this.envelope;
+		return event.length >= prefix.length + suffix.length
+			&& event.startsWith(prefix)
+			&& event.endsWith(suffix)
+			&& unescapedText.test(event.slice(prefix.length, event.length - suffix.length));
 	}
 
-	private judge(event: string): EngineEvent {
+	private classify(event: string): EngineEvent {
 		if (event === doneEvent) {
 			return done;
 		}
@@ -119,19 +119,19 @@
 		}
 
 		if (event.startsWith(':')) {
-			return nothing;
+			return ignored;
 		}
 
-		const content = event.startsWith(field) ? parse(event.slice(field.length)) : undefined;
+		const content = event.startsWith(dataField) ? parse(event.slice(dataField.length)) : undefined;
 		if (!isObject(content) || !Array.isArray(content.choices)) {
 			return garbled('an event that is no part of an answer', event);
 		}
 
-		return content.choices.length === 0 ? usageOf(content) : this.judgeToken(content, content.choices, event);
+		return content.choices.length === 0 ? usageOf(content) : this.classifyToken(content, content.choices, event);
 	}
 
-	/** By hand: a schema costs many times as much. */
-	private judgeToken({id}: Fields, choices: readonly unknown[], event: string): EngineEvent {
+	/** Validates by hand, since decoding with a schema costs many times as much. */
+	private classifyToken({id}: Fields, choices: readonly unknown[], event: string): EngineEvent {
 		if (!choices.every(choice => isObject(choice) && isDelta(choice.delta))) {
 			return garbled('a token without its text', event);
 		}
@@ -141,17 +141,17 @@
 			return garbled('a token of another answer', event);
 		}
 
-		this.noteAround(event);
+		this.recordEnvelope(event);
 		return token;
 	}
 
-	private noteAround(event: string): void {
-		const mark = event.indexOf(textStart);
-		const start = mark + textStart.length;
+	private recordEnvelope(event: string): void {
+		const textIndex = event.indexOf(textStart);
+		const start = textIndex + textStart.length;
 		const end = event.indexOf('"', start);
-		// A backslash may stand before a quote that ends nothing.
-		if (mark !== -1 && plainText.test(event.slice(start, end))) {
-			this.around = {before: event.slice(0, start), behind: event.slice(end)};
+		// With a backslash in the text, the quote found may be an escaped one rather than the end of the string.
+		if (textIndex !== -1 && unescapedText.test(event.slice(start, end))) {
+			this.envelope = {prefix: event.slice(0, start), suffix: event.slice(end)};
 		}
 	}
 }
@@ -182,4 +182,4 @@
 	});
 }
 
-const garbled = (what: string, event: string): EngineEvent => EngineEvent.Garbled({detail: `${what}: ${JSON.stringify(event.slice(0, longestShown))}`});
+const garbled = (problem: string, event: string): EngineEvent => EngineEvent.Garbled({detail: `${problem}: ${JSON.stringify(event.slice(0, maxQuotedLength))}`});
--- a/src/upstream/http-model-engine.ts
+++ b/src/upstream/http-model-engine.ts
@@ -1,5 +1,5 @@
 /**
- * A model engine over HTTP with the interface that OpenAI published, and server-sent events.
+ * A client of a model engine over HTTP, with the interface that OpenAI published and server-sent events.
  */
 import {Buffer} from 'node:buffer';
 import * as Effect from 'effect/Effect';
@@ -20,26 +20,27 @@
 
 const ok = 200;
 const unavailable = 503;
-/** Statuses from here on are failures of the engine itself; it may have run the request before. */
+/** From this status on, the engine itself failed, possibly after it ran the request. */
 const firstServerError = 500;
-/** Milliseconds an engine may take for an answer; callers' deadlines are shorter and kept elsewhere. */
-const longestAnswer = 86_400_000;
+/** Milliseconds, i.e. one day: practically no timeout, since each attempt enforces the shorter deadline of its caller. */
+const maxAnswerTime = 86_400_000;
+/** Milliseconds. */
 const importTimeout = 5000;
 
 const decodeImport = createDecoder(Schema.Struct({tokens: Schema.Int}), 'ignore');
 
-const unreachable = (failure: HttpFailure): UpstreamFailure => new UpstreamFailure({
+const failureOf = (failure: HttpFailure): UpstreamFailure => new UpstreamFailure({
 	reason: failure.maySent ? 'cut' : 'unreachable',
 	verdict: failure.maySent ? 'may-have-run' : 'not-run',
 	detail: failure.detail,
 });
 
-const broken = (reason: 'cut' | 'garbled', detail: string): UpstreamFailure => new UpstreamFailure({reason, verdict: 'may-have-run', detail});
+const streamFailure = (reason: 'cut' | 'garbled', detail: string): UpstreamFailure => new UpstreamFailure({reason, verdict: 'may-have-run', detail});
 
-/** Speaks to an engine by HTTP. */
+/** Talks to an engine over HTTP. */
 export class HttpModelEngine extends ModelEngine {
 	/**
-	 * @param client - Connections to the engine.
+	 * @param client - HTTP client of the engine.
 	 * @returns The engine.
 	 */
 	static create(client: HttpClient): HttpModelEngine {
@@ -56,9 +57,9 @@
 			path: '/v1/chat/completions',
 			headers: {'Content-Type': 'application/json'},
 			body: JSON.stringify(bodyOf(request)),
-			timeout: longestAnswer,
+			timeout: maxAnswerTime,
 		}).pipe(
-			Effect.mapError(failure => unreachable(failure)),
+			Effect.mapError(failure => failureOf(failure)),
 			Effect.flatMap(answer => answer.message.statusCode === ok
 				? Effect.succeed(streamOf(answer, listener))
 				: refusalOf(answer)),
@@ -72,7 +73,7 @@
 			body: JSON.stringify({request: source.requestId, host: source.host, port: source.port}),
 			timeout: importTimeout,
 		}).pipe(
-			Effect.mapError(failure => unreachable(failure)),
+			Effect.mapError(failure => failureOf(failure)),
 			Effect.flatMap(answer => answer.status === ok
 				? importedTokens(answer)
 				: Effect.fail(new UpstreamFailure({reason: 'refused', verdict: 'not-run', detail: 'the engine could not import the cache'}))),
@@ -101,7 +102,7 @@
 
 function refusalOf(answer: OpenAnswer): Effect.Effect<never, UpstreamFailure> {
 	return readWhole(answer).pipe(
-		Effect.mapError(failure => unreachable(failure)),
+		Effect.mapError(failure => failureOf(failure)),
 		Effect.flatMap(({status, body}) => Effect.fail(new UpstreamFailure({
 			reason: status === unavailable ? refusalReasonOf(body) : 'bad-answer',
 			verdict: status >= firstServerError && status !== unavailable ? 'may-have-run' : 'not-run',
@@ -117,7 +118,7 @@
 	);
 }
 
-/** Bytes go from the engine to the listener by Node's own stream: this is the hot path. */
+/** Passes the response on to the listener. Uses the events of Node's stream directly, since this is the hot path. */
 function streamOf({message}: OpenAnswer, listener: EngineListener): EngineStream {
 	const splitter = EventSplitter.create();
 	const reader = EngineEventReader.create();
@@ -125,18 +126,18 @@
 	let hasEnded = false;
 	message.setEncoding('utf8');
 	const isToken = (event: string): boolean => {
-		const seen = reader.read(event);
-		if (seen._tag === 'Usage') {
-			listener.onUsage(seen.usage, event);
-		} else if (seen._tag === 'Garbled') {
-			fault = seen.detail;
+		const result = reader.read(event);
+		if (result._tag === 'Usage') {
+			listener.onUsage(result.usage, event);
+		} else if (result._tag === 'Garbled') {
+			fault = result.detail;
 		}
 
-		return seen._tag === 'Token';
+		return result._tag === 'Token';
 	};
 
-	/** What was proved before something could not be read is passed on all the same. */
-	const take = (chunk: string): void => {
+	/** Passes on the valid tokens of a chunk, also those before an invalid event. */
+	const processChunk = (chunk: string): void => {
 		const tokens = splitter.split(chunk).filter(event => isToken(event));
 		if (tokens.length > 0 && !listener.onTokens(tokens)) {
 			message.pause();
@@ -155,28 +156,28 @@
 
 		message.on('data', (chunk: string) => {
 			if (reader.isDone) {
-				// The answer is whole; what comes behind it is none of it, and its connection is not used again.
+				// Data after the last event is not part of the answer. It is dropped, and the connection is not reused.
 				end(Effect.void);
 				message.destroy();
 				return;
 			}
 
-			take(chunk);
+			processChunk(chunk);
 			if (fault !== undefined) {
-				end(Effect.fail(broken('garbled', fault)));
+				end(Effect.fail(streamFailure('garbled', fault)));
 				message.destroy();
 			}
 		});
 		message.once('end', () => {
-			end(reader.isDone ? Effect.void : Effect.fail(broken('cut', 'the answer ended before its last event')));
+			end(reader.isDone ? Effect.void : Effect.fail(streamFailure('cut', 'the answer ended before its last event')));
 		});
 		message.on('error', error => {
-			resume(Effect.fail(broken('cut', error.message)));
+			resume(Effect.fail(streamFailure('cut', error.message)));
 		});
 		message.once('close', () => {
-			// Each answer closes; building a failure for each would cost more than all else here.
+			// Every response emits 'close'. The check avoids creating an error for each complete answer, which would dominate the cost.
 			if (!hasEnded) {
-				resume(Effect.fail(broken('cut', 'the connection closed before the answer was whole')));
+				resume(Effect.fail(streamFailure('cut', 'the connection closed before the answer was whole')));
 			}
 		});
 		return Effect.sync(() => message.destroy());
