--- a/src/base/answer-end.ts
+++ b/src/base/answer-end.ts
@@ -1,16 +1,17 @@
 /**
- * Whether all of an answer has come, also where its framing cannot tell.
+ * Detects whether an HTTP answer was received completely, even if its framing does not show it.
  */
 import type {ClientRequest, IncomingMessage} from 'node:http';
 import type {Socket} from 'node:net';
 
 /**
- * Watches how the connection of one request ends. Node takes a reset for the end of an answer that has neither a length nor chunks.
+ * Watches how the connection of one request ends. For an answer with neither a length nor chunks, Node treats a connection reset
+ * as a regular end.
  */
 export class AnswerEnd {
 	/**
-	 * @param outgoing - A request that has no connection yet.
-	 * @returns The watch; it leaves the connection with the request.
+	 * @param outgoing - A request without a connection yet.
+	 * @returns The watch; it removes its listener from the connection when the request closes.
 	 */
 	static watch(outgoing: ClientRequest): AnswerEnd {
 		const end = new AnswerEnd();
@@ -20,7 +21,7 @@
 		outgoing.once('response', answer => {
 			end.answer = answer;
 		});
-		// Surplus bytes and late errors behind a whole answer take nothing from it.
+		// Surplus bytes and errors after a complete answer do not invalidate it.
 		outgoing.on('error', () => {
 			end.isBroken ||= !end.isComplete;
 		});
@@ -31,10 +32,10 @@
 	private isBroken = false;
 
 	private constructor() {
-		// Made by watch().
+		// Created by watch().
 	}
 
-	/** Whether all of the answer has come; false where its connection was reset, whatever its framing says. */
+	/** Whether the whole answer was received; false if its connection was reset before the end, whatever its framing says. */
 	get isWhole(): boolean {
 		return this.isComplete && !this.isBroken;
 	}
@@ -43,13 +44,13 @@
 		return this.answer?.complete === true;
 	}
 
-	/** A reset that comes together with the last bytes is told as a plain end; then the connection has no peer any more. */
+	/** Node reports a reset that arrives with the last bytes as a regular end, but the socket then has no remote address. */
 	private follow(outgoing: ClientRequest, socket: Socket): void {
 		const noteReset = () => {
 			this.isBroken ||= !this.isComplete && socket.remoteAddress === undefined;
 		};
 
-		// Node's own listener completes the answer: this one must be told before.
+		// Node's own listener marks the answer as complete, so this one must run first.
 		socket.prependOnceListener('end', noteReset);
 		outgoing.once('close', () => {
 			socket.off('end', noteReset);
--- a/src/base/bounded-event-log.ts
+++ b/src/base/bounded-event-log.ts
@@ -1,32 +1,33 @@
 /**
- * A log that never holds the process up: where its reader is too slow, lines are left out and counted, those of
- * requests that went well first.
+ * A log that never blocks the process. If its reader is too slow, lines are dropped and counted, those of
+ * successful requests first.
  */
 import {EventLog, type EventFields} from './event-log.js';
 import {events, type EventName} from './event-catalogue.js';
 
-/** Bytes that may wait for the reader before lines of what went well are left out. */
+/** Bytes that may wait for the reader before lines of successful requests are dropped. */
 const calmBacklog = 65_536;
-/** Bytes that may wait before any line is left out. */
+/** Bytes that may wait for the reader before lines of all events are dropped. */
 const largestBacklog = 262_144;
-/** Lines a second of what went well. */
+/** Maximum lines a second for successful requests. */
 const calmLinesPerSecond = 400;
 const millisecondsPerSecond = 1000;
+/** Bunyan's numbers of the log levels. */
 const levels = {info: 30, warn: 40, error: 50} as const;
-/** Events of which there may be very many. */
+/** Events of successful requests, which may be very frequent. */
 const calmEvents: ReadonlySet<EventName> = new Set(['requestAnswered']);
 
-/** Where lines go. */
+/** The stream to which lines are written. */
 export type LogOutput = {
 	readonly writableLength: number;
 	write(line: string): unknown;
 };
 
-/** Writes events as lines of JSON, as bunyan does, within bounds. */
+/** Writes events as lines of JSON in bunyan's format, and drops lines above the limits. */
 export class BoundedEventLog extends EventLog {
 	/**
-	 * @param output - Where lines go.
-	 * @param onLeftOut - Called for each line left out.
+	 * @param output - The stream to which lines are written.
+	 * @param onLeftOut - Called for each dropped line.
 	 * @returns The log.
 	 */
 	static create(output: LogOutput, onLeftOut: () => void = () => undefined): BoundedEventLog {
@@ -42,7 +43,7 @@
 		super();
 	}
 
-	/** @param node - Name of the box, a field of each line from now on. */
+	/** @param node - Name of the box, which becomes a field of each later line. */
 	name(node: string): void {
 		this.node = node;
 	}
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -1,35 +1,35 @@
 /**
- * Time, behind a class so that tests can move it.
+ * Reading of time, in an abstract class so that tests can control it.
  */
 import {performance} from 'node:perf_hooks';
 
-/** Milliseconds told to other boxes where nobody can tell how long ago something was, and at most. */
+/** Milliseconds sent to other boxes as the age of something whose age is unknown; also the maximum of a known age. */
 export const unknownAge = 1_000_000;
 
 /** Reads time. Durations are always taken from the monotonic clock. */
 export abstract class Clock {
 	/**
 	 * @param at - Monotonic milliseconds at which something was known.
-	 * @returns Milliseconds since; without end where the machine was suspended meanwhile, so that nobody can tell.
+	 * @returns Milliseconds since then; infinite if the machine was suspended in between, as the duration is unknown.
 	 */
 	ageOf(at: number): number {
 		return at > this.lastWake() ? this.monotonic() - at : Number.POSITIVE_INFINITY;
 	}
 
-	/** @returns Milliseconds that only ever grow, also when the wall clock is stepped. A suspension of the machine is not counted. */
+	/** @returns Milliseconds that never decrease, even if the wall clock is set back. Time in which the machine is suspended is not counted. */
 	abstract monotonic(): number;
 
-	/** @returns Milliseconds since the epoch, as this box believes. For logs only. */
+	/** @returns Milliseconds since the epoch by the wall clock of this box, which may be wrong. For logs only. */
 	abstract wall(): number;
 
 	/**
-	 * @returns Monotonic milliseconds at which this process may last have come out of a suspension; nothing that was known before
-	 * counts after it, since nobody can tell how long ago that was. Below zero without end where it never did.
+	 * @returns Monotonic milliseconds at which this process may last have resumed from a suspension; negative infinity if never.
+	 * Anything known before that moment is of unknown age and must not be used.
 	 */
 	abstract lastWake(): number;
 }
 
-/** Milliseconds by which the wall clock must run ahead of the steady one for the machine to have been suspended. */
+/** Milliseconds by which the wall clock must gain on the monotonic clock to indicate a suspension. */
 const leastJump = 200;
 
 /** The operating system's clocks. */
@@ -50,7 +50,10 @@
 		return Date.now();
 	}
 
-	/** The wall clock counts a suspension and the steady one does not; one that was set ahead looks the same, and costs a look anew. */
+	/**
+	 * The wall clock counts the time of a suspension and the monotonic clock does not. A wall clock that is set ahead looks the same;
+	 * then known state is only refreshed once more than needed.
+	 */
 	override lastWake(): number {
 		const now = performance.now();
 		const shift = Date.now() - now;
--- a/src/base/event-catalogue.ts
+++ b/src/base/event-catalogue.ts
@@ -1,6 +1,6 @@
 /**
- * Every event that is logged, by number. docs/EVENTS.md is held against this list by a test.
- * A number is never used again for something else.
+ * All events that are logged, by number. A test compares docs/EVENTS.md with this list.
+ * A number is never reused for another event.
  */
 
 type EventTraits = {
@@ -11,7 +11,7 @@
 
 const event = (number: number, level: EventTraits['level'], text: string): EventTraits => ({number, level, text});
 
-/** The catalogue: one entry an event, named for what happened. */
+/** The catalogue, with one entry for each event. */
 export const events = {
 	boxStarted: event(1001, 'info', 'The entry box serves callers.'),
 	boxStopping: event(1002, 'info', 'A stop was asked for; requests in progress go on.'),
--- a/src/base/event-log.ts
+++ b/src/base/event-log.ts
@@ -5,16 +5,16 @@
 import bunyan from 'bunyan';
 import {events, type EventName} from './event-catalogue.js';
 
-/** What an event may carry. Keys, bodies and answers of callers are never among it. */
+/** Fields of an event. They never hold API keys, request bodies or answers of clients. */
 export type EventFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Takes events. */
+/** Records events. */
 export abstract class EventLog {
 	/**
 	 * Logs an event.
 	 *
-	 * @param name - Which event of the catalogue.
-	 * @param fields - What it is about.
+	 * @param name - Name of the event in the catalogue.
+	 * @param fields - Details of the event.
 	 */
 	abstract write(name: EventName, fields?: EventFields): void;
 }
@@ -23,7 +23,7 @@
 export class BunyanEventLog extends EventLog {
 	/**
 	 * @param box - Name of the box, a field of each line.
-	 * @param stream - Where lines go; standard output by default.
+	 * @param stream - Receives the lines; standard output by default.
 	 * @returns The log.
 	 */
 	static create(box: string, stream: NodeJS.WritableStream = process.stdout): BunyanEventLog {
@@ -40,7 +40,7 @@
 	}
 }
 
-/** Drops events: for the command line and for tests that do not look at them. */
+/** Drops events; used by the command line and by tests that do not check the log. */
 export class SilentEventLog extends EventLog {
 	/** @returns A log that writes nothing. */
 	static create(): SilentEventLog {
@@ -48,6 +48,6 @@
 	}
 
 	override write(): void {
-		// Nothing is kept.
+		// Events are dropped.
 	}
 }
--- a/src/base/faults.ts
+++ b/src/base/faults.ts
@@ -1,5 +1,5 @@
 /**
- * Faults in what people wrote (settings, table, requests): where, what stands there, what was expected.
+ * Faults in input (settings, table, requests): the place, the value found and the value expected.
  */
 import * as Result from 'effect/Result';
 import * as Schema from 'effect/Schema';
@@ -7,27 +7,27 @@
 
 /** One fault. */
 export type Fault = {
-	/** Keys and indexes from the root, joined by dots; empty for the whole. */
+	/** Keys and indexes from the root, joined by dots; empty for the root itself. */
 	readonly path: string;
-	/** What stands there, shortened; absent where nothing does. */
+	/** The value found, as JSON and shortened; absent if there is none. */
 	readonly value: string | undefined;
-	/** What was expected. */
+	/** Description of the expected value. */
 	readonly expected: string;
-	/** Line in the file, from 1, where one is known. */
+	/** Line in the file, from 1, if known. */
 	readonly line?: number;
 };
 
 const longestShownValue = 60;
-/** What the schema library says of a key that is not there. */
+/** Message of the schema library for a missing key. */
 const missingKey = 'Missing key';
 const formatIssue = SchemaIssue.makeFormatterStandardSchemaV1();
 
 /**
- * Follows a path into a value.
+ * Looks up a nested value.
  *
- * @param root - Where to begin.
- * @param path - Keys and indexes.
- * @returns What stands there, or `undefined`.
+ * @param root - The outermost value.
+ * @param path - Keys and indexes from the root.
+ * @returns The value at the path, or `undefined`.
  */
 function valueAt(root: unknown, path: readonly PropertyKey[]): unknown {
 	let value = root;
@@ -44,10 +44,10 @@
 export type Decoder<Type> = (input: unknown) => Result.Result<Type, readonly Fault[]>;
 
 /**
- * Prepares a decoder that collects every fault; prepare it once and use it often.
+ * Creates a decoder that collects all faults. Creation is costly, so reuse the decoder.
  *
- * @param schema - What the input should be.
- * @param excess - What to do with keys that the schema does not name.
+ * @param schema - Schema of the input.
+ * @param excess - Whether keys that the schema does not name are faults or ignored.
  * @returns The decoder.
  */
 export function createDecoder<S extends Schema.ConstraintDecoder<unknown>>(
@@ -72,8 +72,8 @@
 /**
  * Decodes unknown input and collects every fault in it.
  *
- * @param schema - What the input should be.
- * @param input - What came.
+ * @param schema - Schema of the input.
+ * @param input - The input.
  * @returns The decoded value, or all faults at once.
  */
 export function decodeWithFaults<S extends Schema.ConstraintDecoder<unknown>>(
@@ -84,9 +84,9 @@
 }
 
 /**
- * Writes a fault on one line, for people.
+ * Formats a fault as one readable line.
  *
- * @param file - Name of the file it stands in.
+ * @param file - Name of the file that contains it.
  * @param fault - The fault.
  * @returns For example `box.yaml:3: callers.port: "x" — expected number`.
  */
@@ -97,11 +97,11 @@
 }
 
 /**
- * Writes all faults of one thing on one line, for the log.
+ * Formats several faults as one line for the log.
  *
- * @param file - What they stand in.
+ * @param file - Name of the input that contains them.
  * @param faults - The faults.
- * @returns The faults as {@link describeFault} writes them, one behind the other.
+ * @returns The faults as formatted by {@link describeFault}, separated by semicolons.
  */
 export function describeFaults(file: string, faults: readonly Fault[]): string {
 	return faults.map(fault => describeFault(file, fault)).join('; ');
--- a/src/base/get-or-create.ts
+++ b/src/base/get-or-create.ts
@@ -1,11 +1,11 @@
 /**
- * Entries of a map that are made when they are first asked for.
+ * Creates entries of a map on first use.
  */
 
 /**
- * @param map - The map; the entry is added where it is missing.
+ * @param map - The map, to which a missing entry is added.
  * @param key - Key of the entry.
- * @param create - Makes the entry.
+ * @param create - Creates a missing entry.
  * @returns The entry.
  */
 export function getOrCreate<Key, Entry>(map: Map<Key, Entry>, key: Key, create: () => Entry): Entry {
--- a/src/base/group-by.ts
+++ b/src/base/group-by.ts
@@ -1,11 +1,11 @@
 /**
- * Grouping, which Node 20 does not bring yet.
+ * Grouping of items; Node 20 does not have `Map.groupBy` yet.
  */
 
 /**
- * @param items - What to group.
- * @param keyOf - Names the group of an item.
- * @returns The items by group, in their order.
+ * @param items - Items to group.
+ * @param keyOf - Returns the key of an item's group.
+ * @returns The items by group, in their original order.
  */
 export function groupBy<Key, Item>(items: readonly Item[], keyOf: (item: Item) => Key): ReadonlyMap<Key, readonly Item[]> {
 	const groups = new Map<Key, Item[]>();
--- a/src/base/http-client.ts
+++ b/src/base/http-client.ts
@@ -1,5 +1,5 @@
 /**
- * Short calls over HTTP with a JSON answer, and what is known when one fails.
+ * Short HTTP calls with a JSON answer. A failure tells whether the request may have been sent.
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -9,21 +9,22 @@
 import * as Effect from 'effect/Effect';
 import {AnswerEnd} from './answer-end.js';
 
-/** An HTTP call that brought no answer. */
+/** An HTTP call that failed without a complete answer. */
 export class HttpFailure extends Data.TaggedError('HttpFailure')<{
-	/** Whether a byte of the request may have left this box. */
+	/** Whether a part of the request may have been sent. */
 	readonly maySent: boolean;
 	readonly detail: string;
 }> {}
 
-/** An answer whose head has come. */
+/** An answer whose head was received. */
 export type OpenAnswer = {
-	/** Its body is still to be read; destroy it to end the call. */
+	/** The answer with its unread body; destroy it to end the call. */
 	readonly message: IncomingMessage;
+	/** Tells whether the body was received completely. */
 	readonly end: AnswerEnd;
 };
 
-/** A whole answer. */
+/** A complete answer. */
 export type HttpAnswer = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
@@ -36,26 +37,27 @@
 	readonly path: string;
 	readonly headers?: Readonly<Record<string, string>>;
 	readonly body?: string | Uint8Array;
-	/** Milliseconds for the whole answer. */
+	/** Milliseconds until the whole answer must be received. */
 	readonly timeout: number;
-	/** Opens a connection for this call alone, so that a failure before it stands proves that nothing was sent. */
+	/** Opens a new connection for this call, so that a failure to connect proves that nothing was sent. */
 	readonly freshConnection?: boolean;
 };
 
+/** Maximum size of an answer in bytes. */
 const largestAnswer = 16 * 1024 * 1024;
 
-/** One host and port, with the connections kept to it. */
+/** A client of one host and port that keeps connections alive between calls. */
 export class HttpClient {
 	/**
-	 * @param host - IP number.
-	 * @param port - TCP port.
+	 * @param host - IP address of the server.
+	 * @param port - TCP port of the server.
 	 * @returns A client; close it when done.
 	 */
 	static create(host: string, port: number): HttpClient {
 		return new HttpClient(host, port);
 	}
 
-	/** Connections that are kept between calls. */
+	/** Keeps connections alive between calls. */
 	readonly agent = new Agent({keepAlive: true, maxSockets: Infinity, keepAliveMsecs: 5000});
 
 	private constructor(readonly host: string, readonly port: number) {}
@@ -63,18 +65,18 @@
 	/**
 	 * Sends a call and reads the whole answer. Interruption destroys the connection.
 	 *
-	 * @param call - What to send.
-	 * @returns The answer, whatever its status; fails with {@link HttpFailure} when there is none.
+	 * @param call - The call.
+	 * @returns The answer with any status; fails with {@link HttpFailure} if there is no complete answer.
 	 */
 	exchange(call: HttpCall): Effect.Effect<HttpAnswer, HttpFailure> {
 		return Effect.flatMap(this.open(call), answer => readWhole(answer));
 	}
 
 	/**
-	 * Sends a call and returns when the head of the answer is there.
+	 * Sends a call and returns when the head of the answer is received.
 	 *
-	 * @param call - What to send.
-	 * @returns The answer.
+	 * @param call - The call.
+	 * @returns The answer with its unread body.
 	 */
 	open(call: HttpCall): Effect.Effect<OpenAnswer, HttpFailure> {
 		return Effect.callback<OpenAnswer, HttpFailure>(resume => {
@@ -89,7 +91,7 @@
 			});
 			const end = AnswerEnd.watch(outgoing);
 			const timer = setTimeout(() => {
-				// A reset takes back what a cut still holds up: a call that is given up on must not arrive late.
+				// A reset discards data that is still queued on a cut connection, so that a call that timed out does not arrive later.
 				outgoing.socket?.resetAndDestroy();
 				outgoing.destroy(new Error(`no answer within ${call.timeout} ms`));
 			}, call.timeout);
@@ -102,7 +104,7 @@
 					isConnected = true;
 				}
 			});
-			// Stays: an error that nobody listens for would end the process.
+			// Not removed after the first error, since an error event without a listener would crash the process.
 			outgoing.on('error', error => {
 				clearTimeout(timer);
 				resume(Effect.fail(new HttpFailure({maySent: isConnected, detail: error.message})));
@@ -121,7 +123,7 @@
 		});
 	}
 
-	/** Closes the connections that are kept; one with an answer in progress closes after it. */
+	/** Closes idle connections; a connection with an answer in progress closes after it. */
 	close(): void {
 		this.agent.maxFreeSockets = 0;
 		for (const socket of Object.values(this.agent.freeSockets).flatMap(sockets => sockets ?? [])) {
@@ -131,10 +133,10 @@
 }
 
 /**
- * Reads a body to its end.
+ * Reads the whole body of an answer.
  *
- * @param answer - An answer whose body has not been read.
- * @returns The whole answer; fails where it is cut short or too large.
+ * @param answer - An answer with an unread body.
+ * @returns The complete answer; fails if it is truncated or too large.
  */
 export function readWhole({message, end}: OpenAnswer): Effect.Effect<HttpAnswer, HttpFailure> {
 	return Effect.callback<HttpAnswer, HttpFailure>(resume => {
@@ -164,7 +166,7 @@
 			fail(error.message);
 		});
 		message.once('close', () => {
-			// Each whole answer closes too; building a failure for each would cost more than all else here.
+			// A complete answer closes too. Creating a failure for each would cost more than the rest of this function.
 			if (!message.readableEnded) {
 				fail('answer cut short');
 			}
--- a/src/base/identifiers.ts
+++ b/src/base/identifiers.ts
@@ -1,5 +1,5 @@
 /**
- * Names of things, each of a type of its own so that one cannot stand in for another.
+ * Types of names. Each is a separate branded type, so that one cannot be used in place of another.
  */
 import * as Brand from 'effect/Brand';
 import * as Schema from 'effect/Schema';
@@ -9,36 +9,36 @@
 
 const Name = Schema.String.check(Schema.isPattern(namePattern, {expected: namePatternText}));
 
-/** A virtual machine, as the platform names it; a new incarnation has a new name. */
+/** The platform's name of a virtual machine; a new incarnation gets a new name. */
 export type BoxId = string & Brand.Brand<'BoxId'>;
 export const BoxId = Name.pipe(Schema.brand('BoxId'));
 
-/** A data centre, as the platform names it. */
+/** The platform's name of a data centre. */
 export type DataCentre = string & Brand.Brand<'DataCentre'>;
 export const DataCentre = Name.pipe(Schema.brand('DataCentre'));
 
-/** An account that calls the system. */
+/** Name of an account whose clients call the system. */
 export type ClientAccountName = string & Brand.Brand<'ClientAccountName'>;
 export const ClientAccountName = Name.pipe(Schema.brand('ClientAccountName'));
 
-/** A service that operators created: a model or a plain service. */
+/** Name of a service that operators created: a model or a plain service. */
 export type ServiceName = string & Brand.Brand<'ServiceName'>;
 export const ServiceName = Name.pipe(Schema.brand('ServiceName'));
 
-/** A kind of request: what a row of the table is about, besides the client account. */
+/** Name of a kind of request. A row of the table applies to one kind of request of one client account and service. */
 export type RequestKind = string & Brand.Brand<'RequestKind'>;
 export const RequestKind = Name.pipe(Schema.brand('RequestKind'));
 
-/** A set of upstreams that serve the same service. */
+/** Name of a set of upstreams that serve the same service. */
 export type PoolName = string & Brand.Brand<'PoolName'>;
 export const PoolName = Name.pipe(Schema.brand('PoolName'));
 
-/** The name a caller gave its request (`Idempotency-Key`), unique within a client account. */
+/** The key that a client gave its request (`Idempotency-Key`), unique within a client account. */
 export type RequestKey = string & Brand.Brand<'RequestKey'>;
 export const RequestKey = Schema.String
 	.check(Schema.isPattern(/^[\u0021-\u007E]{1,128}$/v, {expected: '1 to 128 printable ASCII characters without spaces'}))
 	.pipe(Schema.brand('RequestKey'));
 
-/** One try at running a request, unique over all boxes and time. */
+/** Identifier of one attempt to run a request, unique across all boxes and all time. */
 export type AttemptId = string & Brand.Brand<'AttemptId'>;
 export const AttemptId = Brand.nominal<AttemptId>();
--- a/src/base/json-answer.ts
+++ b/src/base/json-answer.ts
@@ -1,5 +1,5 @@
 /**
- * Reads answers that should be JSON: one that was cut short, or holds something else, is told as such and never thrown.
+ * Decodes JSON answers. A truncated or invalid answer is returned as a list of faults; nothing is thrown.
  */
 import {Buffer} from 'node:buffer';
 import * as Result from 'effect/Result';
@@ -7,11 +7,11 @@
 import type {HttpAnswer} from './http-client.js';
 
 /**
- * A body without a length ends where its connection does, so that its end alone does not prove that it is whole.
+ * A body without a length ends when its connection closes, so a truncated body can only be detected by decoding it.
  *
  * @param answer - An answer whose body should be JSON.
- * @param decode - Decodes what the body should hold.
- * @returns What it holds, or what is wrong with it.
+ * @param decode - Decodes the parsed body.
+ * @returns The decoded body, or its faults.
  */
 export function decodeAnswer<Content>(answer: HttpAnswer, decode: Decoder<Content>): Result.Result<Content, readonly Fault[]> {
 	return Result.flatMap(parse(answer), value => decode(value));
--- a/src/base/lingering-close.ts
+++ b/src/base/lingering-close.ts
@@ -1,21 +1,21 @@
 /**
- * Ends an answer to a request that was refused before it was read. Closed at once, the bytes that still come would
- * reset the connection, and its client might never see the answer.
+ * Ends the answer to a request that was refused before its body was read. If the connection were closed at once, the bytes
+ * still arriving would cause a reset, and the client might never see the answer.
  *
  * @remarks Source: RFC 9112, section 9.6, "Tear-down".
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
-/** Milliseconds for which what still comes is thrown away. */
+/** Maximum time in milliseconds for discarding the rest of the request. */
 const lingerTime = 1000;
-/** Bytes at most that are thrown away. */
+/** Maximum number of bytes to discard. */
 const lingerBytes = 33_554_432;
 
 /**
- * Throws away what still comes of a request, within bounds, then ends the answer.
+ * Discards the rest of a request, up to a limit of time and bytes, then ends the answer.
  *
  * @param incoming - The request.
- * @param response - Its answer, written whole but not ended.
+ * @param response - Its answer, completely written but not ended.
  */
 export function endLingering(incoming: IncomingMessage, response: ServerResponse): void {
 	const end = () => {
--- a/src/base/median.ts
+++ b/src/base/median.ts
@@ -1,10 +1,10 @@
 /**
- * The middle of many values, which a few that are far off do not move.
+ * The median, which a few outliers do not change much.
  */
 
 /**
  * @param values - Values in any order.
- * @returns The middle one, the greater of two; zero where there is none.
+ * @returns The median, or the greater of the two middle values; zero for an empty list.
  */
 export function medianOf(values: readonly number[]): number {
 	const sorted = [...values].sort((left, right) => left - right);
--- a/src/base/metrics.ts
+++ b/src/base/metrics.ts
@@ -1,21 +1,23 @@
 /**
- * What is counted and measured, for `/metrics`.
+ * Metrics that `/metrics` exposes.
  */
 import {
 	Counter, Gauge, Histogram, Registry, collectDefaultMetrics,
 } from 'prom-client';
 
+/** Upper bounds of the histogram buckets, in seconds. */
 const firstTokenBuckets = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 1.7, 2.5, 5, 10];
+/** Upper bounds of the histogram buckets, in seconds. */
 const claimBuckets = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2];
 
 /** The metrics of one box. */
 export class Metrics {
-	/** @returns Metrics in a registry of their own. */
+	/** @returns Metrics in a new registry. */
 	static create(): Metrics {
 		return new Metrics();
 	}
 
-	/** What `/metrics` prints. */
+	/** Registry that `/metrics` prints. */
 	readonly registry = new Registry();
 
 	readonly requests = new Counter({
--- a/src/base/port.ts
+++ b/src/base/port.ts
@@ -1,2 +1,2 @@
-/** The highest port of TCP and of UDP. */
+/** The highest port number of TCP and UDP. */
 export const largestPort = 65_535;
--- a/src/base/rate-meter.ts
+++ b/src/base/rate-meter.ts
@@ -1,17 +1,18 @@
 /**
- * Measures a rate as a decaying sum, so that neither windows nor lists of events are kept.
+ * Measures a rate as an exponentially decaying sum, without storing windows or lists of events.
  */
 import type {Clock} from './clock.js';
 
+/** Milliseconds. */
 const usualTimeConstant = 1000;
 const millisecondsPerSecond = 1000;
 
-/** Measures the rate of one thing. */
+/** Measures the rate of one kind of event. */
 export class RateMeter {
 	/**
-	 * @param clock - For decay.
-	 * @param timeConstant - Milliseconds after which an event counts for about a third.
-	 * @returns A meter that has seen nothing.
+	 * @param clock - Clock for the decay.
+	 * @param timeConstant - Milliseconds after which the weight of an event falls to 1/e, about a third.
+	 * @returns A meter with a rate of zero.
 	 */
 	static create(clock: Clock, timeConstant = usualTimeConstant): RateMeter {
 		return new RateMeter(clock, timeConstant);
@@ -24,12 +25,12 @@
 		this.notedAt = clock.monotonic();
 	}
 
-	/** Units a second lately. */
+	/** Units a second, weighted towards the recent past by the time constant. */
 	get rate(): number {
 		return this.decayed() * millisecondsPerSecond / this.timeConstant;
 	}
 
-	/** @param units - What happened now. */
+	/** @param units - Units to add at the current time. */
 	note(units: number): void {
 		this.sum = this.decayed() + units;
 		this.notedAt = this.clock.monotonic();
--- a/src/base/refusal-reason.ts
+++ b/src/base/refusal-reason.ts
@@ -1,6 +1,6 @@
 /**
- * Every reason for which a caller's request can be refused, with the HTTP status, the verdict
- * and the time to come back that go with it. The reasons are the labels of
+ * Every reason for which a client's request can be refused, with its HTTP status, verdict
+ * and retry delay. The reasons are the labels of
  * `waydrift_refusals_total`; docs/CALLERS.md lists them.
  */
 import type {Verdict} from './verdict.js';
@@ -9,7 +9,7 @@
 	readonly status: number;
 	readonly title: string;
 	readonly verdict: Verdict;
-	/** Whole seconds; `undefined` where asking again the same way never helps. */
+	/** Whole seconds before a retry; `undefined` if retrying the same request never helps. */
 	readonly retryAfter: number | undefined;
 };
 
@@ -17,7 +17,7 @@
 	status, title, verdict, retryAfter,
 });
 
-/** The catalogue. */
+/** The catalogue of reasons. */
 export const refusalReasons = {
 	'key-missing': refusal(401, 'No API key', 'not-run'),
 	'key-unknown': refusal(401, 'Unknown API key', 'not-run'),
--- a/src/base/rendezvous.ts
+++ b/src/base/rendezvous.ts
@@ -1,11 +1,12 @@
 /**
- * Rendezvous hashing: every box picks the same owner for a name without talking to the others,
- * and only the names of a box that goes change their owner.
+ * Rendezvous hashing: every box picks the same owner for a name without communication,
+ * and when a box leaves, only the names that it owned change their owner.
  *
  * @remarks Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998.
  */
 
 /* eslint-disable no-bitwise, unicorn/prefer-code-point -- a hash works on bits and code units */
+/** Offset basis and prime of 32-bit FNV-1a. */
 const offsetBasis = 0x81_1C_9D_C5;
 const prime = 0x01_00_01_93;
 const largestHash = 0xFF_FF_FF_FF;
@@ -13,7 +14,7 @@
 /**
  * Hashes text to 32 bits (FNV-1a with a final mix).
  *
- * @param text - What to hash.
+ * @param text - Text to hash.
  * @returns An unsigned 32-bit number.
  */
 export function hashText(text: string): number {
@@ -26,9 +27,9 @@
 }
 
 /**
- * Spreads things that would else happen at once, the same way on every box.
+ * Hashes text to a fraction, for example to spread actions over time in the same way on every box.
  *
- * @param text - Name of the thing.
+ * @param text - Text to hash.
  * @returns A number from 0 to 1.
  */
 export function shareOf(text: string): number {
@@ -36,17 +37,17 @@
 }
 
 /**
- * Mixes two hashes into one; cheap enough for all pairs of boxes and upstreams.
+ * Combines two hashes; cheap enough to compute for all pairs of boxes and upstreams.
  *
- * @param left - A hash.
- * @param right - Another.
+ * @param left - First hash.
+ * @param right - Second hash.
  * @returns An unsigned 32-bit number.
  */
 export function mixHashes(left: number, right: number): number {
 	return spread(left ^ Math.imul(right, 0x9E_37_79_B1));
 }
 
-/** The final mix of MurmurHash3. */
+/** The finaliser of MurmurHash3. */
 function spread(hash: number): number {
 	let mixed = Math.imul(hash ^ (hash >>> 16), 0x85_EB_CA_6B);
 	mixed = Math.imul(mixed ^ (mixed >>> 13), 0xC2_B2_AE_35);
@@ -56,9 +57,9 @@
 /**
  * Orders candidates for a name by rendezvous score, the owner first.
  *
- * @param name - What is to be owned.
- * @param candidates - Who may own it.
- * @returns The candidates, best first; the same order wherever it is computed.
+ * @param name - Name to be owned.
+ * @param candidates - Possible owners.
+ * @returns The candidates, best first; the order is the same on every box.
  */
 export function rankOwners<Candidate extends string>(name: string, candidates: readonly Candidate[]): readonly Candidate[] {
 	return candidates
--- a/src/base/rotated.ts
+++ b/src/base/rotated.ts
@@ -1,12 +1,12 @@
 /**
- * Lists of which only a part fits into one message.
+ * Splits a list over several messages if it does not fit into one.
  */
 
 /**
- * @param items - What there is.
- * @param most - How many fit at most.
- * @param turn - Rises by one from message to message, so that each item gets its turn.
- * @returns Those that go with this message.
+ * @param items - All items.
+ * @param most - Maximum number of items in one message.
+ * @param turn - Number of the message, which increases by one with each, so that every item is sent in turn.
+ * @returns The items of this message.
  */
 export function rotated<Item>(items: readonly Item[], most: number, turn: number): readonly Item[] {
 	const first = items.length <= most ? 0 : (turn * most) % items.length;
--- a/src/base/sum.ts
+++ b/src/base/sum.ts
@@ -1,10 +1,10 @@
 /**
- * Adds numbers up; the linter forbids `reduce`.
+ * Sums numbers; the linter forbids `reduce`.
  */
 
 /**
- * @param numbers - Any numbers.
- * @returns Their sum; zero where there are none.
+ * @param numbers - Numbers to add.
+ * @returns Their sum; zero if there are none.
  */
 export function sumOf(numbers: Iterable<number>): number {
 	let total = 0;
--- a/src/base/test/bounded-event-log.test.ts
+++ b/src/base/test/bounded-event-log.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {BoundedEventLog, type LogOutput} from '../bounded-event-log.js';
 
-/** A reader that reads only when it is told to. */
+/** An output whose reader is blocked: lines accumulate until the test resets `writableLength`. */
 class StuckOutput implements LogOutput {
 	writableLength = 0;
 	readonly lines: Array<Readonly<Record<string, unknown>>> = [];
@@ -13,7 +13,7 @@
 	}
 }
 
-test('a reader that does not read bounds what waits, successes are left out before failures, and the loss is told', () => {
+test('if the reader is blocked, the backlog stays bounded, successes are dropped before failures, and the number of dropped lines is logged', () => {
 	const output = new StuckOutput();
 	let leftOut = 0;
 	const log = BoundedEventLog.create(output, () => {
--- a/src/base/test/event-catalogue.test.ts
+++ b/src/base/test/event-catalogue.test.ts
@@ -7,13 +7,13 @@
 
 const read = (name: string) => readFileSync(fileURLToPath(new URL(`../../../../docs/${name}`, import.meta.url)), 'utf8');
 
-test('docs/EVENTS.md lists every event as it is in the code, and no other', () => {
+test('docs/EVENTS.md lists exactly the events of the code', () => {
 	const page = read('EVENTS.md').split('\n').filter(line => /^\| \d/v.test(line));
 	const code = Object.entries(events).map(([name, {number, level, text}]) => `| ${number} | ${name} | ${level} | ${text} |`);
 	assert.deepEqual(page, code);
 });
 
-test('every number stands for one event', () => {
+test('every number belongs to one event', () => {
 	const numbers = Object.values(events).map(({number}) => number);
 	assert.equal(new Set(numbers).size, numbers.length);
 });
--- a/src/base/test/http-client.test.ts
+++ b/src/base/test/http-client.test.ts
@@ -1,6 +1,6 @@
 /**
- * Node tells a reset as a plain end where an answer has neither a length nor chunks, so that half a body was taken for the whole: a plain
- * service's answer went to its caller so, with status 200, and the store's to whatever reads it.
+ * Guards against truncated answers that count as complete. For an answer with neither a length nor chunks, Node reports a connection reset
+ * as a regular end, so half a body of a plain service would reach its client with status 200, and half an answer of the store its reader.
  */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -24,7 +24,7 @@
 	server.close();
 });
 
-/** @returns What a call brought: the body, or that it may have run. */
+/** @returns The body of the answer, or whether the failed call may have run. */
 async function exchange(script: AnswerScript, freshConnection: boolean): Promise<string> {
 	server.script = script;
 	const client = HttpClient.create('127.0.0.1', server.port);
@@ -38,7 +38,7 @@
 	});
 }
 
-/** Answers that are cut, by how their end would be told; in one piece, and with the body apart from the head. */
+/** Truncated answers by the framing that marks their end. Each is sent in one piece, and with the body separate from the head. */
 const framings = {
 	'without a length': {head: `${head}\r\n`, body},
 	'with a length': {head: `${head}Content-Length: ${body.length + 1}\r\n\r\n`, body},
@@ -50,25 +50,25 @@
 	for (const ending of ['reset', 'late-reset', 'close'] as const) {
 		// By HTTP, an answer without a length is whole when its connection closes.
 		const isCut = ending !== 'close' || framing !== 'without a length';
-		test(`an answer ${framing} whose connection ends by ${ending} is ${isCut ? 'not taken for whole' : 'whole'}`, async () => {
+		test(`an answer ${framing} whose connection ends by ${ending} is ${isCut ? 'incomplete' : 'complete'}`, async () => {
 			const pieces = [[parts.head + parts.body], [parts.head, parts.body], [parts.head + parts.body.slice(0, -3), parts.body.slice(-3)]];
 			const told: string[] = [];
 			for (const written of pieces) {
 				told.push(await exchange({pieces: written, ending}, true), await exchange({pieces: written, ending}, false));
 			}
 
-			// A reset may also take the head back: then it is no answer either.
+			// A reset may also discard the head; then there is no answer at all.
 			assert.deepEqual(told, told.map(() => isCut ? 'failed, may have run' : body));
 		});
 	}
 }
 
-test('a whole answer whose connection is reset behind it is whole', async () => {
+test('a complete answer stays complete if its connection is reset after it', async () => {
 	const pieces = [`${head}Content-Length: ${body.length}\r\n\r\n${body}`];
 	assert.equal(await exchange({pieces, ending: 'late-reset'}, true), body);
 });
 
-test('connections that are kept do not gather listeners', async () => {
+test('reused connections do not accumulate listeners', async () => {
 	server.script = {pieces: [`${head}Content-Length: ${body.length}\r\n\r\n${body}`], ending: 'open'};
 	const client = HttpClient.create('127.0.0.1', server.port);
 	const counts: Array<number | undefined> = [];
--- a/src/base/test/lingering-close.test.ts
+++ b/src/base/test/lingering-close.test.ts
@@ -5,7 +5,7 @@
 import {test} from 'node:test';
 import {endLingering} from '../lingering-close.js';
 
-test('a client that goes on sending after its request was refused still reads the whole answer', async () => {
+test('a client that continues sending after its request was refused still reads the whole answer', async () => {
 	const server = createServer((incoming, response) => {
 		response.shouldKeepAlive = false;
 		response.writeHead(413, {'Content-Length': '7'}).write('refused');
--- a/src/base/verdict.ts
+++ b/src/base/verdict.ts
@@ -1,33 +1,33 @@
 /**
- * What is known about whether a request ran.
+ * The verdict on a request (whether it ran) and the refusal that reports it to the client.
  */
 import * as Data from 'effect/Data';
 import {refusalReasons, type RefusalReason} from './refusal-reason.js';
 
 /**
- * - `not-run`: it did not run and will not; asking again is safe.
- * - `may-have-run`: nobody can tell; asking again may run it twice.
- * - `ran`: it ran to its end.
+ * - `not-run`: it did not run and will not; a retry is safe.
+ * - `may-have-run`: it is unknown whether it ran; a retry may run it twice.
+ * - `ran`: it ran to completion.
  */
 export type Verdict = 'not-run' | 'may-have-run' | 'ran';
 
-/** A request that ends without its answer. It tells the caller whether the request may have run. */
+/** The refusal of a request. It tells the client whether the request may have run. */
 export class Refusal extends Data.TaggedError('Refusal')<{
 	readonly verdict: Verdict;
 	readonly reason: RefusalReason;
-	/** What happened, to what, and what the caller can do. */
+	/** What happened and what the client can do. */
 	readonly detail: string;
-	/** Whole seconds after which asking again makes sense; absent where it never does. */
+	/** Whole seconds after which a retry is useful; `undefined` if it never is. */
 	readonly retryAfter: number | undefined;
-	/** Where the answer can be fetched, if the request goes on elsewhere. */
+	/** Where the answer can be fetched if another box continues the request. */
 	readonly location: string | undefined;
 }> {
 	/**
-	 * Builds a refusal with the verdict that its reason implies.
+	 * Creates a refusal with the verdict and retry delay of its reason.
 	 *
-	 * @param reason - Why; also the label of the refusal counter.
-	 * @param detail - What happened and what the caller can do.
-	 * @param options - Where the verdict or the time to come back differ from the reason's own.
+	 * @param reason - Reason in the catalogue; also the label of the refusal counter.
+	 * @param detail - What happened and what the client can do.
+	 * @param options - Verdict or retry delay in place of the reason's own, and where the answer can be fetched.
 	 * @returns The refusal.
 	 */
 	static create(
--- a/src/base/yaml-file.ts
+++ b/src/base/yaml-file.ts
@@ -1,5 +1,5 @@
 /**
- * Reads YAML that people wrote, so that each fault can be told with its line.
+ * Decodes YAML files and reports each fault with its line.
  */
 import * as Result from 'effect/Result';
 import type * as Schema from 'effect/Schema';
@@ -9,8 +9,8 @@
 /**
  * Parses and decodes YAML text.
  *
- * @param schema - What the text should hold.
- * @param text - The text.
+ * @param schema - Schema of the content.
+ * @param text - YAML text.
  * @returns The decoded value, or all faults with their lines.
  */
 export function decodeYaml<S extends Schema.ConstraintDecoder<unknown>>(
@@ -28,7 +28,7 @@
 		})));
 	}
 
-	/** Nearest enclosing node that exists, for keys that are missing. */
+	/** Returns the line of a node, or that of its nearest existing ancestor if a key is missing. */
 	const lineOf = (path: readonly string[]): number => {
 		const node = path.length === 0 ? document.contents : document.getIn(path, true);
 		if (isNode(node) && node.range) {
