--- a/src/base/answer-end.ts
+++ b/src/base/answer-end.ts
@@ -16,7 +16,7 @@
 	static watch(outgoing: ClientRequest): AnswerEnd {
 		const end = new AnswerEnd();
 		outgoing.once('socket', socket => {
-			end.follow(outgoing, socket);
+			end.watchSocket(outgoing, socket);
 		});
 		outgoing.once('response', answer => {
 			end.answer = answer;
@@ -45,15 +45,15 @@
 	}
 
 	/** Node reports a reset that arrives with the last bytes as a regular end, but the socket then has no remote address. */
-	private follow(outgoing: ClientRequest, socket: Socket): void {
-		const noteReset = () => {
+	private watchSocket(outgoing: ClientRequest, socket: Socket): void {
+		const recordReset = () => {
 			this.isBroken ||= !this.isComplete && socket.remoteAddress === undefined;
 		};
 
 		// Node's own listener marks the answer as complete, so this one must run first.
-		socket.prependOnceListener('end', noteReset);
+		socket.prependOnceListener('end', recordReset);
 		outgoing.once('close', () => {
-			socket.off('end', noteReset);
+			socket.off('end', recordReset);
 		});
 	}
 }
--- a/src/base/bounded-event-log.ts
+++ b/src/base/bounded-event-log.ts
@@ -6,16 +6,16 @@
 import {events, type EventName} from './event-catalogue.js';
 
 /** Bytes that may wait for the reader before lines of successful requests are dropped. */
-const calmBacklog = 65_536;
+const maxSuccessBacklogBytes = 65_536;
 /** Bytes that may wait for the reader before lines of all events are dropped. */
-const largestBacklog = 262_144;
+const maxBacklogBytes = 262_144;
 /** Maximum lines a second for successful requests. */
-const calmLinesPerSecond = 400;
+const maxSuccessLinesPerSecond = 400;
 const millisecondsPerSecond = 1000;
 /** Bunyan's numbers of the log levels. */
 const levels = {info: 30, warn: 40, error: 50} as const;
 /** Events of successful requests, which may be very frequent. */
-const calmEvents: ReadonlySet<EventName> = new Set(['requestAnswered']);
+const successEvents: ReadonlySet<EventName> = new Set(['requestAnswered']);
 
 /** The stream to which lines are written. */
 export type LogOutput = {
@@ -27,19 +27,19 @@
 export class BoundedEventLog extends EventLog {
 	/**
 	 * @param output - The stream to which lines are written.
-	 * @param onLeftOut - Called for each dropped line.
+	 * @param onLineDropped - Called for each dropped line.
 	 * @returns The log.
 	 */
-	static create(output: LogOutput, onLeftOut: () => void = () => undefined): BoundedEventLog {
-		return new BoundedEventLog(output, onLeftOut);
+	static create(output: LogOutput, onLineDropped: () => void = () => undefined): BoundedEventLog {
+		return new BoundedEventLog(output, onLineDropped);
 	}
 
 	private node: string | undefined;
-	private leftOut = 0;
+	private droppedLines = 0;
 	private second = 0;
 	private linesInSecond = 0;
 
-	private constructor(private readonly output: LogOutput, private readonly onLeftOut: () => void) {
+	private constructor(private readonly output: LogOutput, private readonly onLineDropped: () => void) {
 		super();
 	}
 
@@ -49,23 +49,23 @@
 	}
 
 	override write(name: EventName, fields: EventFields = {}): void {
-		const isCalm = calmEvents.has(name);
-		if (this.output.writableLength > (isCalm ? calmBacklog : largestBacklog) || (isCalm && this.isPastRate())) {
-			this.leftOut++;
-			this.onLeftOut();
+		const isSuccess = successEvents.has(name);
+		if (this.output.writableLength > (isSuccess ? maxSuccessBacklogBytes : maxBacklogBytes) || (isSuccess && this.isAboveMaxRate())) {
+			this.droppedLines++;
+			this.onLineDropped();
 			return;
 		}
 
-		if (this.leftOut > 0) {
-			const {leftOut} = this;
-			this.leftOut = 0;
-			this.put('logLinesLeftOut', {lines: leftOut});
+		if (this.droppedLines > 0) {
+			const {droppedLines} = this;
+			this.droppedLines = 0;
+			this.writeLine('logLinesLeftOut', {lines: droppedLines});
 		}
 
-		this.put(name, fields);
+		this.writeLine(name, fields);
 	}
 
-	private put(name: EventName, fields: EventFields): void {
+	private writeLine(name: EventName, fields: EventFields): void {
 		const {number, level, text} = events[name];
 		const line = {
 			name: 'waydrift', node: this.node, level: levels[level], time: new Date().toISOString(), event: number, eventName: name, ...fields, msg: text, v: 0,
@@ -73,10 +73,10 @@
 		this.output.write(`${JSON.stringify(line)}\n`);
 	}
 
-	private isPastRate(): boolean {
+	private isAboveMaxRate(): boolean {
 		const second = Math.floor(performance.now() / millisecondsPerSecond);
 		this.linesInSecond = second === this.second ? this.linesInSecond + 1 : 1;
 		this.second = second;
-		return this.linesInSecond > calmLinesPerSecond;
+		return this.linesInSecond > maxSuccessLinesPerSecond;
 	}
 }
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -30,7 +30,7 @@
 }
 
 /** Milliseconds by which the wall clock must gain on the monotonic clock to indicate a suspension. */
-const leastJump = 200;
+const minSuspensionMs = 200;
 
 /** The operating system's clocks. */
 export class SystemClock extends Clock {
@@ -39,8 +39,8 @@
 		return new SystemClock();
 	}
 
-	private shift = Date.now() - performance.now();
-	private wokenAt = Number.NEGATIVE_INFINITY;
+	private wallClockOffset = Date.now() - performance.now();
+	private resumedAt = Number.NEGATIVE_INFINITY;
 
 	override monotonic(): number {
 		return performance.now();
@@ -56,9 +56,9 @@
 	 */
 	override lastWake(): number {
 		const now = performance.now();
-		const shift = Date.now() - now;
-		this.wokenAt = shift - this.shift > leastJump ? now : this.wokenAt;
-		this.shift = shift;
-		return this.wokenAt;
+		const offset = Date.now() - now;
+		this.resumedAt = offset - this.wallClockOffset > minSuspensionMs ? now : this.resumedAt;
+		this.wallClockOffset = offset;
+		return this.resumedAt;
 	}
 }
--- a/src/base/faults.ts
+++ b/src/base/faults.ts
@@ -17,7 +17,7 @@
 	readonly line?: number;
 };
 
-const longestShownValue = 60;
+const maxShownLength = 60;
 /** Message of the schema library for a missing key. */
 const missingKey = 'Missing key';
 const formatIssue = SchemaIssue.makeFormatterStandardSchemaV1();
@@ -38,7 +38,7 @@
 	return value;
 }
 
-const show = (value: unknown): string | undefined => JSON.stringify(value)?.slice(0, longestShownValue);
+const formatValue = (value: unknown): string | undefined => JSON.stringify(value)?.slice(0, maxShownLength);
 
 /** Decodes unknown input. */
 export type Decoder<Type> = (input: unknown) => Result.Result<Type, readonly Fault[]>;
@@ -63,7 +63,7 @@
 		const path = (segments ?? []).map(segment => typeof segment === 'object' ? segment.key : segment);
 		return {
 			path: path.map(String).join('.'),
-			value: show(valueAt(input, path)),
+			value: formatValue(valueAt(input, path)),
 			expected: message === missingKey ? 'a value, which must be given' : message.replace(/^Expected /v, ''),
 		};
 	});
--- a/src/base/get-or-create.ts
+++ b/src/base/get-or-create.ts
@@ -9,9 +9,9 @@
  * @returns The entry.
  */
 export function getOrCreate<Key, Entry>(map: Map<Key, Entry>, key: Key, create: () => Entry): Entry {
-	const known = map.get(key);
-	if (known !== undefined) {
-		return known;
+	const existing = map.get(key);
+	if (existing !== undefined) {
+		return existing;
 	}
 
 	const created = create();
--- a/src/base/http-client.ts
+++ b/src/base/http-client.ts
@@ -44,7 +44,7 @@
 };
 
 /** Maximum size of an answer in bytes. */
-const largestAnswer = 16 * 1024 * 1024;
+const maxAnswerBytes = 16 * 1024 * 1024;
 
 /** A client of one host and port that keeps connections alive between calls. */
 export class HttpClient {
@@ -148,8 +148,8 @@
 
 		message.on('data', (chunk: Uint8Array) => {
 			size += chunk.length;
-			if (size > largestAnswer) {
-				message.destroy(new Error(`answer over ${largestAnswer} bytes`));
+			if (size > maxAnswerBytes) {
+				message.destroy(new Error(`answer over ${maxAnswerBytes} bytes`));
 				return;
 			}
 
--- a/src/base/lingering-close.ts
+++ b/src/base/lingering-close.ts
@@ -7,9 +7,9 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
 /** Maximum time in milliseconds for discarding the rest of the request. */
-const lingerTime = 1000;
+const maxLingerMs = 1000;
 /** Maximum number of bytes to discard. */
-const lingerBytes = 33_554_432;
+const maxDiscardedBytes = 33_554_432;
 
 /**
  * Discards the rest of a request, up to a limit of time and bytes, then ends the answer.
@@ -23,11 +23,11 @@
 		response.end();
 	};
 
-	const timer = setTimeout(end, lingerTime);
-	let left = lingerBytes;
+	const timer = setTimeout(end, maxLingerMs);
+	let remainingBytes = maxDiscardedBytes;
 	incoming.on('data', (chunk: Uint8Array) => {
-		left -= chunk.length;
-		if (left < 0) {
+		remainingBytes -= chunk.length;
+		if (remainingBytes < 0) {
 			end();
 		}
 	});
--- a/src/base/rate-meter.ts
+++ b/src/base/rate-meter.ts
@@ -4,7 +4,7 @@
 import type {Clock} from './clock.js';
 
 /** Milliseconds. */
-const usualTimeConstant = 1000;
+const defaultTimeConstantMs = 1000;
 const millisecondsPerSecond = 1000;
 
 /** Measures the rate of one kind of event. */
@@ -14,29 +14,29 @@
 	 * @param timeConstant - Milliseconds after which the weight of an event falls to 1/e, about a third.
 	 * @returns A meter with a rate of zero.
 	 */
-	static create(clock: Clock, timeConstant = usualTimeConstant): RateMeter {
+	static create(clock: Clock, timeConstant = defaultTimeConstantMs): RateMeter {
 		return new RateMeter(clock, timeConstant);
 	}
 
 	private sum = 0;
-	private notedAt: number;
+	private updatedAt: number;
 
 	private constructor(private readonly clock: Clock, private readonly timeConstant: number) {
-		this.notedAt = clock.monotonic();
+		this.updatedAt = clock.monotonic();
 	}
 
 	/** Units a second, weighted towards the recent past by the time constant. */
 	get rate(): number {
-		return this.decayed() * millisecondsPerSecond / this.timeConstant;
+		return this.decayedSum() * millisecondsPerSecond / this.timeConstant;
 	}
 
 	/** @param units - Units to add at the current time. */
 	note(units: number): void {
-		this.sum = this.decayed() + units;
-		this.notedAt = this.clock.monotonic();
+		this.sum = this.decayedSum() + units;
+		this.updatedAt = this.clock.monotonic();
 	}
 
-	private decayed(): number {
-		return this.sum * Math.exp((this.notedAt - this.clock.monotonic()) / this.timeConstant);
+	private decayedSum(): number {
+		return this.sum * Math.exp((this.updatedAt - this.clock.monotonic()) / this.timeConstant);
 	}
 }
--- a/src/base/rendezvous.ts
+++ b/src/base/rendezvous.ts
@@ -9,7 +9,7 @@
 /** Offset basis and prime of 32-bit FNV-1a. */
 const offsetBasis = 0x81_1C_9D_C5;
 const prime = 0x01_00_01_93;
-const largestHash = 0xFF_FF_FF_FF;
+const maxHash = 0xFF_FF_FF_FF;
 
 /**
  * Hashes text to 32 bits (FNV-1a with a final mix).
@@ -23,7 +23,7 @@
 		hash = Math.imul(hash ^ text.charCodeAt(index), prime);
 	}
 
-	return spread(hash);
+	return finaliseHash(hash);
 }
 
 /**
@@ -33,7 +33,7 @@
  * @returns A number from 0 to 1.
  */
 export function shareOf(text: string): number {
-	return hashText(text) / largestHash;
+	return hashText(text) / maxHash;
 }
 
 /**
@@ -44,11 +44,11 @@
  * @returns An unsigned 32-bit number.
  */
 export function mixHashes(left: number, right: number): number {
-	return spread(left ^ Math.imul(right, 0x9E_37_79_B1));
+	return finaliseHash(left ^ Math.imul(right, 0x9E_37_79_B1));
 }
 
 /** The finaliser of MurmurHash3. */
-function spread(hash: number): number {
+function finaliseHash(hash: number): number {
 	let mixed = Math.imul(hash ^ (hash >>> 16), 0x85_EB_CA_6B);
 	mixed = Math.imul(mixed ^ (mixed >>> 13), 0xC2_B2_AE_35);
 	return (mixed ^ (mixed >>> 16)) >>> 0;
--- a/src/base/test/bounded-event-log.test.ts
+++ b/src/base/test/bounded-event-log.test.ts
@@ -3,7 +3,7 @@
 import {BoundedEventLog, type LogOutput} from '../bounded-event-log.js';
 
 /** An output whose reader is blocked: lines accumulate until the test resets `writableLength`. */
-class StuckOutput implements LogOutput {
+class BlockedOutput implements LogOutput {
 	writableLength = 0;
 	readonly lines: Array<Readonly<Record<string, unknown>>> = [];
 
@@ -14,10 +14,10 @@
 }
 
 test('if the reader is blocked, the backlog stays bounded, successes are dropped before failures, and the number of dropped lines is logged', () => {
-	const output = new StuckOutput();
-	let leftOut = 0;
+	const output = new BlockedOutput();
+	let droppedLines = 0;
 	const log = BoundedEventLog.create(output, () => {
-		leftOut++;
+		droppedLines++;
 	});
 	log.name('node-1');
 	for (let index = 0; index < 5000; index++) {
@@ -26,14 +26,14 @@
 	}
 
 	assert.ok(output.writableLength < 270_000);
-	assert.ok(leftOut > 0);
+	assert.ok(droppedLines > 0);
 	const refused = output.lines.filter(({eventName}) => eventName === 'requestRefused').length;
 	const answered = output.lines.filter(({eventName}) => eventName === 'requestAnswered').length;
 	assert.ok(refused > answered);
 	output.writableLength = 0;
 	log.write('relayStopped');
 	assert.deepEqual(output.lines.slice(-2).map(({eventName}) => eventName), ['logLinesLeftOut', 'relayStopped']);
-	const told = output.lines.filter(({eventName}) => eventName === 'logLinesLeftOut').map(({lines}) => lines as number);
-	assert.equal(told.reduce((left, right) => left + right, 0), leftOut);
+	const loggedCounts = output.lines.filter(({eventName}) => eventName === 'logLinesLeftOut').map(({lines}) => lines as number);
+	assert.equal(loggedCounts.reduce((left, right) => left + right, 0), droppedLines);
 	assert.equal(output.lines.at(-1)!.node, 'node-1');
 });
--- a/src/base/test/http-client.test.ts
+++ b/src/base/test/http-client.test.ts
@@ -52,13 +52,13 @@
 		const isCut = ending !== 'close' || framing !== 'without a length';
 		test(`an answer ${framing} whose connection ends by ${ending} is ${isCut ? 'incomplete' : 'complete'}`, async () => {
 			const pieces = [[parts.head + parts.body], [parts.head, parts.body], [parts.head + parts.body.slice(0, -3), parts.body.slice(-3)]];
-			const told: string[] = [];
+			const outcomes: string[] = [];
 			for (const written of pieces) {
-				told.push(await exchange({pieces: written, ending}, true), await exchange({pieces: written, ending}, false));
+				outcomes.push(await exchange({pieces: written, ending}, true), await exchange({pieces: written, ending}, false));
 			}
 
 			// A reset may also discard the head; then there is no answer at all.
-			assert.deepEqual(told, told.map(() => isCut ? 'failed, may have run' : body));
+			assert.deepEqual(outcomes, outcomes.map(() => isCut ? 'failed, may have run' : body));
 		});
 	}
 }
--- a/src/base/verdict.ts
+++ b/src/base/verdict.ts
@@ -35,12 +35,12 @@
 		detail: string,
 		options: {readonly verdict?: Verdict; readonly retryAfter?: number; readonly location?: string} = {},
 	): Refusal {
-		const known = refusalReasons[reason];
+		const traits = refusalReasons[reason];
 		return new Refusal({
 			reason,
 			detail,
-			verdict: options.verdict ?? known.verdict,
-			retryAfter: options.retryAfter ?? known.retryAfter,
+			verdict: options.verdict ?? traits.verdict,
+			retryAfter: options.retryAfter ?? traits.retryAfter,
 			location: options.location,
 		});
 	}
