--- a/src/settings/relay-settings.ts
+++ b/src/settings/relay-settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of a relay: a box that stands between the platform's balancer and its replicas.
+ * Settings of a relay: a box between the platform's load balancer and the replicas.
  */
 import * as Result from 'effect/Result';
 import * as Schema from 'effect/Schema';
@@ -9,13 +9,16 @@
 
 const Port = Schema.Int.check(Schema.isBetween({minimum: 1, maximum: largestPort}, {expected: `a port, 1 to ${largestPort}`}));
 const PresentAddressText = Schema.String
-	.check(Schema.isPattern(/^(?:\d{1,3}\.){3}\d{1,3}:(?:[1-9]\d{0,3}|[1-5]\d{4}|6[0-4]\d{3}|65[0-4]\d{2}|655[0-2]\d|6553[0-5])$/v, {expected: 'an IP number and a port, as 10.0.0.1:8080'}));
-/** An address as text, or nothing where the deployment has none. */
+	.check(Schema.isPattern(
+		/^(?:\d{1,3}\.){3}\d{1,3}:(?:[1-9]\d{0,3}|[1-5]\d{4}|6[0-4]\d{3}|65[0-4]\d{2}|655[0-2]\d|6553[0-5])$/v,
+		{expected: 'an IP address and a port, such as 10.0.0.1:8080'},
+	));
+/** An address as text, or null if the deployment has none. */
 const AddressText = Schema.NullOr(PresentAddressText);
-const Amount = Schema.NullOr(Schema.Number.check(Schema.isGreaterThanOrEqualTo(0, {expected: 'a number, zero or above'})));
+const Amount = Schema.NullOr(Schema.Number.check(Schema.isGreaterThanOrEqualTo(0, {expected: 'a number of at least zero'})));
 const Flag = Schema.NullOr(Schema.Boolean);
 
-/** The settings file as it is written; what a deployment does not tell is null. */
+/** Schema of the settings file. Values that a deployment does not set are null. */
 const RelaySettingsFile = Schema.Struct({
 	node: Schema.String,
 	dataCentre: Schema.String,
@@ -43,38 +46,44 @@
 	quarantine: Schema.optionalKey(Schema.Struct({released: Schema.NullOr(Schema.Array(Schema.String))})),
 });
 
-/** Address of a listener or of a service. */
+/** Address of a listener or a service. */
 export type Address = {
 	readonly host: string;
 	readonly port: number;
 };
 
-/** Bounds that must hold, in milliseconds unless they say otherwise. */
+/** Limits that the relay must keep, in milliseconds unless stated otherwise. */
 export type RelayBounds = {
+	/** Time within which the relay must stop after it is asked to. */
 	readonly grace: number;
+	/** Age of the configuration beyond which a revoked key must not be used. */
 	readonly revoke: number;
+	/** Whether the limit for revoked keys holds in all circumstances. */
 	readonly isRevocationStrict: boolean;
-	/** Repeats for each request. */
+	/** Maximum retries in a window, as a fraction of the requests. */
 	readonly retryRatio: number;
 	readonly retryWindow: number;
-	/** Repeats in a window. */
+	/** Maximum retries in a window in addition to the ratio. */
 	readonly retrySlack: number;
+	/** Time for which calls of the previous lease holder may still take effect. */
 	readonly lease: number;
-	/** Whether the platform refuses the calls of a holder that somebody has followed. */
+	/** Whether the platform refuses calls of a lease holder that another box has replaced. */
 	readonly isFenceRequired: boolean;
+	/** Length of a window for which usage is reported. */
 	readonly reportWindow: number;
+	/** Time after the end of a window within which its usage must be reported. */
 	readonly reportDelay: number;
-	/** From the moment at which the store took that a replica leaves; it gets no requests after that. */
+	/** Time after the store recorded that a replica is leaving; later the replica must get no more requests. */
 	readonly drain: number;
-	/** Between two writes by which a replica keeps its entry. */
+	/** Interval at which a replica renews its entry in the store. */
 	readonly heartbeat: number;
 };
 
-/** What the platform gives the box; what it does not tell is absent. */
+/** Resources that the platform grants the box; unknown ones are absent. */
 export type BoxLimits = {
-	/** Cores of usual speed. */
+	/** Processor cores of standard speed. */
 	readonly processor?: number;
-	/** Megabits a second. */
+	/** Bandwidth of the network link in megabits a second. */
 	readonly link?: number;
 };
 
@@ -93,17 +102,18 @@
 	readonly dutyKinds: readonly string[];
 	readonly limits: BoxLimits;
 	readonly bounds: RelayBounds;
-	/** Fingerprints of requests that run whatever they did to replicas. */
+	/** Fingerprints of requests that are never quarantined, even if they crashed replicas. */
 	readonly released: readonly string[];
 };
 
+/** Defaults in the units of the settings file: `grace`, `retryWindow`, `reportWindow` and `reportDelay` in seconds, other times in milliseconds. */
 const defaults = {
 	grace: 8, revoke: 5000, retryRatio: 0.1, retryWindow: 10, retrySlack: 10, lease: 3000, reportWindow: 5, reportDelay: 10, drain: 2000, heartbeat: 1200,
 } as const;
 const millisecondsPerSecond = 1000;
 
 /**
- * @param text - An IP number and a port.
+ * @param text - An IP address and a port, such as `10.0.0.1:8080`.
  * @returns The address.
  */
 export function readAddress(text: string): Address {
@@ -112,7 +122,7 @@
 }
 
 /**
- * Reads settings of a relay from YAML text.
+ * Decodes the settings of a relay from YAML text.
  *
  * @param text - Content of the file.
  * @returns The settings with defaults filled in, or all faults at once.
@@ -156,7 +166,7 @@
 	};
 }
 
-/** A share of a core that is several times as fast is worth as many shares. */
+/** Converts the share of a core to cores of standard speed by multiplying it by the speed of the core. */
 function limitsOf({limits}: typeof RelaySettingsFile.Type): BoxLimits {
 	const {processorShare, processorSpeed, link} = limits ?? {processorShare: null, processorSpeed: null, link: null};
 	return {
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of one entry box. Every setting has a type, a default where one makes sense, and a description;
+ * Settings of one entry box. Every setting has a type, a description and, where possible, a default.
  * `waydrift check` prints all faults of a file at once.
  */
 import * as Effect from 'effect/Effect';
@@ -23,41 +23,41 @@
 	.check(Schema.isPattern(/^(?:\d{1,3}\.){3}\d{1,3}$|^[\da-f:]+$/v, {expected: 'an IP number'}))
 	.annotate({description});
 
-/** Where a door listens. */
+/** Address of an HTTP listener. */
 const Listener = Schema.Struct({
-	host: host('IP number to listen on.'),
-	port: port('TCP port to listen on; 0 takes any.'),
+	host: host('IP address to listen on.'),
+	port: port('TCP port to listen on; 0 selects any free port.'),
 });
 
-/** The settings file. */
+/** Schema of the settings file. */
 export const Settings = Schema.Struct({
 	box: BoxId.annotate({description: 'Name of this box in the platform\'s box list.'}),
-	dataCentre: DataCentre.annotate({description: 'Data centre this box stands in.'}),
+	dataCentre: DataCentre.annotate({description: 'Data centre of this box.'}),
 	callers: Schema.Struct({
 		...Listener.fields,
-		maximumBody: positive('Largest request body, in bytes.', 4_194_304),
-		maximumHeaders: positive('Largest request head, in bytes.', 16_384),
-		receiveTimeout: positive('Milliseconds for a whole request to arrive.', 10_000),
-		maximumRequestsPerAccount: positive('Requests in progress that one client account may have on this box.', 2000),
+		maximumBody: positive('Maximum size of a request body, in bytes.', 4_194_304),
+		maximumHeaders: positive('Maximum size of a request head, in bytes.', 16_384),
+		receiveTimeout: positive('Milliseconds within which a whole request must be received.', 10_000),
+		maximumRequestsPerAccount: positive('Maximum number of requests in progress of one client account on this box.', 2000),
 	}),
 	peers: Listener,
 	operators: Listener,
 	platform: Schema.Struct({
-		host: host('IP number of the platform\'s service.'),
+		host: host('IP address of the platform\'s service.'),
 		port: port('TCP port of the platform\'s service.'),
 	}),
 	stopping: Schema.Struct({
-		balancerDelay: positive('Milliseconds to go on accepting after a stop was asked for, until the balancer has noticed.', 2000),
+		balancerDelay: positive('Milliseconds to continue accepting requests after a stop is requested, until the load balancer has noticed.', 2000),
 	}).pipe(Schema.withDecodingDefaultKey(Effect.succeed({}))),
 	records: Schema.Struct({
-		retention: positive('Milliseconds to keep the answer of a finished request for its caller.', 60_000),
-		maximumBytes: positive('Bytes of finished answers to keep.', 33_554_432),
+		retention: positive('Milliseconds to keep the answer of a finished request for its client.', 60_000),
+		maximumBytes: positive('Maximum total size of the kept answers, in bytes.', 33_554_432),
 	}).pipe(Schema.withDecodingDefaultKey(Effect.succeed({}))),
 });
 export type Settings = typeof Settings.Type;
 
 /**
- * Reads settings from YAML text.
+ * Decodes settings from YAML text.
  *
  * @param text - Content of the file.
  * @returns The settings with defaults filled in, or all faults at once.
--- a/src/settings/test/relay-settings.test.ts
+++ b/src/settings/test/relay-settings.test.ts
@@ -20,14 +20,14 @@
 	return Result.isSuccess(decoded) ? decoded.success.limits : decoded.failure;
 };
 
-test('what the platform gives a box is a share of a core and how fast that is, and its link; what it does not tell is absent', () => {
+test('the resources of a box are decoded from the share of a core, the speed of the core and the link; unknown ones are absent', () => {
 	assert.deepEqual(limitsOf('limits: {processorShare: 0.5, processorSpeed: 2, link: 200}'), {processor: 1, link: 200});
 	assert.deepEqual(limitsOf('limits: {processorShare: 0.5, processorSpeed: null, link: null}'), {processor: 0.5});
 	assert.deepEqual(limitsOf(''), {});
-	assert.ok(Array.isArray(limitsOf('limits: {processorShare: many, processorSpeed: 1, link: 1}')), 'a fault is told');
+	assert.ok(Array.isArray(limitsOf('limits: {processorShare: many, processorSpeed: 1, link: 1}')), 'a fault is reported');
 });
 
-test('what an operator releases from the quarantine is read, and nothing is where nothing is said', () => {
+test('the fingerprints that an operator released from quarantine are decoded; there are none without the setting', () => {
 	const releasedOf = (part: string) => {
 		const decoded = decodeRelaySettings(text(part));
 		return Result.isSuccess(decoded) ? decoded.success.released : decoded.failure;
@@ -39,7 +39,7 @@
 	assert.match(JSON.stringify(releasedOf('quarantine: {released: [7]}')), /quarantine\.released\.0/v);
 });
 
-test('an address without a port, or with one that is none, is a fault of the settings, wherever it stands', () => {
+test('an address without a valid port is a fault in every setting', () => {
 	const faultsOf = (before: string, after: string) => {
 		const decoded = decodeRelaySettings(text('').replace(before, after));
 		return Result.isSuccess(decoded) ? [] : [...new Set(decoded.failure.map(({path}) => path))];
