--- a/src/settings/relay-settings.ts
+++ b/src/settings/relay-settings.ts
@@ -8,40 +8,40 @@
 import {decodeYaml} from '../base/yaml-file.js';
 
 const Port = Schema.Int.check(Schema.isBetween({minimum: 1, maximum: largestPort}, {expected: `a port, 1 to ${largestPort}`}));
-const PresentAddressText = Schema.String
+const AddressText = Schema.String
 	.check(Schema.isPattern(
 		/^(?:\d{1,3}\.){3}\d{1,3}:(?:[1-9]\d{0,3}|[1-5]\d{4}|6[0-4]\d{3}|65[0-4]\d{2}|655[0-2]\d|6553[0-5])$/v,
 		{expected: 'an IP address and a port, such as 10.0.0.1:8080'},
 	));
 /** An address as text, or null if the deployment has none. */
-const AddressText = Schema.NullOr(PresentAddressText);
-const Amount = Schema.NullOr(Schema.Number.check(Schema.isGreaterThanOrEqualTo(0, {expected: 'a number of at least zero'})));
-const Flag = Schema.NullOr(Schema.Boolean);
+const NullableAddress = Schema.NullOr(AddressText);
+const NullableAmount = Schema.NullOr(Schema.Number.check(Schema.isGreaterThanOrEqualTo(0, {expected: 'a number of at least zero'})));
+const NullableFlag = Schema.NullOr(Schema.Boolean);
 
 /** Schema of the settings file. Values that a deployment does not set are null. */
 const RelaySettingsFile = Schema.Struct({
 	node: Schema.String,
 	dataCentre: Schema.String,
-	listen: Schema.Struct({front: AddressText, ready: AddressText, control: AddressText}),
+	listen: Schema.Struct({front: NullableAddress, ready: NullableAddress, control: NullableAddress}),
 	metrics: Schema.Struct({port: Port}),
-	seeds: Schema.NullOr(Schema.Array(PresentAddressText)),
-	isFirstStart: Flag,
-	store: Schema.Struct({address: AddressText}),
-	duties: Schema.Struct({address: AddressText, kinds: Schema.NullOr(Schema.Array(Schema.String))}),
-	limits: Schema.optionalKey(Schema.Struct({processorShare: Amount, processorSpeed: Amount, link: Amount})),
+	seeds: Schema.NullOr(Schema.Array(AddressText)),
+	isFirstStart: NullableFlag,
+	store: Schema.Struct({address: NullableAddress}),
+	duties: Schema.Struct({address: NullableAddress, kinds: Schema.NullOr(Schema.Array(Schema.String))}),
+	limits: Schema.optionalKey(Schema.Struct({processorShare: NullableAmount, processorSpeed: NullableAmount, link: NullableAmount})),
 	bounds: Schema.Struct({
-		grace: Amount,
-		revoke: Amount,
-		isRevocationStrict: Flag,
-		retryRatio: Amount,
-		retryWindow: Amount,
-		retrySlack: Amount,
-		lease: Amount,
-		isFenceRequired: Schema.optionalKey(Flag),
-		reportWindow: Amount,
-		reportDelay: Amount,
-		drain: Schema.optionalKey(Amount),
-		heartbeat: Schema.optionalKey(Amount),
+		grace: NullableAmount,
+		revoke: NullableAmount,
+		isRevocationStrict: NullableFlag,
+		retryRatio: NullableAmount,
+		retryWindow: NullableAmount,
+		retrySlack: NullableAmount,
+		lease: NullableAmount,
+		isFenceRequired: Schema.optionalKey(NullableFlag),
+		reportWindow: NullableAmount,
+		reportDelay: NullableAmount,
+		drain: Schema.optionalKey(NullableAmount),
+		heartbeat: Schema.optionalKey(NullableAmount),
 	}),
 	quarantine: Schema.optionalKey(Schema.Struct({released: Schema.NullOr(Schema.Array(Schema.String))})),
 });
@@ -133,7 +133,7 @@
 
 function settingsOf(file: typeof RelaySettingsFile.Type): RelaySettings {
 	const front = readAddress(file.listen.front ?? '0.0.0.0:0');
-	const addressOr = (address: typeof AddressText.Type, port: number): Address => address === null ? {host: front.host, port} : readAddress(address);
+	const addressOr = (address: typeof NullableAddress.Type, port: number): Address => address === null ? {host: front.host, port} : readAddress(address);
 	const {bounds} = file;
 	return {
 		node: file.node,
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -10,10 +10,10 @@
 import {largestPort} from '../base/port.js';
 import {decodeYaml} from '../base/yaml-file.js';
 
-const positive = (description: string, fallback: number) => Schema.Int
+const positiveInteger = (description: string, defaultValue: number) => Schema.Int
 	.check(Schema.isBetween({minimum: 1, maximum: Number.MAX_SAFE_INTEGER}, {expected: 'a whole number above zero'}))
-	.annotate({description, default: fallback})
-	.pipe(Schema.withDecodingDefaultKey(Effect.succeed(fallback)));
+	.annotate({description, default: defaultValue})
+	.pipe(Schema.withDecodingDefaultKey(Effect.succeed(defaultValue)));
 
 const port = (description: string) => Schema.Int
 	.check(Schema.isBetween({minimum: 0, maximum: largestPort}, {expected: 'a TCP port, 0 to 65535'}))
@@ -35,10 +35,10 @@
 	dataCentre: DataCentre.annotate({description: 'Data centre of this box.'}),
 	callers: Schema.Struct({
 		...Listener.fields,
-		maximumBody: positive('Maximum size of a request body, in bytes.', 4_194_304),
-		maximumHeaders: positive('Maximum size of a request head, in bytes.', 16_384),
-		receiveTimeout: positive('Milliseconds within which a whole request must be received.', 10_000),
-		maximumRequestsPerAccount: positive('Maximum number of requests in progress of one client account on this box.', 2000),
+		maximumBody: positiveInteger('Maximum size of a request body, in bytes.', 4_194_304),
+		maximumHeaders: positiveInteger('Maximum size of a request head, in bytes.', 16_384),
+		receiveTimeout: positiveInteger('Milliseconds within which a whole request must be received.', 10_000),
+		maximumRequestsPerAccount: positiveInteger('Maximum number of requests in progress of one client account on this box.', 2000),
 	}),
 	peers: Listener,
 	operators: Listener,
@@ -47,11 +47,11 @@
 		port: port('TCP port of the platform\'s service.'),
 	}),
 	stopping: Schema.Struct({
-		balancerDelay: positive('Milliseconds to continue accepting requests after a stop is requested, until the load balancer has noticed.', 2000),
+		balancerDelay: positiveInteger('Milliseconds to continue accepting requests after a stop is requested, until the load balancer has noticed.', 2000),
 	}).pipe(Schema.withDecodingDefaultKey(Effect.succeed({}))),
 	records: Schema.Struct({
-		retention: positive('Milliseconds to keep the answer of a finished request for its client.', 60_000),
-		maximumBytes: positive('Maximum total size of the kept answers, in bytes.', 33_554_432),
+		retention: positiveInteger('Milliseconds to keep the answer of a finished request for its client.', 60_000),
+		maximumBytes: positiveInteger('Maximum total size of the kept answers, in bytes.', 33_554_432),
 	}).pipe(Schema.withDecodingDefaultKey(Effect.succeed({}))),
 });
 export type Settings = typeof Settings.Type;
