--- a/src/table/table-difference.ts
+++ b/src/table/table-difference.ts
@@ -1,17 +1,17 @@
 /**
- * What changed between two tables, by the names of their parts.
+ * Compares two tables part by part.
  */
 import {rowName, type Table} from './table.js';
 
-/** A part of a table. */
+/** A service, client account or row of a table. */
 type Part = Readonly<Record<string, unknown>>;
 
-/** One change. */
+/** One difference between two tables. */
 export type TableChange = {
 	readonly kind: 'added' | 'removed' | 'changed';
-	/** For example `row acme/bulletin/write`. */
+	/** Kind and name of the part, for example `row acme/bulletin/write`. */
 	readonly part: string;
-	/** Fields that changed, with both values; empty for parts that were added or removed. */
+	/** Changed fields with both values; empty for an added or removed part. */
 	readonly fields: ReadonlyArray<{readonly field: string; readonly before: unknown; readonly after: unknown}>;
 };
 
@@ -30,9 +30,9 @@
 }
 
 /**
- * @param before - A table.
- * @param after - Another.
- * @returns What has to be done to the first to get the second.
+ * @param before - First table.
+ * @param after - Second table.
+ * @returns The changes that turn the first table into the second.
  */
 export function differenceOf(before: Table, after: Table): readonly TableChange[] {
 	const old = partsOf(before);
@@ -54,7 +54,7 @@
 
 /**
  * @param change - A change.
- * @returns It, on one line, for people.
+ * @returns The change as one readable line.
  */
 export function describeChange({kind, part, fields}: TableChange): string {
 	const details = fields.map(({field, before, after}) => `${field}: ${JSON.stringify(before)} -> ${JSON.stringify(after)}`);
@@ -62,9 +62,9 @@
 }
 
 /**
- * @param mine - Changes of one side.
- * @param theirs - Changes of the other, from the same table.
- * @returns Names of the parts that both changed, and not to the same.
+ * @param mine - Changes of one editor.
+ * @param theirs - Changes of another editor to the same table.
+ * @returns Names of the parts that both changed differently.
  */
 export function collisionsOf(mine: readonly TableChange[], theirs: readonly TableChange[]): readonly string[] {
 	return mine
--- a/src/table/table-editor.ts
+++ b/src/table/table-editor.ts
@@ -1,6 +1,6 @@
 /**
- * Changes the table in the Object API. A change carries the version it was made from; a race is a conflict,
- * and a lost answer is settled by reading back the edit's id.
+ * Changes the table in the Object API. A change names the version that it is based on, so that concurrent changes are
+ * detected as a conflict. If the answer to a write is lost, the id of the edit is read back.
  */
 import {randomUUID} from 'node:crypto';
 import * as Data from 'effect/Data';
@@ -12,26 +12,26 @@
 	decodeVersionedTable, encodeVersionedTable, historyKey, tableKey, type TableEdit, type VersionedTable,
 } from './versioned-table.js';
 
-/** Somebody else changed the table meanwhile. Nothing was changed. */
+/** Another operator changed the table since the base version. The edit was not applied. */
 export class TableConflict extends Data.TaggedError('TableConflict')<{
-	/** The table that the change was made from; `undefined` where it is no longer kept. */
+	/** The table that the change is based on; `undefined` if it is not in the history. */
 	readonly base: VersionedTable | undefined;
 	/** The table in force. */
 	readonly current: VersionedTable;
 }> {}
 
-/** What the store holds does not decode as a table. */
+/** The object in the store cannot be decoded as a table. */
 export class TableUnreadable extends Data.TaggedError('TableUnreadable')<{
 	readonly detail: string;
 }> {}
 
-/** The store did not answer; the change may have taken effect. */
+/** It is unknown whether the change took effect, since the store did not answer. */
 export class EditUnsettled extends Data.TaggedError('EditUnsettled')<{
 	readonly edit: string;
 	readonly detail: string;
 }> {}
 
-/** A change to make. */
+/** A proposed change of the table. */
 export type TableProposal = {
 	readonly base: ObjectVersion;
 	readonly table: Table;
@@ -39,9 +39,11 @@
 	readonly comment: string;
 };
 
+/** Attempts to write an edit until its outcome is known. */
 const settleTries = 10;
+/** Milliseconds between two attempts. */
 const settlePause = 300;
-/** Steps back through the history to find the table that a change was made from. */
+/** Maximum number of tables read from the history to find a certain version or edit. */
 const longestWalk = 200;
 
 const noEdit: TableEdit = {
@@ -51,7 +53,7 @@
 /** Reads and changes the table. */
 export class TableEditor {
 	/**
-	 * @param store - Where the table stands.
+	 * @param store - The store that holds the table.
 	 * @returns The editor.
 	 */
 	static create(store: ObjectStore): TableEditor {
@@ -60,7 +62,7 @@
 
 	private constructor(private readonly store: ObjectStore) {}
 
-	/** @returns The table in force; an empty one at version zero where there is none. */
+	/** @returns The table in force; an empty one at version zero if there is none. */
 	read(): Effect.Effect<VersionedTable, StoreFailure | TableUnreadable> {
 		return this.store.read(tableKey).pipe(Effect.flatMap(({version, value}) => version === 0
 			? Effect.succeed({version, edit: noEdit, table: emptyTable})
@@ -70,8 +72,8 @@
 	/**
 	 * Changes the table.
 	 *
-	 * @param proposal - The change.
-	 * @returns The table in force because of it.
+	 * @param proposal - The proposed change.
+	 * @returns The changed table with its version.
 	 */
 	apply(proposal: TableProposal): Effect.Effect<VersionedTable, StoreFailure | TableUnreadable | TableConflict | EditUnsettled> {
 		return Effect.gen({self: this}, function * () {
@@ -89,7 +91,7 @@
 				previous: current.edit.id,
 			};
 			const value = encodeVersionedTable(edit, proposal.table);
-			// Written first: what is in force can always be found in the history.
+			// The history is written first, so that it always contains the table in force.
 			yield * this.store.write(historyKey(edit.id), value, 0).pipe(Effect.catchTag('VersionConflict', () => Effect.void));
 			const version = yield * this.settle(edit, value);
 			return {version, edit, table: proposal.table};
@@ -97,8 +99,8 @@
 	}
 
 	/**
-	 * @param most - How many to read at most.
-	 * @returns The tables that were in force, newest first.
+	 * @param most - Maximum number of tables to read.
+	 * @returns The tables in force now and before, newest first.
 	 */
 	history(most: number): Effect.Effect<readonly VersionedTable[], StoreFailure | TableUnreadable> {
 		return Effect.gen({self: this}, function * () {
@@ -113,7 +115,7 @@
 		});
 	}
 
-	/** Writes until it is known whether the edit took effect. */
+	/** Repeats the write until it is known whether the edit took effect. */
 	private settle(edit: TableEdit, value: string): Effect.Effect<ObjectVersion, StoreFailure | TableUnreadable | TableConflict | EditUnsettled> {
 		return Effect.gen({self: this}, function * () {
 			let detail = '';
@@ -140,7 +142,7 @@
 		});
 	}
 
-	/** Another edit stands there now; it may have been made on top of this one. */
+	/** Handles another edit in force, which may be based on this one: then this edit was applied before it. */
 	private acceptedBefore(edit: TableEdit, current: VersionedTable): Effect.Effect<ObjectVersion, StoreFailure | TableUnreadable | TableConflict> {
 		return this.history(longestWalk).pipe(Effect.flatMap(tables => {
 			const own = tables.find(table => table.edit.id === edit.id);
--- a/src/table/table-text.ts
+++ b/src/table/table-text.ts
@@ -1,6 +1,6 @@
 /**
- * The table as people edit it: YAML for all of it, CSV for its rows. The first line carries the version it
- * was read at, so that a race of two operators is seen.
+ * Text formats of the table for editing: YAML for the whole table, CSV for its rows. The first line holds the version
+ * that was read, so that concurrent changes of two operators are detected.
  */
 import {parse} from 'csv-parse/sync';
 import {stringify} from 'csv-stringify/sync';
@@ -16,8 +16,8 @@
 const versionHead = (version: ObjectVersion) => `# waydrift table, version ${version}\n`;
 
 /**
- * @param text - A file that was written by this module.
- * @returns The version in its first lines; `undefined` where there is none.
+ * @param text - Content of a file that this module wrote.
+ * @returns The version in its first lines; `undefined` if there is none.
  */
 export function readVersion(text: string): ObjectVersion | undefined {
 	const version = versionLine.exec(text)?.groups?.version;
@@ -25,18 +25,18 @@
 }
 
 /**
- * @param version - Its version.
- * @param table - A table.
- * @returns It as YAML.
+ * @param version - Version of the table.
+ * @param table - The table.
+ * @returns The table as YAML.
  */
 export function toYaml(version: ObjectVersion, table: Table): string {
 	return versionHead(version) + stringifyYaml(table, {lineWidth: 0});
 }
 
 /**
- * @param version - Its version.
- * @param table - A table.
- * @returns Its rows as CSV, like a spreadsheet.
+ * @param version - Version of the table.
+ * @param table - The table.
+ * @returns The rows of the table as CSV, for a spreadsheet.
  */
 export function toCsv(version: ObjectVersion, table: Table): string {
 	return versionHead(version) + stringify(table.rows.map(row => ({...row, repeatable: String(row.repeatable)})), {header: true, columns: [...columns]});
@@ -48,10 +48,10 @@
 const numberOf = (text: string | undefined): unknown => text === undefined || text.trim() === '' || Number.isNaN(Number(text)) ? text : Number(text);
 
 /**
- * Reads rows from CSV and puts them in place of a table's rows.
+ * Replaces the rows of a table with rows from CSV.
  *
- * @param text - The file.
- * @param table - Gives services and client accounts.
+ * @param text - CSV text.
+ * @param table - The table that provides services and client accounts.
  * @returns The new table, or all faults at once.
  */
 export function fromCsv(text: string, table: Table): Result.Result<Table, readonly Fault[]> {
--- a/src/table/table-view.ts
+++ b/src/table/table-view.ts
@@ -1,5 +1,5 @@
 /**
- * The table in force on this box: it only ever moves to a higher version.
+ * The table in force on this box. It is only replaced by a table of a higher version.
  */
 import type {ClientAccountName, ServiceName} from '../base/identifiers.js';
 import type {EventLog} from '../base/event-log.js';
@@ -10,12 +10,12 @@
 } from './table.js';
 import type {VersionedTable} from './versioned-table.js';
 
-/** Look-ups that the path of a request needs, made once a version. */
+/** Indexes for the handling of requests, built once for each version. */
 type TableIndex = {
 	readonly accountsByKeyHash: ReadonlyMap<string, ClientAccount>;
 	readonly services: ReadonlyMap<string, Service>;
 	readonly rows: ReadonlyMap<string, readonly Row[]>;
-	/** Ceilings by name of the row. */
+	/** Maximum rates by name of the row. */
 	readonly ceilings: ReadonlyMap<string, number>;
 	readonly rowNames: readonly string[];
 };
@@ -35,7 +35,7 @@
 /** Holds the table in force. */
 export class TableView {
 	/**
-	 * @param log - Where changes are told.
+	 * @param log - Log for changes.
 	 * @returns A view without a table.
 	 */
 	static create(log: EventLog): TableView {
@@ -48,12 +48,12 @@
 
 	private constructor(private readonly log: EventLog) {}
 
-	/** Version in force; zero where none is. */
+	/** Version in force; zero if there is no table yet. */
 	get version(): ObjectVersion {
 		return this.current?.version ?? 0;
 	}
 
-	/** What is in force; `undefined` on a box that has read none yet. */
+	/** The table in force; `undefined` if the box has read none yet. */
 	get inForce(): VersionedTable | undefined {
 		return this.current;
 	}
@@ -64,10 +64,10 @@
 	}
 
 	/**
-	 * Puts a table in force, unless one as high already is.
+	 * Puts a table in force, unless the current one has the same or a higher version.
 	 *
-	 * @param candidate - A table that was accepted.
-	 * @returns Whether it is in force now because of this call.
+	 * @param candidate - A valid table.
+	 * @returns Whether this call put the table in force.
 	 */
 	apply(candidate: VersionedTable): boolean {
 		if (candidate.version < this.version) {
@@ -90,8 +90,8 @@
 	}
 
 	/**
-	 * @param listener - Told of each table that comes into force.
-	 * @returns Ends the subscription.
+	 * @param listener - Called with each table that comes into force.
+	 * @returns A function that ends the subscription.
 	 */
 	onDidApply(listener: (table: VersionedTable) => void): () => void {
 		this.listeners.add(listener);
@@ -102,7 +102,7 @@
 
 	/**
 	 * @param keyHash - `sha256:` and the hash of an API key.
-	 * @returns The client account the key belongs to.
+	 * @returns The client account that the key belongs to.
 	 */
 	accountOf(keyHash: string): ClientAccount | undefined {
 		return this.index?.accountsByKeyHash.get(keyHash);
@@ -117,10 +117,10 @@
 	}
 
 	/**
-	 * @param account - Who calls.
-	 * @param service - What is called.
+	 * @param account - Client account of the request.
+	 * @param service - Service of the request.
 	 * @param kind - The request kind, or `undefined` for the first row of the account and service.
-	 * @returns The row that governs the request.
+	 * @returns The row that applies to the request.
 	 */
 	row(account: ClientAccountName, service: ServiceName, kind: string | undefined): Row | undefined {
 		const rows = this.index?.rows.get(rowGroup(account, service)) ?? [];
@@ -129,7 +129,7 @@
 
 	/**
 	 * @param name - Name of a row.
-	 * @returns Its ceiling, units a second; `undefined` where there is no such row.
+	 * @returns Its maximum rate in units a second; `undefined` if there is no such row.
 	 */
 	ceiling(name: string): number | undefined {
 		return this.index?.ceilings.get(name);
--- a/src/table/table-watch.ts
+++ b/src/table/table-watch.ts
@@ -1,5 +1,5 @@
 /**
- * Follows the table in the Object API.
+ * Watches the table in the Object API.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -8,25 +8,27 @@
 import type {TableView} from './table-view.js';
 import {decodeVersionedTable, tableKey} from './versioned-table.js';
 
-/** Milliseconds a watch waits; the platform counts each as one call. */
+/** Milliseconds that one watch waits for a change; long, since the platform's rate limit counts each watch as a call. */
 const watchWait = 30_000;
+/** Base of the retry delay in milliseconds. */
 const firstRetry = 200;
+/** Maximum retry delay in milliseconds. */
 const longestRetry = 10_000;
 
-/** Keeps a {@link TableView} up with the store. */
+/** Keeps a {@link TableView} up to date with the store. */
 export class TableWatch {
 	/**
-	 * @param store - Where the table stands.
-	 * @param view - What to keep up.
-	 * @param log - Where faults are told.
-	 * @returns The watch; run it to begin.
+	 * @param store - The store that holds the table.
+	 * @param view - The view to update.
+	 * @param log - Log for faults.
+	 * @returns The watch, which does not begin before `run`.
 	 */
 	static create(store: ObjectStore, view: TableView, log: EventLog): TableWatch {
 		return new TableWatch(store, view, log);
 	}
 
 	private failures = 0;
-	/** Highest version read, also of a table that was rejected, so that it is not read again and again. */
+	/** Highest version read, including rejected tables, so that these are not read repeatedly. */
 	private seen = 0;
 
 	private constructor(
@@ -35,7 +37,7 @@
 		private readonly log: EventLog,
 	) {}
 
-	/** @returns Runs until interrupted. An outage of the store changes nothing that is in force. */
+	/** @returns Runs until interrupted. During an outage of the store, the table in force stays. */
 	run(): Effect.Effect<never> {
 		return Effect.forever(this.follow());
 	}
@@ -82,7 +84,7 @@
 		}
 	}
 
-	/** Grows with each failure and is jittered, so that boxes do not come back together. */
+	/** @returns Delay before a retry in milliseconds. It doubles with each failure and has random jitter, so that boxes do not retry at the same time. */
 	private pause(): number {
 		return Math.min(longestRetry, firstRetry * (2 ** this.failures)) * (0.5 + (Math.random() / 2));
 	}
--- a/src/table/table.ts
+++ b/src/table/table.ts
@@ -1,6 +1,6 @@
 /**
  * The table that operators edit: services, client accounts, and a row of weights and limits for each
- * client account and request kind.
+ * client account, service and request kind.
  */
 import * as Result from 'effect/Result';
 import * as Schema from 'effect/Schema';
@@ -14,38 +14,38 @@
 const lowestPriority = 9;
 const largestWeight = 1000;
 
-/** What operators call; callers name it as `model` or in the path. */
+/** A service that operators define. Clients name it in the field `model` or in the path. */
 export const Service = Schema.Struct({
 	name: ServiceName,
 	type: Schema.Literals(['model', 'plain']).annotate({description: 'Whether upstreams are model engines or a plain service.'}),
-	pool: PoolName.annotate({description: 'The pool of upstreams, as the box list names it.'}),
+	pool: PoolName.annotate({description: 'Name of the pool of upstreams in the box list.'}),
 	deadline: Schema.Int.check(Schema.isBetween({minimum: 1, maximum: 86_400}, {expected: 'whole seconds, 1 to 86400'}))
-		.annotate({description: 'Seconds a request may take, unless its caller says less.'}),
+		.annotate({description: 'Maximum duration of a request in seconds, unless its client sets a shorter one.'}),
 	latencyWeight: Schema.Finite.check(Schema.isBetween({minimum: 0, maximum: 100}, {expected: 'a number from 0 to 100'}))
-		.annotate({description: 'How much latency counts against price and recomputed tokens when an upstream is chosen.'}),
+		.annotate({description: 'Weight of latency relative to price and recomputed tokens in the choice of an upstream.'}),
 });
 export type Service = typeof Service.Type;
 
-/** Who calls. Only hashes of keys are kept. */
+/** A client account. Only the hashes of its API keys are stored. */
 export const ClientAccount = Schema.Struct({
 	name: ClientAccountName,
 	keyHashes: Schema.Array(Schema.String.check(Schema.isPattern(/^sha256:[\da-f]{64}$/v, {expected: '"sha256:" and 64 hexadecimal digits'})))
-		.annotate({description: 'SHA-256 of each API key that is valid.'}),
+		.annotate({description: 'SHA-256 hash of each valid API key.'}),
 });
 export type ClientAccount = typeof ClientAccount.Type;
 
-/** Weights and limits of one client account and request kind. */
+/** Weights and limits for one client account, service and request kind. */
 export const Row = Schema.Struct({
 	account: ClientAccountName,
 	kind: RequestKind,
 	service: ServiceName,
 	share: Schema.Finite.check(Schema.isBetween({minimum: 0.001, maximum: largestWeight}, {expected: 'a weight above 0, at most 1000'}))
-		.annotate({description: 'Weight among rows of the same priority when capacity is short.'}),
+		.annotate({description: 'Weight among rows of the same priority when capacity is insufficient.'}),
 	ceiling: Schema.Finite.check(Schema.isBetween({minimum: 0, maximum: 1e9}, {expected: 'a rate from 0 on'}))
-		.annotate({description: 'Most that all boxes together let pass: tokens a second for a model, requests a second for a plain service.'}),
+		.annotate({description: 'Maximum rate over all boxes: tokens a second for a model, requests a second for a plain service.'}),
 	priority: Schema.Int.check(Schema.isBetween({minimum: highestPriority, maximum: lowestPriority}, {expected: 'a priority from 1 (first) to 9 (last)'}))
-		.annotate({description: 'Lower numbers are served first; the highest number is refused first.'}),
-	repeatable: Schema.Boolean.annotate({description: 'Whether running a request twice does no harm.'}),
+		.annotate({description: 'Rows with lower numbers are served first; those with the highest number are refused first.'}),
+	repeatable: Schema.Boolean.annotate({description: 'Whether a request may safely run twice.'}),
 });
 export type Row = typeof Row.Type;
 
@@ -57,19 +57,19 @@
 });
 export type Table = typeof Table.Type;
 
-/** The table that a fresh installation begins with. */
+/** The initial table of a new installation. */
 export const emptyTable: Table = {services: [], accounts: [], rows: []};
 
 /** @returns The name of a row, unique within a table. */
 export const rowName = (row: Pick<Row, 'account' | 'kind' | 'service'>): string => `${row.account}/${row.service}/${row.kind}`;
 
-/** Faults that one part alone does not show: names twice, names that lead nowhere. */
+/** Finds faults that concern several parts: duplicate names and references to missing parts. */
 function faultsBetweenParts(table: Table): readonly Fault[] {
 	const services = new Set(table.services.map(service => service.name));
 	const accounts = new Set(table.accounts.map(account => account.name));
 	const repeated = (part: string, names: readonly string[]): readonly Fault[] => names.flatMap((name, index) => names.indexOf(name) === index
 		? []
-		: [{path: `${part}.${index}`, value: name, expected: `a name that stands only once (first at ${part}.${names.indexOf(name)})`}]);
+		: [{path: `${part}.${index}`, value: name, expected: `a name that occurs only once (first at ${part}.${names.indexOf(name)})`}]);
 	const unknown = (field: 'service' | 'account', known: ReadonlySet<string>): readonly Fault[] => table.rows.flatMap((row, index) => known.has(row[field])
 		? []
 		: [{path: `rows.${index}.${field}`, value: row[field], expected: `one of the ${field}s of this table`}]);
@@ -88,7 +88,7 @@
 };
 
 /**
- * Reads a table from YAML text.
+ * Decodes a table from YAML text.
  *
  * @param text - Content of the file.
  * @returns The table, or all faults at once.
@@ -98,9 +98,9 @@
 }
 
 /**
- * Checks a table that does not come from YAML.
+ * Validates a table that was not read from YAML.
  *
- * @param input - What may be a table.
+ * @param input - The possible table.
  * @returns The table, or all faults at once.
  */
 export function checkTable(input: unknown): Result.Result<Table, readonly Fault[]> {
--- a/src/table/test/table-watch.test.ts
+++ b/src/table/test/table-watch.test.ts
@@ -13,7 +13,7 @@
 	id: 'first', author: 'test', comment: '', at: 0, base: 0, previous: '',
 };
 
-test('a table that does not change costs one call a watch, not one after another', async () => {
+test('an unchanged table costs one call for each watch interval, not a busy loop of calls', async () => {
 	const time = VirtualTime.start();
 	try {
 		const objects = new FakeObjects(() => time.now);
@@ -37,7 +37,7 @@
 	}
 });
 
-test('a table that does not decode leaves the one before in force, and is not read again and again', async () => {
+test('a table that cannot be decoded leaves the previous one in force and does not block later versions', async () => {
 	const time = VirtualTime.start();
 	try {
 		const objects = new FakeObjects(() => time.now);
--- a/src/table/versioned-table.ts
+++ b/src/table/versioned-table.ts
@@ -1,5 +1,5 @@
 /**
- * The table with its version, as it stands in the Object API.
+ * The table with its version, as stored in the Object API.
  */
 import * as Result from 'effect/Result';
 import * as Schema from 'effect/Schema';
@@ -12,28 +12,28 @@
 
 /**
  * @param edit - Id of an edit.
- * @returns Name of the object that keeps the table it made.
+ * @returns Name of the object in the history that holds the resulting table.
  */
 export const historyKey = (edit: string): string => `history/${edit}`;
 
-/** Who changed the table, when and how; kept with it. */
+/** Describes a change of the table; stored with the table. */
 export const TableEdit = Schema.Struct({
-	/** Unique a change, so that a lost answer can be settled by reading back. */
+	/** Unique id, by which a writer whose answer was lost can find out whether the change was applied. */
 	id: Schema.String,
 	author: Schema.String,
 	comment: Schema.String,
-	/** Milliseconds since the epoch on the operator's machine; for people only. */
+	/** Milliseconds since the epoch by the operator's clock; for display only. */
 	at: Schema.Number,
-	/** Version it was edited from. */
+	/** Version that the change is based on. */
 	base: Schema.Number,
-	/** The edit that made that version; empty for the first. */
+	/** Id of the edit that created the base version; empty for the first edit. */
 	previous: Schema.String,
 });
 export type TableEdit = typeof TableEdit.Type;
 
 const Envelope = Schema.Struct({edit: TableEdit, table: Schema.Unknown});
 
-/** A table that was accepted. */
+/** A valid table with its version. */
 export type VersionedTable = {
 	readonly version: ObjectVersion;
 	readonly edit: TableEdit;
@@ -41,7 +41,7 @@
 };
 
 /**
- * @param edit - Who and how.
+ * @param edit - Description of the change.
  * @param table - The new table.
  * @returns The value to store.
  */
@@ -51,8 +51,8 @@
 
 /**
  * @param version - Version of the object.
- * @param value - Its value.
- * @returns The table, or what is wrong with it.
+ * @param value - Value of the object.
+ * @returns The table, or its faults.
  */
 export function decodeVersionedTable(version: ObjectVersion, value: string): Result.Result<VersionedTable, readonly Fault[]> {
 	return Result.flatMap(
