--- a/src/table/table-difference.ts
+++ b/src/table/table-difference.ts
@@ -35,11 +35,11 @@
  * @returns The changes that turn the first table into the second.
  */
 export function differenceOf(before: Table, after: Table): readonly TableChange[] {
-	const old = partsOf(before);
-	const fresh = partsOf(after);
-	const removed = [...old.keys()].filter(part => !fresh.has(part)).map(part => ({kind: 'removed', part, fields: []} as const));
-	const others = [...fresh].flatMap(([part, value]): readonly TableChange[] => {
-		const known = old.get(part);
+	const previous = partsOf(before);
+	const current = partsOf(after);
+	const removed = [...previous.keys()].filter(part => !current.has(part)).map(part => ({kind: 'removed', part, fields: []} as const));
+	const addedOrChanged = [...current].flatMap(([part, value]): readonly TableChange[] => {
+		const known = previous.get(part);
 		if (!known) {
 			return [{kind: 'added', part, fields: []}];
 		}
@@ -47,7 +47,7 @@
 		const fields = changedFields(known, value);
 		return fields.length === 0 ? [] : [{kind: 'changed', part, fields}];
 	});
-	return [...removed, ...others];
+	return [...removed, ...addedOrChanged];
 }
 
 const signs = {added: '+', removed: '-', changed: '~'} as const;
--- a/src/table/table-editor.ts
+++ b/src/table/table-editor.ts
@@ -40,11 +40,11 @@
 };
 
 /** Attempts to write an edit until its outcome is known. */
-const settleTries = 10;
+const maxWriteAttempts = 10;
 /** Milliseconds between two attempts. */
-const settlePause = 300;
+const writeAttemptIntervalMs = 300;
 /** Maximum number of tables read from the history to find a certain version or edit. */
-const longestWalk = 200;
+const maxHistorySearch = 200;
 
 const noEdit: TableEdit = {
 	id: '', author: '', comment: '', at: 0, base: 0, previous: '',
@@ -93,22 +93,22 @@
 			const value = encodeVersionedTable(edit, proposal.table);
 			// The history is written first, so that it always contains the table in force.
 			yield * this.store.write(historyKey(edit.id), value, 0).pipe(Effect.catchTag('VersionConflict', () => Effect.void));
-			const version = yield * this.settle(edit, value);
+			const version = yield * this.writeUntilSettled(edit, value);
 			return {version, edit, table: proposal.table};
 		});
 	}
 
 	/**
-	 * @param most - Maximum number of tables to read.
+	 * @param maxTables - Maximum number of tables to read.
 	 * @returns The tables in force now and before, newest first.
 	 */
-	history(most: number): Effect.Effect<readonly VersionedTable[], StoreFailure | TableUnreadable> {
+	history(maxTables: number): Effect.Effect<readonly VersionedTable[], StoreFailure | TableUnreadable> {
 		return Effect.gen({self: this}, function * () {
 			const tables: VersionedTable[] = [];
 			let table: VersionedTable | undefined = yield * this.read();
-			while (table !== undefined && table.version > 0 && tables.length < most) {
+			while (table !== undefined && table.version > 0 && tables.length < maxTables) {
 				tables.push(table);
-				table = yield * this.before(table);
+				table = yield * this.previousTable(table);
 			}
 
 			return tables;
@@ -116,10 +116,10 @@
 	}
 
 	/** Repeats the write until it is known whether the edit took effect. */
-	private settle(edit: TableEdit, value: string): Effect.Effect<ObjectVersion, StoreFailure | TableUnreadable | TableConflict | EditUnsettled> {
+	private writeUntilSettled(edit: TableEdit, value: string): Effect.Effect<ObjectVersion, StoreFailure | TableUnreadable | TableConflict | EditUnsettled> {
 		return Effect.gen({self: this}, function * () {
 			let detail = '';
-			for (let tries = 0; tries < settleTries; tries++) {
+			for (let attempt = 0; attempt < maxWriteAttempts; attempt++) {
 				const written = yield * Effect.result(this.store.write(tableKey, value, edit.base));
 				if (Result.isSuccess(written)) {
 					return written.success;
@@ -132,10 +132,10 @@
 				}
 
 				if (Result.isSuccess(now) && now.success.version !== edit.base) {
-					return yield * this.acceptedBefore(edit, now.success);
+					return yield * this.findAppliedVersion(edit, now.success);
 				}
 
-				yield * Effect.sleep(settlePause);
+				yield * Effect.sleep(writeAttemptIntervalMs);
 			}
 
 			return yield * Effect.fail(new EditUnsettled({edit: edit.id, detail}));
@@ -143,21 +143,21 @@
 	}
 
 	/** Handles another edit in force, which may be based on this one: then this edit was applied before it. */
-	private acceptedBefore(edit: TableEdit, current: VersionedTable): Effect.Effect<ObjectVersion, StoreFailure | TableUnreadable | TableConflict> {
-		return this.history(longestWalk).pipe(Effect.flatMap(tables => {
+	private findAppliedVersion(edit: TableEdit, current: VersionedTable): Effect.Effect<ObjectVersion, StoreFailure | TableUnreadable | TableConflict> {
+		return this.history(maxHistorySearch).pipe(Effect.flatMap(tables => {
 			const own = tables.find(table => table.edit.id === edit.id);
 			return own ? Effect.succeed(own.version) : this.conflict(edit.base, current);
 		}));
 	}
 
 	private conflict(base: ObjectVersion, current: VersionedTable): Effect.Effect<never, StoreFailure | TableUnreadable | TableConflict> {
-		return this.history(longestWalk).pipe(Effect.flatMap(tables => Effect.fail(new TableConflict({
+		return this.history(maxHistorySearch).pipe(Effect.flatMap(tables => Effect.fail(new TableConflict({
 			base: base === 0 ? {version: 0, edit: noEdit, table: emptyTable} : tables.find(({version}) => version === base),
 			current,
 		}))));
 	}
 
-	private before({edit}: VersionedTable): Effect.Effect<VersionedTable | undefined, StoreFailure | TableUnreadable> {
+	private previousTable({edit}: VersionedTable): Effect.Effect<VersionedTable | undefined, StoreFailure | TableUnreadable> {
 		return edit.previous === ''
 			? Effect.succeed(undefined)
 			: this.store.read(historyKey(edit.previous)).pipe(Effect.flatMap(({version, value}) => version === 0
--- a/src/table/table-text.ts
+++ b/src/table/table-text.ts
@@ -13,7 +13,7 @@
 const columns = ['account', 'kind', 'service', 'share', 'ceiling', 'priority', 'repeatable'] as const;
 const versionLine = /^# waydrift table, version (?<version>\d+)\s*$/mv;
 
-const versionHead = (version: ObjectVersion) => `# waydrift table, version ${version}\n`;
+const versionHeader = (version: ObjectVersion) => `# waydrift table, version ${version}\n`;
 
 /**
  * @param text - Content of a file that this module wrote.
@@ -30,7 +30,7 @@
  * @returns The table as YAML.
  */
 export function toYaml(version: ObjectVersion, table: Table): string {
-	return versionHead(version) + stringifyYaml(table, {lineWidth: 0});
+	return versionHeader(version) + stringifyYaml(table, {lineWidth: 0});
 }
 
 /**
@@ -39,7 +39,7 @@
  * @returns The rows of the table as CSV, for a spreadsheet.
  */
 export function toCsv(version: ObjectVersion, table: Table): string {
-	return versionHead(version) + stringify(table.rows.map(row => ({...row, repeatable: String(row.repeatable)})), {header: true, columns: [...columns]});
+	return versionHeader(version) + stringify(table.rows.map(row => ({...row, repeatable: String(row.repeatable)})), {header: true, columns: [...columns]});
 }
 
 type Line = {readonly record: Readonly<Record<string, string>>; readonly info: {readonly lines: number}};
--- a/src/table/table-watch.ts
+++ b/src/table/table-watch.ts
@@ -9,11 +9,11 @@
 import {decodeVersionedTable, tableKey} from './versioned-table.js';
 
 /** Milliseconds that one watch waits for a change; long, since the platform's rate limit counts each watch as a call. */
-const watchWait = 30_000;
+const watchWaitMs = 30_000;
 /** Base of the retry delay in milliseconds. */
-const firstRetry = 200;
+const baseRetryDelayMs = 200;
 /** Maximum retry delay in milliseconds. */
-const longestRetry = 10_000;
+const maxRetryDelayMs = 10_000;
 
 /** Keeps a {@link TableView} up to date with the store. */
 export class TableWatch {
@@ -29,7 +29,7 @@
 
 	private failures = 0;
 	/** Highest version read, including rejected tables, so that these are not read repeatedly. */
-	private seen = 0;
+	private highestReadVersion = 0;
 
 	private constructor(
 		private readonly store: ObjectStore,
@@ -39,26 +39,26 @@
 
 	/** @returns Runs until interrupted. During an outage of the store, the table in force stays. */
 	run(): Effect.Effect<never> {
-		return Effect.forever(this.follow());
+		return Effect.forever(this.watchOnce());
 	}
 
-	private follow(): Effect.Effect<void> {
-		return Effect.suspend(() => this.store.watch(tableKey, Math.max(this.seen, this.view.version), watchWait)).pipe(
+	private watchOnce(): Effect.Effect<void> {
+		return Effect.suspend(() => this.store.watch(tableKey, Math.max(this.highestReadVersion, this.view.version), watchWaitMs)).pipe(
 			Effect.map(object => {
-				this.noteAvailable();
+				this.recordAvailable();
 				if (object) {
-					this.take(object);
+					this.applyObject(object);
 				}
 			}),
 			Effect.catch(error => Effect.suspend(() => {
-				this.noteFailure(error.detail);
-				return Effect.sleep(this.pause());
+				this.recordFailure(error.detail);
+				return Effect.sleep(this.retryDelay());
 			})),
 		);
 	}
 
-	private take(object: StoredObject): void {
-		this.seen = Math.max(this.seen, object.version);
+	private applyObject(object: StoredObject): void {
+		this.highestReadVersion = Math.max(this.highestReadVersion, object.version);
 		const decoded = decodeVersionedTable(object.version, object.value);
 		if (Result.isSuccess(decoded)) {
 			this.view.apply(decoded.success);
@@ -69,7 +69,7 @@
 		this.log.write('tableRejected', {version: object.version, path: fault?.path, expected: fault?.expected});
 	}
 
-	private noteAvailable(): void {
+	private recordAvailable(): void {
 		if (this.failures > 0) {
 			this.log.write('storeAvailable', {failures: this.failures});
 		}
@@ -77,7 +77,7 @@
 		this.failures = 0;
 	}
 
-	private noteFailure(detail: string): void {
+	private recordFailure(detail: string): void {
 		this.failures++;
 		if (this.failures === 1) {
 			this.log.write('storeUnavailable', {detail});
@@ -85,7 +85,7 @@
 	}
 
 	/** @returns Delay before a retry in milliseconds. It doubles with each failure and has random jitter, so that boxes do not retry at the same time. */
-	private pause(): number {
-		return Math.min(longestRetry, firstRetry * (2 ** this.failures)) * (0.5 + (Math.random() / 2));
+	private retryDelay(): number {
+		return Math.min(maxRetryDelayMs, baseRetryDelayMs * (2 ** this.failures)) * (0.5 + (Math.random() / 2));
 	}
 }
--- a/src/table/table.ts
+++ b/src/table/table.ts
@@ -12,7 +12,7 @@
 
 const highestPriority = 1;
 const lowestPriority = 9;
-const largestWeight = 1000;
+const maxShare = 1000;
 
 /** A service that operators define. Clients name it in the field `model` or in the path. */
 export const Service = Schema.Struct({
@@ -39,7 +39,7 @@
 	account: ClientAccountName,
 	kind: RequestKind,
 	service: ServiceName,
-	share: Schema.Finite.check(Schema.isBetween({minimum: 0.001, maximum: largestWeight}, {expected: 'a weight above 0, at most 1000'}))
+	share: Schema.Finite.check(Schema.isBetween({minimum: 0.001, maximum: maxShare}, {expected: 'a weight above 0, at most 1000'}))
 		.annotate({description: 'Weight among rows of the same priority when capacity is insufficient.'}),
 	ceiling: Schema.Finite.check(Schema.isBetween({minimum: 0, maximum: 1e9}, {expected: 'a rate from 0 on'}))
 		.annotate({description: 'Maximum rate over all boxes: tokens a second for a model, requests a second for a plain service.'}),
@@ -64,7 +64,7 @@
 export const rowName = (row: Pick<Row, 'account' | 'kind' | 'service'>): string => `${row.account}/${row.service}/${row.kind}`;
 
 /** Finds faults that concern several parts: duplicate names and references to missing parts. */
-function faultsBetweenParts(table: Table): readonly Fault[] {
+function findCrossReferenceFaults(table: Table): readonly Fault[] {
 	const services = new Set(table.services.map(service => service.name));
 	const accounts = new Set(table.accounts.map(account => account.name));
 	const repeated = (part: string, names: readonly string[]): readonly Fault[] => names.flatMap((name, index) => names.indexOf(name) === index
@@ -82,8 +82,8 @@
 	];
 }
 
-const checkBetweenParts = (table: Table): Result.Result<Table, readonly Fault[]> => {
-	const faults = faultsBetweenParts(table);
+const checkCrossReferences = (table: Table): Result.Result<Table, readonly Fault[]> => {
+	const faults = findCrossReferenceFaults(table);
 	return faults.length === 0 ? Result.succeed(table) : Result.fail(faults);
 };
 
@@ -94,7 +94,7 @@
  * @returns The table, or all faults at once.
  */
 export function decodeTable(text: string): Result.Result<Table, readonly Fault[]> {
-	return Result.flatMap(decodeYaml(Table, text), checkBetweenParts);
+	return Result.flatMap(decodeYaml(Table, text), checkCrossReferences);
 }
 
 /**
@@ -104,5 +104,5 @@
  * @returns The table, or all faults at once.
  */
 export function checkTable(input: unknown): Result.Result<Table, readonly Fault[]> {
-	return Result.flatMap(decodeWithFaults(Table, input), checkBetweenParts);
+	return Result.flatMap(decodeWithFaults(Table, input), checkCrossReferences);
 }
