--- a/src/table/table-watch.ts
+++ b/src/table/table-watch.ts
@@ -8,7 +8,7 @@
 import type {TableView} from './table-view.js';
 import {decodeVersionedTable, tableKey} from './versioned-table.js';
 
-/** Milliseconds that one watch waits for a change; long, since the platform's rate limit counts each watch as a call. */
+/** Milliseconds that one watch waits for a change; the platform counts each watch as one call. */
 const watchWaitMs = 30_000;
 /** Base of the retry delay in milliseconds. */
 const baseRetryDelayMs = 200;
