--- a/src/boxes/box-directory.ts
+++ b/src/boxes/box-directory.ts
@@ -1,5 +1,5 @@
 /**
- * The boxes this box knows of. A box that was seen leaving stays leaving, whatever a late list says.
+ * The boxes that this box knows. A box that was once marked as leaving stays so, even if an outdated list shows it as live.
  */
 import type {BoxId, PoolName} from '../base/identifiers.js';
 import {groupBy} from '../base/group-by.js';
@@ -7,29 +7,29 @@
 import type {EventLog} from '../base/event-log.js';
 import type {Box, BoxListing} from '../external/box-list.js';
 
-/** Who told that a box is leaving. */
+/** Source of the information that a box is leaving. */
 export type LeavingSource = 'reclaim-notice' | 'box-list' | 'peer' | 'upstream';
 
 /** A box that is leaving. */
 export type Leaving = {
 	readonly box: BoxId;
 	readonly source: LeavingSource;
-	/** Monotonic clock of this box, in milliseconds, at which it goes; `undefined` where nobody said. */
+	/** Monotonic milliseconds on this box's clock at which the leaving box goes away; `undefined` if unknown. */
 	readonly endsAt: number | undefined;
 };
 
-/** Milliseconds for which a box that is gone from the list is remembered as leaving. */
+/** Milliseconds for which a box that is no longer listed is remembered as leaving. */
 const goneMemory = 1_800_000;
 
 type LeavingListener = (leaving: Leaving) => void;
 
-/** Holds the last listing and every box that was seen leaving. */
+/** Holds the last listing and all boxes that are marked as leaving. */
 export class BoxDirectory {
 	/**
-	 * @param self - This box.
-	 * @param clock - For the time left of a notice.
-	 * @param log - Where changes are told.
-	 * @returns A directory that knows of no box yet.
+	 * @param self - Name of this box.
+	 * @param clock - Clock that measures how long a box has been missing from the list.
+	 * @param log - Log for changes.
+	 * @returns An empty directory.
 	 */
 	static create(self: BoxId, clock: Clock, log: EventLog): BoxDirectory {
 		return new BoxDirectory(self, clock, log);
@@ -37,7 +37,7 @@
 
 	private listing: BoxListing = {version: 0, boxes: []};
 	private readonly leaving = new Map<BoxId, Leaving>();
-	/** When boxes went from the list. */
+	/** Monotonic milliseconds at which boxes disappeared from the list. */
 	private readonly goneAt = new Map<BoxId, number>();
 	private readonly leavingListeners = new Set<LeavingListener>();
 	private readonly listingListeners = new Set<() => void>();
@@ -55,31 +55,31 @@
 		return this.listing.version;
 	}
 
-	/** Every box that was seen leaving and may still be listed somewhere. */
+	/** All boxes marked as leaving that an outdated list may still contain. */
 	get leavingBoxes(): readonly Leaving[] {
 		const oldest = this.clock.monotonic() - goneMemory;
 		return [...this.leaving.values()].filter(({box}) => (this.goneAt.get(box) ?? Number.POSITIVE_INFINITY) > oldest);
 	}
 
-	/** Entry boxes but this one, leaving ones too: they still hold requests. */
+	/** All entry boxes except this one. Leaving ones are included, since they still hold requests. */
 	get peers(): readonly Box[] {
 		return this.listing.boxes.filter(box => box.role === 'entry' && box.id !== this.self);
 	}
 
-	/** Names of all entry boxes of the last listing, leaving ones too. */
+	/** Names of all entry boxes of the last listing, including leaving ones. */
 	get entryBoxes(): readonly BoxId[] {
 		return this.entryBoxNames;
 	}
 
-	/** Every box of the last listing. */
+	/** All boxes of the last listing. */
 	get boxes(): readonly Box[] {
 		return this.listing.boxes;
 	}
 
 	/**
-	 * Takes a listing, unless one as new is known.
+	 * Applies a listing, unless the known one has the same or a higher version.
 	 *
-	 * @param listing - From the platform.
+	 * @param listing - Listing from the platform.
 	 */
 	takeListing(listing: BoxListing): void {
 		if (listing.version <= this.listing.version) {
@@ -96,7 +96,7 @@
 			this.log.write('upstreamAppeared', {upstream: box.id});
 		}
 
-		// A list that has lost this very box is no reason to go: callers are still on it.
+		// If this box itself is missing from the list, it keeps running, since clients are still connected to it.
 		for (const id of [...before].filter(box => !listed.has(box) && box !== this.self)) {
 			this.log.write('upstreamGone', {upstream: id});
 			this.goneAt.set(id, this.clock.monotonic());
@@ -113,11 +113,11 @@
 	}
 
 	/**
-	 * Notes that a box is leaving. A later word may only bring its end forward or make it known.
+	 * Marks a box as leaving. A repeated call can only set an unknown end or move the end to an earlier time.
 	 *
-	 * @param box - Which box.
-	 * @param source - Who told.
-	 * @param endsAt - When it goes, on the monotonic clock; `undefined` where nobody said.
+	 * @param box - Name of the box.
+	 * @param source - Source of the information.
+	 * @param endsAt - Monotonic milliseconds at which the box goes away; `undefined` if unknown.
 	 */
 	markLeaving(box: BoxId, source: LeavingSource, endsAt: number | undefined): void {
 		const known = this.leaving.get(box);
@@ -137,32 +137,32 @@
 	}
 
 	/**
-	 * @param box - Which box.
-	 * @returns Whether it must get no new work.
+	 * @param box - Name of the box.
+	 * @returns Whether the box is leaving and must get no new work.
 	 */
 	isLeaving(box: BoxId): boolean {
 		return this.leaving.has(box);
 	}
 
 	/**
-	 * @param box - Which box.
-	 * @returns What is known of its leaving.
+	 * @param box - Name of the box.
+	 * @returns Details if the box is leaving, else `undefined`.
 	 */
 	leavingOf(box: BoxId): Leaving | undefined {
 		return this.leaving.get(box);
 	}
 
 	/**
-	 * @param pool - Which pool.
-	 * @returns Its upstreams that may get new work.
+	 * @param pool - Name of the pool.
+	 * @returns Upstreams of the pool that may get new work.
 	 */
 	upstreams(pool: PoolName): readonly Box[] {
 		return (this.upstreamsByPool.get(pool) ?? []).filter(box => !this.leaving.has(box.id));
 	}
 
 	/**
-	 * @param listener - Told of each box that is leaving, and again when its end becomes known or nearer.
-	 * @returns Ends the subscription.
+	 * @param listener - Called for each box that is leaving, and again when its end becomes known or earlier.
+	 * @returns A function that ends the subscription.
 	 */
 	onDidLeave(listener: LeavingListener): () => void {
 		this.leavingListeners.add(listener);
@@ -172,8 +172,8 @@
 	}
 
 	/**
-	 * @param listener - Told after each listing that was taken.
-	 * @returns Ends the subscription.
+	 * @param listener - Called after each applied listing.
+	 * @returns A function that ends the subscription.
 	 */
 	onDidChange(listener: () => void): () => void {
 		this.listingListeners.add(listener);
@@ -182,7 +182,7 @@
 		};
 	}
 
-	/** A list that is late by more than this memory does not happen; names are not given twice. */
+	/** Forgets boxes that disappeared long ago. No list is outdated for that long, and names of boxes are not reused. */
 	private forgetGone(): void {
 		const oldest = this.clock.monotonic() - goneMemory;
 		for (const [box, goneAt] of this.goneAt) {
--- a/src/boxes/box-watch.ts
+++ b/src/boxes/box-watch.ts
@@ -1,5 +1,5 @@
 /**
- * Follows the platform's box list and its reclaim notices.
+ * Watches the platform's box list and reclaim notices.
  */
 import * as Effect from 'effect/Effect';
 import type {Clock} from '../base/clock.js';
@@ -8,17 +8,19 @@
 import type {StoreFailure} from '../external/object-store.js';
 import type {BoxDirectory} from './box-directory.js';
 
+/** Milliseconds that one long poll waits for a change. */
 const pollWait = 20_000;
+/** Mean delay in milliseconds before a failed poll is retried. */
 const pauseAfterFailure = 500;
 
-/** Keeps a {@link BoxDirectory} up with the platform. */
+/** Keeps a {@link BoxDirectory} up to date with the platform. */
 export class BoxWatch {
 	/**
-	 * @param list - The platform's list.
-	 * @param directory - What to keep up.
-	 * @param clock - For the time left of a notice.
-	 * @param log - Where faults are told.
-	 * @returns The watch; run its two roles to begin.
+	 * @param list - The platform's box list.
+	 * @param directory - The directory to update.
+	 * @param clock - Clock that converts the remaining time of a notice to a point in time.
+	 * @param log - Log for faults.
+	 * @returns The watch, which does not begin before `followList` and `followNotices` are run.
 	 */
 	static create(list: BoxList, directory: BoxDirectory, clock: Clock, log: EventLog): BoxWatch {
 		return new BoxWatch(list, directory, clock, log);
@@ -34,7 +36,7 @@
 		private readonly log: EventLog,
 	) {}
 
-	/** @returns Follows the list until interrupted. */
+	/** @returns Watches the box list until interrupted. */
 	followList(): Effect.Effect<never> {
 		const poll = Effect.suspend(() => this.list.boxes(this.directory.version, pollWait)).pipe(Effect.map(listing => {
 			this.isFailing = false;
@@ -46,7 +48,7 @@
 		return Effect.forever(this.pauseOnFailure(poll));
 	}
 
-	/** @returns Follows the notices until interrupted. */
+	/** @returns Watches the reclaim notices until interrupted. */
 	followNotices(): Effect.Effect<never> {
 		const poll = Effect.suspend(() => this.list.notices(this.position, pollWait)).pipe(Effect.map(({position, notices, unreadable}) => {
 			this.position = position;
--- a/src/boxes/test/box-directory.test.ts
+++ b/src/boxes/test/box-directory.test.ts
@@ -13,7 +13,7 @@
 	id: id as BoxId, role: 'model-engine', dataCentre: 'dc' as DataCentre, host: '127.0.0.1', port: 1, pool, machineClass: 'm', reclaimable: true, price: 1, state,
 });
 
-test('a box that was seen leaving gets no new work again, whatever later lists say', () => {
+test('a box that is marked as leaving gets no new work again, even if later lists show it as live', () => {
 	const listing = fc.array(fc.tuple(fc.constantFrom('a', 'b', 'c'), fc.constantFrom<Box['state']>('live', 'leaving')), {maxLength: 3});
 	const notice = fc.constantFrom('a', 'b', 'c');
 	fc.assert(fc.property(fc.array(fc.oneof(listing, notice), {maxLength: 20}), steps => {
@@ -40,7 +40,7 @@
 	}), {seed: 1});
 });
 
-test('the end of a notice may only come nearer', () => {
+test('the end of a leaving box can only be set or moved to an earlier time', () => {
 	const directory = BoxDirectory.create('self' as BoxId, VirtualClock.create({now: 0}), SilentEventLog.create());
 	const ends: Array<number | undefined> = [];
 	directory.onDidLeave(({endsAt}) => ends.push(endsAt));
@@ -51,7 +51,7 @@
 	assert.deepEqual(ends, [undefined, 5000, 3000]);
 });
 
-test('a list that has lost this very box is no reason for it to go', () => {
+test('a box that is missing from the list does not mark itself as leaving', () => {
 	const directory = BoxDirectory.create('self' as BoxId, VirtualClock.create({now: 0}), SilentEventLog.create());
 	directory.takeListing({version: 1, boxes: [{...box('self', 'live'), role: 'entry'}, box('a', 'live')]});
 	directory.takeListing({version: 2, boxes: []});
