--- a/src/boxes/box-directory.ts
+++ b/src/boxes/box-directory.ts
@@ -19,7 +19,7 @@
 };
 
 /** Milliseconds for which a box that is no longer listed is remembered as leaving. */
-const goneMemory = 1_800_000;
+const goneRetentionMs = 1_800_000;
 
 type LeavingListener = (leaving: Leaving) => void;
 
@@ -57,7 +57,7 @@
 
 	/** All boxes marked as leaving that an outdated list may still contain. */
 	get leavingBoxes(): readonly Leaving[] {
-		const oldest = this.clock.monotonic() - goneMemory;
+		const oldest = this.clock.monotonic() - goneRetentionMs;
 		return [...this.leaving.values()].filter(({box}) => (this.goneAt.get(box) ?? Number.POSITIVE_INFINITY) > oldest);
 	}
 
@@ -184,7 +184,7 @@
 
 	/** Forgets boxes that disappeared long ago. No list is outdated for that long, and names of boxes are not reused. */
 	private forgetGone(): void {
-		const oldest = this.clock.monotonic() - goneMemory;
+		const oldest = this.clock.monotonic() - goneRetentionMs;
 		for (const [box, goneAt] of this.goneAt) {
 			if (goneAt < oldest) {
 				this.goneAt.delete(box);
--- a/src/boxes/box-watch.ts
+++ b/src/boxes/box-watch.ts
@@ -9,9 +9,9 @@
 import type {BoxDirectory} from './box-directory.js';
 
 /** Milliseconds that one long poll waits for a change. */
-const pollWait = 20_000;
+const pollWaitMs = 20_000;
 /** Mean delay in milliseconds before a failed poll is retried. */
-const pauseAfterFailure = 500;
+const meanRetryDelayMs = 500;
 
 /** Keeps a {@link BoxDirectory} up to date with the platform. */
 export class BoxWatch {
@@ -38,42 +38,42 @@
 
 	/** @returns Watches the box list until interrupted. */
 	followList(): Effect.Effect<never> {
-		const poll = Effect.suspend(() => this.list.boxes(this.directory.version, pollWait)).pipe(Effect.map(listing => {
+		const poll = Effect.suspend(() => this.list.boxes(this.directory.version, pollWaitMs)).pipe(Effect.map(listing => {
 			this.isFailing = false;
 			if (listing) {
-				this.noteUnreadable(listing.unreadable);
+				this.logUnreadable(listing.unreadable);
 				this.directory.takeListing(listing);
 			}
 		}));
-		return Effect.forever(this.pauseOnFailure(poll));
+		return Effect.forever(this.delayAfterFailure(poll));
 	}
 
 	/** @returns Watches the reclaim notices until interrupted. */
 	followNotices(): Effect.Effect<never> {
-		const poll = Effect.suspend(() => this.list.notices(this.position, pollWait)).pipe(Effect.map(({position, notices, unreadable}) => {
+		const poll = Effect.suspend(() => this.list.notices(this.position, pollWaitMs)).pipe(Effect.map(({position, notices, unreadable}) => {
 			this.position = position;
-			this.noteUnreadable(unreadable);
+			this.logUnreadable(unreadable);
 			for (const {box, remaining} of notices) {
 				this.directory.markLeaving(box, 'reclaim-notice', this.clock.monotonic() + remaining);
 			}
 		}));
-		return Effect.forever(this.pauseOnFailure(poll));
+		return Effect.forever(this.delayAfterFailure(poll));
 	}
 
-	private noteUnreadable(faults: readonly string[] = []): void {
+	private logUnreadable(faults: readonly string[] = []): void {
 		for (const fault of faults) {
 			this.log.write('boxUnreadable', {fault});
 		}
 	}
 
-	private pauseOnFailure(poll: Effect.Effect<void, StoreFailure>): Effect.Effect<void> {
+	private delayAfterFailure(poll: Effect.Effect<void, StoreFailure>): Effect.Effect<void> {
 		return poll.pipe(Effect.catch(error => Effect.suspend(() => {
 			if (!this.isFailing) {
 				this.isFailing = true;
 				this.log.write('boxListUnavailable', {detail: error.detail});
 			}
 
-			return Effect.sleep(pauseAfterFailure * (0.5 + Math.random()));
+			return Effect.sleep(meanRetryDelayMs * (0.5 + Math.random()));
 		})));
 	}
 }
--- a/src/boxes/test/box-directory.test.ts
+++ b/src/boxes/test/box-directory.test.ts
@@ -18,24 +18,24 @@
 	const notice = fc.constantFrom('a', 'b', 'c');
 	fc.assert(fc.property(fc.array(fc.oneof(listing, notice), {maxLength: 20}), steps => {
 		const directory = BoxDirectory.create('self' as BoxId, VirtualClock.create({now: 0}), SilentEventLog.create());
-		const left = new Set<string>();
+		const leavingIds = new Set<string>();
 		let version = 0;
 		for (const step of steps) {
 			if (typeof step === 'string') {
 				directory.markLeaving(step as BoxId, 'peer', undefined);
-				left.add(step);
+				leavingIds.add(step);
 			} else {
 				version++;
 				const boxes = new Map(step.map(([id, state]) => [id, box(id, state)]));
 				directory.takeListing({version, boxes: [...boxes.values()]});
 				for (const {id, state} of boxes.values()) {
 					if (state === 'leaving') {
-						left.add(id);
+						leavingIds.add(id);
 					}
 				}
 			}
 
-			assert.ok(directory.upstreams(pool).every(({id}) => !left.has(id)));
+			assert.ok(directory.upstreams(pool).every(({id}) => !leavingIds.has(id)));
 		}
 	}), {seed: 1});
 });
