--- a/src/external/box-list.ts
+++ b/src/external/box-list.ts
@@ -1,24 +1,24 @@
 /**
- * The platform's list of boxes, which lags, and its reclaim notices, which are prompt.
+ * The platform's list of boxes, which may be outdated, and its reclaim notices, which arrive promptly.
  */
 import type * as Effect from 'effect/Effect';
 import * as Schema from 'effect/Schema';
 import {BoxId, DataCentre, PoolName} from '../base/identifiers.js';
 import type {StoreFailure} from './object-store.js';
 
-/** What runs on a box. */
+/** The kind of process that runs on a box. */
 export const BoxRole = Schema.Literals(['entry', 'model-engine', 'plain-service']);
 
-/** A box of the list. */
+/** An entry of the box list. */
 export const Box = Schema.Struct({
 	id: BoxId,
 	role: BoxRole,
 	dataCentre: DataCentre,
 	host: Schema.String,
 	port: Schema.Number,
-	/** Port between entry boxes; absent on upstream boxes. */
+	/** Port for connections between entry boxes; absent for upstreams. */
 	peerPort: Schema.optionalKey(Schema.Number),
-	/** The pool it serves; absent on entry boxes. */
+	/** Pool of an upstream; absent for entry boxes. */
 	pool: Schema.optionalKey(PoolName),
 	machineClass: Schema.String,
 	reclaimable: Schema.Boolean,
@@ -28,42 +28,42 @@
 });
 export type Box = typeof Box.Type;
 
-/** The list at one moment. */
+/** The box list at one version. */
 export type BoxListing = {
 	readonly version: number;
 	readonly boxes: readonly Box[];
-	/** What is wrong with each entry that cannot be read and is left out. */
+	/** Descriptions of the faults of invalid entries, which are skipped. */
 	readonly unreadable?: readonly string[];
 };
 
-/** The platform takes a box back. */
+/** Notice that the platform reclaims a box. */
 export type ReclaimNotice = {
 	readonly box: BoxId;
-	/** Milliseconds until the box goes, counted from when the platform answered. */
+	/** Milliseconds from the platform's answer until the box goes away. */
 	readonly remaining: number;
 };
 
-/** Notices since a position. */
+/** Reclaim notices after a position. */
 export type ReclaimNotices = {
 	readonly position: number;
 	readonly notices: readonly ReclaimNotice[];
-	/** What is wrong with each notice that cannot be read and is left out. */
+	/** Descriptions of the faults of invalid notices, which are skipped. */
 	readonly unreadable?: readonly string[];
 };
 
-/** Reads the box list and the notices. */
+/** Reads the box list and the reclaim notices. */
 export abstract class BoxList {
 	/**
-	 * @param after - Version already known.
-	 * @param wait - Milliseconds to wait for a newer one.
-	 * @returns The list, or `undefined` where it did not change in that time.
+	 * @param after - Known version.
+	 * @param wait - Maximum milliseconds to wait for a newer version.
+	 * @returns The list, or `undefined` if it did not change in that time.
 	 */
 	abstract boxes(after: number, wait: number): Effect.Effect<BoxListing | undefined, StoreFailure>;
 
 	/**
-	 * @param after - Position already read.
-	 * @param wait - Milliseconds to wait for further ones.
-	 * @returns Further notices; none where none came in that time.
+	 * @param after - Position up to which notices were read.
+	 * @param wait - Maximum milliseconds to wait for a new notice.
+	 * @returns The new notices; none if none arrived in that time.
 	 */
 	abstract notices(after: number, wait: number): Effect.Effect<ReclaimNotices, StoreFailure>;
 }
--- a/src/external/http-box-list.ts
+++ b/src/external/http-box-list.ts
@@ -1,5 +1,5 @@
 /**
- * The box list and the reclaim notices over HTTP.
+ * Reads the box list and the reclaim notices over HTTP.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -13,17 +13,19 @@
 import {StoreFailure} from './object-store.js';
 import {readAnswer} from './read-answer.js';
 
+/** Milliseconds to wait for an answer in addition to the wait of the poll. */
 const answerTimeout = 2000;
 const ok = 200;
+/** HTTP status 204: nothing changed during the wait. */
 const unchanged = 204;
 
-/** What the platform adds is skipped. */
+/** Unknown fields are ignored, since a newer platform may add some. */
 const decodeListing = createDecoder(Schema.Struct({version: Schema.Finite, boxes: Schema.Array(Schema.Unknown)}), 'ignore');
 const decodeBox = createDecoder(Box, 'ignore');
 const decodeNotices = createDecoder(Schema.Struct({position: Schema.Finite, notices: Schema.Array(Schema.Unknown)}), 'ignore');
 const decodeNotice = createDecoder(Schema.Struct({box: BoxId, remaining: Schema.Finite}), 'ignore');
 
-/** One entry that cannot be read takes nothing from the others. */
+/** Decodes entries one by one, so that an invalid one does not invalidate the others. */
 function partition<Entry>(entries: readonly unknown[], decode: Decoder<Entry>): {readonly read: readonly Entry[]; readonly unreadable: readonly string[]} {
 	const decoded = entries.map(entry => decode(entry));
 	return {
@@ -42,11 +44,11 @@
 	return {position, notices: entries.read, unreadable: entries.unreadable};
 });
 
-/** Reads both by long polls. */
+/** Reads the box list and the notices by long polls. */
 export class HttpBoxList extends BoxList {
 	/**
-	 * @param client - Connections to the platform.
-	 * @returns The list.
+	 * @param client - HTTP client of the platform.
+	 * @returns The box list.
 	 */
 	static create(client: HttpClient): HttpBoxList {
 		return new HttpBoxList(client);
--- a/src/external/http-object-store.ts
+++ b/src/external/http-object-store.ts
@@ -1,5 +1,5 @@
 /**
- * The Object API over HTTP.
+ * A client of the Object API over HTTP.
  */
 import * as Effect from 'effect/Effect';
 import * as Schema from 'effect/Schema';
@@ -12,24 +12,26 @@
 } from './object-store.js';
 import {readAnswer} from './read-answer.js';
 
+/** Milliseconds to wait for an answer; a watch adds its own wait. */
 const callTimeout = 2000;
 const tooManyRequests = 429;
 const conflict = 409;
 const notFound = 404;
+/** HTTP status 204: nothing changed during the wait. */
 const unchanged = 204;
 const ok = 200;
 
-/** What a newer platform adds is skipped. */
+/** Unknown fields are ignored, since a newer platform may add some. */
 const decodeObject = createDecoder(Schema.Struct({version: Schema.Finite, value: Schema.String, storeTime: Schema.Finite}), 'ignore');
 const decodeWritten = createDecoder(Schema.Struct({version: Schema.Finite}), 'ignore');
 const decodeKeys = createDecoder(Schema.Struct({keys: Schema.Array(Schema.String)}), 'ignore');
 
 const pathOf = (key: string) => `/objects/${encodeURIComponent(key)}`;
 
-/** Speaks to the Object API by HTTP. */
+/** Reads and writes objects of the Object API over HTTP. */
 export class HttpObjectStore extends ObjectStore {
 	/**
-	 * @param client - Connections to the platform.
+	 * @param client - HTTP client of the platform.
 	 * @returns The store.
 	 */
 	static create(client: HttpClient): HttpObjectStore {
@@ -74,7 +76,7 @@
 	}
 }
 
-/** A 429 was not applied; after another status nobody knows. */
+/** A write refused with status 429 was not applied; after any other unexpected status this is unknown. */
 const refused = (answer: HttpAnswer): StoreFailure => answer.status === tooManyRequests
-	? new StoreFailure({reason: 'throttled', mayHaveApplied: false, detail: 'the Object API refuses for its rate limit'})
+	? new StoreFailure({reason: 'throttled', mayHaveApplied: false, detail: 'the Object API refused the call because of its rate limit'})
 	: new StoreFailure({reason: 'refused', mayHaveApplied: true, detail: `the Object API answered ${answer.status}`});
--- a/src/external/read-answer.ts
+++ b/src/external/read-answer.ts
@@ -1,5 +1,5 @@
 /**
- * Reads what the platform answers; what is not a whole answer counts as none.
+ * Decodes answers of the platform. An incomplete or invalid answer counts as a failed call.
  */
 import * as Effect from 'effect/Effect';
 import {describeFaults, type Decoder} from '../base/faults.js';
@@ -9,8 +9,8 @@
 
 /**
  * @param answer - An answer of the platform.
- * @param decode - Decodes what it should hold.
- * @returns What it holds. One that cannot be read says nothing of what was done.
+ * @param decode - Decodes the parsed body.
+ * @returns The decoded body. If decoding fails, the call may have been applied.
  */
 export function readAnswer<Content>(answer: HttpAnswer, decode: Decoder<Content>): Effect.Effect<Content, StoreFailure> {
 	return Effect.fromResult(decodeAnswer(answer, decode)).pipe(Effect.mapError(faults => new StoreFailure({
--- a/src/external/test/half-answers.test.ts
+++ b/src/external/test/half-answers.test.ts
@@ -11,7 +11,7 @@
 import {HttpBoxList} from '../http-box-list.js';
 import {HttpObjectStore} from '../http-object-store.js';
 
-/** Milliseconds after which an operation of a shard counts as one that never ends; it gives up after three seconds itself. */
+/** Milliseconds after which an operation of a shard counts as hanging; the shard itself times out after three seconds. */
 const longestOperation = 6000;
 const whole = JSON.stringify({version: 4, value: '{}', storeTime: 1});
 const servers: Server[] = [];
@@ -23,8 +23,8 @@
 });
 
 /**
- * Answers each call with the next of the bodies, the last one again and again; none has a length, so that each ends where its
- * connection does.
+ * Starts a server that answers each call with the next body and repeats the last one. The answers have no length, so that each ends
+ * when its connection closes.
  */
 const answering = async (bodies: readonly string[], status = 200): Promise<HttpClient> => {
 	let calls = 0;
@@ -45,32 +45,32 @@
 const parts = Array.from({length: whole.length}, (_, length) => whole.slice(0, length));
 const odd = ['[]', 'null', '{}', '{"version":4}', '{"version":"4","value":"{}","storeTime":1}', '<html></html>'];
 
-test('an answer of the Object API that is not a whole one says nothing of an object, wherever it is cut', async () => {
+test('an incomplete or invalid answer of the Object API is a failure, wherever it is truncated', async () => {
 	const tags = await Promise.all([...parts, ...odd].map(async body => {
 		const store = HttpObjectStore.create(await answering([body]));
 		const read = await Effect.runPromise(Effect.result(store.read('a')));
 		const watched = await Effect.runPromise(Effect.result(store.watch('a', 1, 0)));
-		return [read, watched].map(result => result._tag === 'Failure' ? result.failure._tag : `taken: ${body}`);
+		return [read, watched].map(result => result._tag === 'Failure' ? result.failure._tag : `accepted: ${body}`);
 	}));
 	assert.deepEqual(tags.flat(), tags.flat().map(() => 'StoreFailure'));
 });
 
-test('a write whose answer is cut short may have been done', async () => {
+test('a write whose answer is truncated may have been applied', async () => {
 	const store = HttpObjectStore.create(await answering(['{"vers']));
 	const written = await Effect.runPromise(Effect.result(store.write('a', '{}', 0)));
 	assert.ok(written._tag === 'Failure' && written.failure._tag === 'StoreFailure' && written.failure.mayHaveApplied);
 });
 
-test('a claim shard whose object was read in part goes on as soon as it is read whole', async () => {
+test('a claim shard whose object was read incompletely continues as soon as the object is read completely', async () => {
 	const shard = ClaimShard.create('claims/0', {
 		store: HttpObjectStore.create(await answering([whole.slice(0, 20), whole])),
 		clock: SystemClock.create(), log: SilentEventLog.create(), metrics: Metrics.create(),
 	});
 	const looked = await Effect.runPromiseExit(shard.run('a', entry => ({write: undefined, outcome: entry})).pipe(Effect.timeout(longestOperation)));
-	assert.ok(Exit.isSuccess(looked), 'the operation ends');
+	assert.ok(Exit.isSuccess(looked), 'the operation completes');
 });
 
-test('a box list or notices that are cut short, or hold something else, are not taken', async () => {
+test('truncated or invalid answers with the box list or the notices are failures', async () => {
 	for (const body of ['{"version":3,"boxes":[', '{"version":3}', '{"boxes":[]}', '[]', '{"version":3,"boxes":{}}', '']) {
 		const boxes = await Effect.runPromise(Effect.result(HttpBoxList.create(await answering([body])).boxes(0, 0)));
 		assert.equal(boxes._tag === 'Failure' && boxes.failure._tag, 'StoreFailure', body);
--- a/src/external/test/platform-answers.test.ts
+++ b/src/external/test/platform-answers.test.ts
@@ -1,6 +1,6 @@
 /**
- * An answer of the platform that was not what the interface says threw inside the task that read it, or was trusted: a version that was no
- * number was compared with others, and one odd box stood among the good ones.
+ * Guards against answers of the platform that violate its interface. They must not throw inside the task that reads them, and must not be
+ * trusted: for example, a version that is not a number is compared with others, or an invalid box is listed among valid ones.
  */
 import assert from 'node:assert/strict';
 import {after, before, test} from 'node:test';
@@ -33,7 +33,7 @@
 
 const odd = ['oops', '', 'null', '[]', '{"version":"1","value":7}', '{"version":1,"val'];
 
-test('an answer of the object store that cannot be read is a failure, and a write of which it tells may have applied', async () => {
+test('an invalid answer of the object store is a failure, and the write may have been applied', async () => {
 	const store = HttpObjectStore.create(client);
 	const calls = [store.read('k'), store.write('k', 'v', 0), store.watch('k', 0, 0), store.list('k')];
 	for (const body of odd) {
@@ -45,7 +45,7 @@
 	}
 });
 
-test('a box list that cannot be read is a failure', async () => {
+test('an invalid answer with the box list or the notices is a failure', async () => {
 	const list = HttpBoxList.create(client);
 	for (const body of odd) {
 		answerWith(body);
@@ -56,7 +56,7 @@
 	}
 });
 
-test('an entry of the box list that cannot be read is left out and told, and the others hold', async () => {
+test('an invalid entry of the box list is skipped and reported, and the others are kept', async () => {
 	const list = HttpBoxList.create(client);
 	for (const entry of [null, 7, {}, {...box, port: 'http'}, {...box, id: 9}, {...box, role: 'toaster'}]) {
 		answerWith(JSON.stringify({version: 3, boxes: [box, entry, {...box, id: 'engine-2'}]}));
@@ -66,7 +66,7 @@
 	}
 });
 
-test('a notice that cannot be read is left out and told, and the others hold', async () => {
+test('an invalid notice is skipped and reported, and the others are kept', async () => {
 	const list = HttpBoxList.create(client);
 	answerWith(JSON.stringify({position: 2, notices: [{box: 'engine-1', remaining: 'soon'}, {box: 'engine-2', remaining: 9}]}));
 	const {position, notices, unreadable} = await Effect.runPromise(list.notices(0, 0));
