--- a/src/external/http-box-list.ts
+++ b/src/external/http-box-list.ts
@@ -14,7 +14,7 @@
 import {readAnswer} from './read-answer.js';
 
 /** Milliseconds to wait for an answer in addition to the wait of the poll. */
-const answerTimeout = 2000;
+const answerTimeoutMs = 2000;
 const ok = 200;
 /** HTTP status 204: nothing changed during the wait. */
 const unchanged = 204;
@@ -26,7 +26,7 @@
 const decodeNotice = createDecoder(Schema.Struct({box: BoxId, remaining: Schema.Finite}), 'ignore');
 
 /** Decodes entries one by one, so that an invalid one does not invalidate the others. */
-function partition<Entry>(entries: readonly unknown[], decode: Decoder<Entry>): {readonly read: readonly Entry[]; readonly unreadable: readonly string[]} {
+function decodeEntries<Entry>(entries: readonly unknown[], decode: Decoder<Entry>): {readonly read: readonly Entry[]; readonly unreadable: readonly string[]} {
 	const decoded = entries.map(entry => decode(entry));
 	return {
 		read: decoded.flatMap(result => Result.isSuccess(result) ? [result.success] : []),
@@ -35,12 +35,12 @@
 }
 
 const listingOf = (answer: HttpAnswer): Effect.Effect<BoxListing, StoreFailure> => Effect.map(readAnswer(answer, decodeListing), ({version, boxes}) => {
-	const entries = partition(boxes, decodeBox);
+	const entries = decodeEntries(boxes, decodeBox);
 	return {version, boxes: entries.read, unreadable: entries.unreadable};
 });
 
 const noticesOf = (answer: HttpAnswer): Effect.Effect<ReclaimNotices, StoreFailure> => Effect.map(readAnswer(answer, decodeNotices), ({position, notices}) => {
-	const entries = partition(notices, decodeNotice);
+	const entries = decodeEntries(notices, decodeNotice);
 	return {position, notices: entries.read, unreadable: entries.unreadable};
 });
 
@@ -69,7 +69,7 @@
 	}
 
 	private poll(path: string, wait: number): Effect.Effect<HttpAnswer, StoreFailure> {
-		return this.client.exchange({method: 'GET', path, timeout: wait + answerTimeout}).pipe(
+		return this.client.exchange({method: 'GET', path, timeout: wait + answerTimeoutMs}).pipe(
 			Effect.mapError(failure => new StoreFailure({reason: 'unreachable', mayHaveApplied: false, detail: failure.detail})),
 			Effect.flatMap(answer => answer.status === ok || answer.status === unchanged
 				? Effect.succeed(answer)
--- a/src/external/http-object-store.ts
+++ b/src/external/http-object-store.ts
@@ -13,7 +13,7 @@
 import {readAnswer} from './read-answer.js';
 
 /** Milliseconds to wait for an answer; a watch adds its own wait. */
-const callTimeout = 2000;
+const callTimeoutMs = 2000;
 const tooManyRequests = 429;
 const conflict = 409;
 const notFound = 404;
@@ -43,13 +43,13 @@
 	}
 
 	override read(key: string): Effect.Effect<StoredObject, StoreFailure> {
-		return this.call({method: 'GET', path: pathOf(key), timeout: callTimeout}, [ok, notFound])
+		return this.call({method: 'GET', path: pathOf(key), timeout: callTimeoutMs}, [ok, notFound])
 			.pipe(Effect.flatMap(answer => readAnswer(answer, decodeObject)));
 	}
 
 	override write(key: string, value: string, expected: ObjectVersion): Effect.Effect<ObjectVersion, StoreFailure | VersionConflict> {
 		return this.call({
-			method: 'PUT', path: `${pathOf(key)}?expected=${expected}`, body: value, timeout: callTimeout,
+			method: 'PUT', path: `${pathOf(key)}?expected=${expected}`, body: value, timeout: callTimeoutMs,
 		}, [ok, conflict])
 			.pipe(Effect.flatMap((answer): Effect.Effect<ObjectVersion, StoreFailure | VersionConflict> => answer.status === ok
 				? readAnswer(answer, decodeWritten).pipe(Effect.map(({version}) => version))
@@ -57,12 +57,12 @@
 	}
 
 	override watch(key: string, after: ObjectVersion, wait: number): Effect.Effect<StoredObject | undefined, StoreFailure> {
-		return this.call({method: 'GET', path: `${pathOf(key)}?after=${after}&wait=${wait}`, timeout: wait + callTimeout}, [ok, unchanged])
+		return this.call({method: 'GET', path: `${pathOf(key)}?after=${after}&wait=${wait}`, timeout: wait + callTimeoutMs}, [ok, unchanged])
 			.pipe(Effect.flatMap(answer => answer.status === ok ? readAnswer(answer, decodeObject) : Effect.succeed(undefined)));
 	}
 
 	override list(prefix: string): Effect.Effect<readonly string[], StoreFailure> {
-		return this.call({method: 'GET', path: `/objects?prefix=${encodeURIComponent(prefix)}`, timeout: callTimeout}, [ok])
+		return this.call({method: 'GET', path: `/objects?prefix=${encodeURIComponent(prefix)}`, timeout: callTimeoutMs}, [ok])
 			.pipe(Effect.flatMap(answer => readAnswer(answer, decodeKeys)), Effect.map(({keys}) => keys));
 	}
 
@@ -71,12 +71,12 @@
 			Effect.mapError((failure: HttpFailure) => new StoreFailure({
 				reason: 'unreachable', mayHaveApplied: failure.maySent, detail: failure.detail,
 			})),
-			Effect.flatMap(answer => expected.includes(answer.status) ? Effect.succeed(answer) : Effect.fail(refused(answer))),
+			Effect.flatMap(answer => expected.includes(answer.status) ? Effect.succeed(answer) : Effect.fail(failureOf(answer))),
 		);
 	}
 }
 
 /** A write refused with status 429 was not applied; after any other unexpected status this is unknown. */
-const refused = (answer: HttpAnswer): StoreFailure => answer.status === tooManyRequests
+const failureOf = (answer: HttpAnswer): StoreFailure => answer.status === tooManyRequests
 	? new StoreFailure({reason: 'throttled', mayHaveApplied: false, detail: 'the Object API refused the call because of its rate limit'})
 	: new StoreFailure({reason: 'refused', mayHaveApplied: true, detail: `the Object API answered ${answer.status}`});
--- a/src/external/test/platform-answers.test.ts
+++ b/src/external/test/platform-answers.test.ts
@@ -31,12 +31,12 @@
 	server.script = {pieces: [`HTTP/1.1 200 OK\r\nContent-Length: ${body.length}\r\n\r\n${body}`], ending: 'open'};
 };
 
-const odd = ['oops', '', 'null', '[]', '{"version":"1","value":7}', '{"version":1,"val'];
+const invalidBodies = ['oops', '', 'null', '[]', '{"version":"1","value":7}', '{"version":1,"val'];
 
 test('an invalid answer of the object store is a failure, and the write may have been applied', async () => {
 	const store = HttpObjectStore.create(client);
 	const calls = [store.read('k'), store.write('k', 'v', 0), store.watch('k', 0, 0), store.list('k')];
-	for (const body of odd) {
+	for (const body of invalidBodies) {
 		answerWith(body);
 		for (const call of calls) {
 			const failure = await Effect.runPromise(Effect.flip(call as Effect.Effect<unknown, {readonly _tag: string; readonly mayHaveApplied?: boolean}>));
@@ -47,7 +47,7 @@
 
 test('an invalid answer with the box list or the notices is a failure', async () => {
 	const list = HttpBoxList.create(client);
-	for (const body of odd) {
+	for (const body of invalidBodies) {
 		answerWith(body);
 		for (const call of [list.boxes(0, 0), list.notices(0, 0)]) {
 			const failure = await Effect.runPromise(Effect.flip(call as Effect.Effect<unknown, {readonly _tag: string}>));
