--- a/src/status/data-centre-summary.ts
+++ b/src/status/data-centre-summary.ts
@@ -1,11 +1,11 @@
 /**
- * What the boxes of a data centre are doing, in one object that the holder of a lease writes. Operators read
- * it; no decision rests on it.
+ * Summary of the boxes of a data centre, in one object that the holder of a lease writes. It is for operators only;
+ * the system makes no decision from it.
  */
 import * as Schema from 'effect/Schema';
 import {BoxId, DataCentre} from '../base/identifiers.js';
 
-/** One entry box of a summary. */
+/** State of one entry box in a summary. */
 export const BoxSummary = Schema.Struct({
 	box: BoxId,
 	tableVersion: Schema.Number,
@@ -13,12 +13,12 @@
 	isStopping: Schema.Boolean,
 });
 
-/** The summary. */
+/** Summary of one data centre. */
 export const DataCentreSummary = Schema.Struct({
 	dataCentre: DataCentre,
 	/** Box that wrote it. */
 	writer: BoxId,
-	/** Grows with each writing, so that a reader can tell a summary that is no longer written. */
+	/** Increases with each write, so that a reader can detect a summary that is no longer updated. */
 	sequence: Schema.Number,
 	boxes: Schema.Array(BoxSummary),
 	/** Upstreams that are leaving. */
@@ -29,21 +29,21 @@
 const prefix = 'summaries/';
 
 /**
- * @param dataCentre - Which one.
+ * @param dataCentre - Name of the data centre.
  * @returns Name of the object that holds its summary.
  */
 export function summaryKey(dataCentre: DataCentre): string {
 	return prefix + dataCentre;
 }
 
-/** How the names of all summaries begin. */
+/** Prefix of the names of all summary objects. */
 export const summaryPrefix = prefix;
 
 const decode = Schema.decodeUnknownResult(Schema.fromJsonString(DataCentreSummary));
 
 /**
  * @param value - Value of the object.
- * @returns The summary, or why it does not decode.
+ * @returns The summary, or the decoding error.
  */
 export function decodeSummary(value: string) {
 	return decode(value);
--- a/src/status/summary-duty.ts
+++ b/src/status/summary-duty.ts
@@ -9,24 +9,24 @@
 import type {ObjectStore} from '../external/object-store.js';
 import {summaryKey, type DataCentreSummary} from './data-centre-summary.js';
 
-/** Milliseconds between two writings: 10 data centres make 2 writes a second of the platform's hundred. */
+/** Milliseconds between two writes. Ten data centres make 2 writes a second of the 100 that the platform allows. */
 const writeInterval = 5000;
 
-/** What the duty needs. */
+/** Services that the duty uses. */
 export type SummaryDutyServices = {
 	readonly dataCentre: DataCentre;
 	readonly store: ObjectStore;
 	readonly log: EventLog;
-	/** @returns How this box stands. */
+	/** @returns State of this box. */
 	readonly own: () => PeerState;
-	/** @returns How the other boxes of the data centre stand. */
+	/** @returns States of the other boxes of the data centre. */
 	readonly others: () => readonly PeerState[];
 };
 
-/** The duty of one data centre. */
+/** Writes the summary of one data centre. */
 export class SummaryDuty {
 	/**
-	 * @param services - What it needs.
+	 * @param services - Services that the duty uses.
 	 * @returns The duty.
 	 */
 	static create(services: SummaryDutyServices): SummaryDuty {
@@ -50,7 +50,7 @@
 		return Effect.forever(this.write(held).pipe(Effect.andThen(Effect.sleep(writeInterval))));
 	}
 
-	/** A summary that cannot be written is written the next time. */
+	/** Writes the summary once. A failure is ignored, since the next write repeats it. */
 	private write(held: HeldLease): Effect.Effect<void> {
 		const {store, dataCentre} = this.services;
 		return store.read(summaryKey(dataCentre)).pipe(
