--- a/src/status/summary-duty.ts
+++ b/src/status/summary-duty.ts
@@ -10,7 +10,7 @@
 import {summaryKey, type DataCentreSummary} from './data-centre-summary.js';
 
 /** Milliseconds between two writes. Ten data centres make 2 writes a second of the 100 that the platform allows. */
-const writeInterval = 5000;
+const writeIntervalMs = 5000;
 
 /** Services that the duty uses. */
 export type SummaryDutyServices = {
@@ -42,12 +42,12 @@
 	 * @returns Runs until interrupted.
 	 */
 	run(lease: Lease): Effect.Effect<never> {
-		return lease.whileHeld(held => this.writeAll(held));
+		return lease.whileHeld(held => this.writePeriodically(held));
 	}
 
-	private writeAll(held: HeldLease): Effect.Effect<never> {
+	private writePeriodically(held: HeldLease): Effect.Effect<never> {
 		this.services.log.write('summaryWritten', {dataCentre: this.services.dataCentre, generation: held.generation});
-		return Effect.forever(this.write(held).pipe(Effect.andThen(Effect.sleep(writeInterval))));
+		return Effect.forever(this.write(held).pipe(Effect.andThen(Effect.sleep(writeIntervalMs))));
 	}
 
 	/** Writes the summary once. A failure is ignored, since the next write repeats it. */
