--- a/src/base/answer-end.ts
+++ b/src/base/answer-end.ts
@@ -35,7 +35,7 @@
 		// Created by watch().
 	}
 
-	/** Whether the whole answer was received; false if its connection was reset before the end, whatever its framing says. */
+	/** Whether the whole answer was received; false if its connection was reset before the end, regardless of its framing. */
 	get isWhole(): boolean {
 		return this.isComplete && !this.isBroken;
 	}
--- a/src/base/test/http-client.test.ts
+++ b/src/base/test/http-client.test.ts
@@ -48,7 +48,7 @@
 
 for (const [framing, parts] of Object.entries(framings)) {
 	for (const ending of ['reset', 'late-reset', 'close'] as const) {
-		// By HTTP, an answer without a length is whole when its connection closes.
+		// In HTTP, an answer without a length is complete when its connection closes.
 		const isCut = ending !== 'close' || framing !== 'without a length';
 		test(`an answer ${framing} whose connection ends by ${ending} is ${isCut ? 'incomplete' : 'complete'}`, async () => {
 			const pieces = [[parts.head + parts.body], [parts.head, parts.body], [parts.head + parts.body.slice(0, -3), parts.body.slice(-3)]];
--- a/src/boxes/box-directory.ts
+++ b/src/boxes/box-directory.ts
@@ -14,7 +14,7 @@
 export type Leaving = {
 	readonly box: BoxId;
 	readonly source: LeavingSource;
-	/** Monotonic milliseconds on this box's clock at which the leaving box goes away; `undefined` if unknown. */
+	/** Monotonic milliseconds on this box's clock at which the platform removes the leaving box; `undefined` if unknown. */
 	readonly endsAt: number | undefined;
 };
 
@@ -117,7 +117,7 @@
 	 *
 	 * @param box - Name of the box.
 	 * @param source - Source of the information.
-	 * @param endsAt - Monotonic milliseconds at which the box goes away; `undefined` if unknown.
+	 * @param endsAt - Monotonic milliseconds at which the platform removes the box; `undefined` if unknown.
 	 */
 	markLeaving(box: BoxId, source: LeavingSource, endsAt: number | undefined): void {
 		const known = this.leaving.get(box);
@@ -146,7 +146,7 @@
 
 	/**
 	 * @param box - Name of the box.
-	 * @returns Details if the box is leaving, else `undefined`.
+	 * @returns Source and end if the box is leaving; `undefined` otherwise.
 	 */
 	leavingOf(box: BoxId): Leaving | undefined {
 		return this.leaving.get(box);
--- a/src/external/box-list.ts
+++ b/src/external/box-list.ts
@@ -39,7 +39,7 @@
 /** Notice that the platform reclaims a box. */
 export type ReclaimNotice = {
 	readonly box: BoxId;
-	/** Milliseconds from the platform's answer until the box goes away. */
+	/** Milliseconds from the platform's answer until it removes the box. */
 	readonly remaining: number;
 };
 
