--- a/src/settings/relay-settings.ts
+++ b/src/settings/relay-settings.ts
@@ -133,18 +133,18 @@
 
 function settingsOf(file: typeof RelaySettingsFile.Type): RelaySettings {
 	const front = readAddress(file.listen.front ?? '0.0.0.0:0');
-	const addressOr = (address: typeof NullableAddress.Type, port: number): Address => address === null ? {host: front.host, port} : readAddress(address);
+	const addressOrDefault = (address: typeof NullableAddress.Type, port: number): Address => address === null ? {host: front.host, port} : readAddress(address);
 	const {bounds} = file;
 	return {
 		node: file.node,
 		dataCentre: file.dataCentre,
 		front,
-		ready: addressOr(file.listen.ready, front.port + 1),
-		control: addressOr(file.listen.control, file.metrics.port + 1),
+		ready: addressOrDefault(file.listen.ready, front.port + 1),
+		control: addressOrDefault(file.listen.control, file.metrics.port + 1),
 		metrics: {host: front.host, port: file.metrics.port},
 		seeds: (file.seeds ?? []).map(seed => readAddress(seed)),
 		isFirstStart: file.isFirstStart ?? false,
-		store: addressOr(file.store.address, 0),
+		store: addressOrDefault(file.store.address, 0),
 		duties: file.duties.address === null ? undefined : readAddress(file.duties.address),
 		dutyKinds: file.duties.kinds ?? [],
 		limits: limitsOf(file),
