--- a/src/base/lingering-close.ts
+++ b/src/base/lingering-close.ts
@@ -1,21 +1,21 @@
 /**
- * Ends an answer to a request that was refused before it was read. Closed at once, the bytes that still come would
- * reset the connection, and its client might never see the answer.
+ * Ends the answer to a request that was refused before its body was read. If the connection were closed at once, the bytes
+ * still arriving would cause a reset, and the client might never see the answer.
  *
  * @remarks Source: RFC 9112, section 9.6, "Tear-down".
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
-/** Milliseconds for which what still comes is thrown away. */
-const lingerTime = 1000;
-/** Bytes at most that are thrown away. */
-const lingerBytes = 33_554_432;
+/** Maximum time in milliseconds for discarding the rest of the request. */
+const maxLingerMs = 1000;
+/** Maximum number of bytes to discard. */
+const maxDiscardedBytes = 33_554_432;
 
 /**
- * Throws away what still comes of a request, within bounds, then ends the answer.
+ * Discards the rest of a request, up to a limit of time and bytes, then ends the answer.
  *
  * @param incoming - The request.
- * @param response - Its answer, written whole but not ended.
+ * @param response - Its answer, completely written but not ended.
  */
 export function endLingering(incoming: IncomingMessage, response: ServerResponse): void {
 	const end = () => {
@@ -23,11 +23,11 @@
 		response.end();
 	};
 
-	const timer = setTimeout(end, lingerTime);
-	let left = lingerBytes;
+	const timer = setTimeout(end, maxLingerMs);
+	let remainingBytes = maxDiscardedBytes;
 	incoming.on('data', (chunk: Uint8Array) => {
-		left -= chunk.length;
-		if (left < 0) {
+		remainingBytes -= chunk.length;
+		if (remainingBytes < 0) {
 			end();
 		}
 	});
--- a/src/external/http-box-list.ts
+++ b/src/external/http-box-list.ts
@@ -1,5 +1,5 @@
 /**
- * The box list and the reclaim notices over HTTP.
+ * Reads the box list and the reclaim notices over HTTP.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -13,18 +13,20 @@
 import {StoreFailure} from './object-store.js';
 import {readAnswer} from './read-answer.js';
 
-const answerTimeout = 2000;
+/** Milliseconds to wait for an answer in addition to the wait of the poll. */
+const answerTimeoutMs = 2000;
 const ok = 200;
+/** HTTP status 204: nothing changed during the wait. */
 const unchanged = 204;
 
-/** What the platform adds is skipped. */
+/** Unknown fields are ignored, since a newer platform may add some. */
 const decodeListing = createDecoder(Schema.Struct({version: Schema.Finite, boxes: Schema.Array(Schema.Unknown)}), 'ignore');
 const decodeBox = createDecoder(Box, 'ignore');
 const decodeNotices = createDecoder(Schema.Struct({position: Schema.Finite, notices: Schema.Array(Schema.Unknown)}), 'ignore');
 const decodeNotice = createDecoder(Schema.Struct({box: BoxId, remaining: Schema.Finite}), 'ignore');
 
-/** One entry that cannot be read takes nothing from the others. */
-function partition<Entry>(entries: readonly unknown[], decode: Decoder<Entry>): {readonly read: readonly Entry[]; readonly unreadable: readonly string[]} {
+/** Decodes entries one by one, so that an invalid one does not invalidate the others. */
+function decodeEntries<Entry>(entries: readonly unknown[], decode: Decoder<Entry>): {readonly read: readonly Entry[]; readonly unreadable: readonly string[]} {
 	const decoded = entries.map(entry => decode(entry));
 	return {
 		read: decoded.flatMap(result => Result.isSuccess(result) ? [result.success] : []),
@@ -33,20 +35,20 @@
 }
 
 const listingOf = (answer: HttpAnswer): Effect.Effect<BoxListing, StoreFailure> => Effect.map(readAnswer(answer, decodeListing), ({version, boxes}) => {
-	const entries = partition(boxes, decodeBox);
+	const entries = decodeEntries(boxes, decodeBox);
 	return {version, boxes: entries.read, unreadable: entries.unreadable};
 });
 
 const noticesOf = (answer: HttpAnswer): Effect.Effect<ReclaimNotices, StoreFailure> => Effect.map(readAnswer(answer, decodeNotices), ({position, notices}) => {
-	const entries = partition(notices, decodeNotice);
+	const entries = decodeEntries(notices, decodeNotice);
 	return {position, notices: entries.read, unreadable: entries.unreadable};
 });
 
-/** Reads both by long polls. */
+/** Reads the box list and the notices by long polls. */
 export class HttpBoxList extends BoxList {
 	/**
-	 * @param client - Connections to the platform.
-	 * @returns The list.
+	 * @param client - HTTP client of the platform.
+	 * @returns The box list.
 	 */
 	static create(client: HttpClient): HttpBoxList {
 		return new HttpBoxList(client);
@@ -67,7 +69,7 @@
 	}
 
 	private poll(path: string, wait: number): Effect.Effect<HttpAnswer, StoreFailure> {
-		return this.client.exchange({method: 'GET', path, timeout: wait + answerTimeout}).pipe(
+		return this.client.exchange({method: 'GET', path, timeout: wait + answerTimeoutMs}).pipe(
 			Effect.mapError(failure => new StoreFailure({reason: 'unreachable', mayHaveApplied: false, detail: failure.detail})),
 			Effect.flatMap(answer => answer.status === ok || answer.status === unchanged
 				? Effect.succeed(answer)
--- a/src/external/http-object-store.ts
+++ b/src/external/http-object-store.ts
@@ -1,5 +1,5 @@
 /**
- * The Object API over HTTP.
+ * A client of the Object API over HTTP.
  */
 import * as Effect from 'effect/Effect';
 import * as Schema from 'effect/Schema';
@@ -12,24 +12,26 @@
 } from './object-store.js';
 import {readAnswer} from './read-answer.js';
 
-const callTimeout = 2000;
+/** Milliseconds to wait for an answer; a watch adds its own wait. */
+const callTimeoutMs = 2000;
 const tooManyRequests = 429;
 const conflict = 409;
 const notFound = 404;
+/** HTTP status 204: nothing changed during the wait. */
 const unchanged = 204;
 const ok = 200;
 
-/** What a newer platform adds is skipped. */
+/** Unknown fields are ignored, since a newer platform may add some. */
 const decodeObject = createDecoder(Schema.Struct({version: Schema.Finite, value: Schema.String, storeTime: Schema.Finite}), 'ignore');
 const decodeWritten = createDecoder(Schema.Struct({version: Schema.Finite}), 'ignore');
 const decodeKeys = createDecoder(Schema.Struct({keys: Schema.Array(Schema.String)}), 'ignore');
 
 const pathOf = (key: string) => `/objects/${encodeURIComponent(key)}`;
 
-/** Speaks to the Object API by HTTP. */
+/** Reads and writes objects of the Object API over HTTP. */
 export class HttpObjectStore extends ObjectStore {
 	/**
-	 * @param client - Connections to the platform.
+	 * @param client - HTTP client of the platform.
 	 * @returns The store.
 	 */
 	static create(client: HttpClient): HttpObjectStore {
@@ -41,13 +43,13 @@
 	}
 
 	override read(key: string): Effect.Effect<StoredObject, StoreFailure> {
-		return this.call({method: 'GET', path: pathOf(key), timeout: callTimeout}, [ok, notFound])
+		return this.call({method: 'GET', path: pathOf(key), timeout: callTimeoutMs}, [ok, notFound])
 			.pipe(Effect.flatMap(answer => readAnswer(answer, decodeObject)));
 	}
 
 	override write(key: string, value: string, expected: ObjectVersion): Effect.Effect<ObjectVersion, StoreFailure | VersionConflict> {
 		return this.call({
-			method: 'PUT', path: `${pathOf(key)}?expected=${expected}`, body: value, timeout: callTimeout,
+			method: 'PUT', path: `${pathOf(key)}?expected=${expected}`, body: value, timeout: callTimeoutMs,
 		}, [ok, conflict])
 			.pipe(Effect.flatMap((answer): Effect.Effect<ObjectVersion, StoreFailure | VersionConflict> => answer.status === ok
 				? readAnswer(answer, decodeWritten).pipe(Effect.map(({version}) => version))
@@ -55,12 +57,12 @@
 	}
 
 	override watch(key: string, after: ObjectVersion, wait: number): Effect.Effect<StoredObject | undefined, StoreFailure> {
-		return this.call({method: 'GET', path: `${pathOf(key)}?after=${after}&wait=${wait}`, timeout: wait + callTimeout}, [ok, unchanged])
+		return this.call({method: 'GET', path: `${pathOf(key)}?after=${after}&wait=${wait}`, timeout: wait + callTimeoutMs}, [ok, unchanged])
 			.pipe(Effect.flatMap(answer => answer.status === ok ? readAnswer(answer, decodeObject) : Effect.succeed(undefined)));
 	}
 
 	override list(prefix: string): Effect.Effect<readonly string[], StoreFailure> {
-		return this.call({method: 'GET', path: `/objects?prefix=${encodeURIComponent(prefix)}`, timeout: callTimeout}, [ok])
+		return this.call({method: 'GET', path: `/objects?prefix=${encodeURIComponent(prefix)}`, timeout: callTimeoutMs}, [ok])
 			.pipe(Effect.flatMap(answer => readAnswer(answer, decodeKeys)), Effect.map(({keys}) => keys));
 	}
 
@@ -69,12 +71,12 @@
 			Effect.mapError((failure: HttpFailure) => new StoreFailure({
 				reason: 'unreachable', mayHaveApplied: failure.maySent, detail: failure.detail,
 			})),
-			Effect.flatMap(answer => expected.includes(answer.status) ? Effect.succeed(answer) : Effect.fail(refused(answer))),
+			Effect.flatMap(answer => expected.includes(answer.status) ? Effect.succeed(answer) : Effect.fail(failureOf(answer))),
 		);
 	}
 }
 
-/** A 429 was not applied; after another status nobody knows. */
-const refused = (answer: HttpAnswer): StoreFailure => answer.status === tooManyRequests
-	? new StoreFailure({reason: 'throttled', mayHaveApplied: false, detail: 'the Object API refuses for its rate limit'})
+/** A write refused with status 429 was not applied; after any other unexpected status this is unknown. */
+const failureOf = (answer: HttpAnswer): StoreFailure => answer.status === tooManyRequests
+	? new StoreFailure({reason: 'throttled', mayHaveApplied: false, detail: 'the Object API refused the call because of its rate limit'})
 	: new StoreFailure({reason: 'refused', mayHaveApplied: true, detail: `the Object API answered ${answer.status}`});
--- a/src/status/summary-duty.ts
+++ b/src/status/summary-duty.ts
@@ -9,24 +9,24 @@
 import type {ObjectStore} from '../external/object-store.js';
 import {summaryKey, type DataCentreSummary} from './data-centre-summary.js';
 
-/** Milliseconds between two writings: 10 data centres make 2 writes a second of the platform's hundred. */
-const writeInterval = 5000;
+/** Milliseconds between two writes. Ten data centres make 2 writes a second of the 100 that the platform allows. */
+const writeIntervalMs = 5000;
 
-/** What the duty needs. */
+/** Services that the duty uses. */
 export type SummaryDutyServices = {
 	readonly dataCentre: DataCentre;
 	readonly store: ObjectStore;
 	readonly log: EventLog;
-	/** @returns How this box stands. */
+	/** @returns State of this box. */
 	readonly own: () => PeerState;
-	/** @returns How the other boxes of the data centre stand. */
+	/** @returns States of the other boxes of the data centre. */
 	readonly others: () => readonly PeerState[];
 };
 
-/** The duty of one data centre. */
+/** Writes the summary of one data centre. */
 export class SummaryDuty {
 	/**
-	 * @param services - What it needs.
+	 * @param services - Services that the duty uses.
 	 * @returns The duty.
 	 */
 	static create(services: SummaryDutyServices): SummaryDuty {
@@ -42,15 +42,15 @@
 	 * @returns Runs until interrupted.
 	 */
 	run(lease: Lease): Effect.Effect<never> {
-		return lease.whileHeld(held => this.writeAll(held));
+		return lease.whileHeld(held => this.writePeriodically(held));
 	}
 
-	private writeAll(held: HeldLease): Effect.Effect<never> {
+	private writePeriodically(held: HeldLease): Effect.Effect<never> {
 		this.services.log.write('summaryWritten', {dataCentre: this.services.dataCentre, generation: held.generation});
-		return Effect.forever(this.write(held).pipe(Effect.andThen(Effect.sleep(writeInterval))));
+		return Effect.forever(this.write(held).pipe(Effect.andThen(Effect.sleep(writeIntervalMs))));
 	}
 
-	/** A summary that cannot be written is written the next time. */
+	/** Writes the summary once. A failure is ignored, since the next write repeats it. */
 	private write(held: HeldLease): Effect.Effect<void> {
 		const {store, dataCentre} = this.services;
 		return store.read(summaryKey(dataCentre)).pipe(
--- a/src/table/table-watch.ts
+++ b/src/table/table-watch.ts
@@ -1,5 +1,5 @@
 /**
- * Follows the table in the Object API.
+ * Watches the table in the Object API.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -8,26 +8,28 @@
 import type {TableView} from './table-view.js';
 import {decodeVersionedTable, tableKey} from './versioned-table.js';
 
-/** Milliseconds a watch waits; the platform counts each as one call. */
-const watchWait = 30_000;
-const firstRetry = 200;
-const longestRetry = 10_000;
+/** Milliseconds that one watch waits for a change; the platform counts each watch as one call. */
+const watchWaitMs = 30_000;
+/** Base of the retry delay in milliseconds. */
+const baseRetryDelayMs = 200;
+/** Maximum retry delay in milliseconds. */
+const maxRetryDelayMs = 10_000;
 
-/** Keeps a {@link TableView} up with the store. */
+/** Keeps a {@link TableView} up to date with the store. */
 export class TableWatch {
 	/**
-	 * @param store - Where the table stands.
-	 * @param view - What to keep up.
-	 * @param log - Where faults are told.
-	 * @returns The watch; run it to begin.
+	 * @param store - The store that holds the table.
+	 * @param view - The view to update.
+	 * @param log - Log for faults.
+	 * @returns The watch, which does not begin before `run`.
 	 */
 	static create(store: ObjectStore, view: TableView, log: EventLog): TableWatch {
 		return new TableWatch(store, view, log);
 	}
 
 	private failures = 0;
-	/** Highest version read, also of a table that was rejected, so that it is not read again and again. */
-	private seen = 0;
+	/** Highest version read, including rejected tables, so that these are not read repeatedly. */
+	private highestReadVersion = 0;
 
 	private constructor(
 		private readonly store: ObjectStore,
@@ -35,28 +37,28 @@
 		private readonly log: EventLog,
 	) {}
 
-	/** @returns Runs until interrupted. An outage of the store changes nothing that is in force. */
+	/** @returns Runs until interrupted. During an outage of the store, the table in force stays. */
 	run(): Effect.Effect<never> {
-		return Effect.forever(this.follow());
+		return Effect.forever(this.watchOnce());
 	}
 
-	private follow(): Effect.Effect<void> {
-		return Effect.suspend(() => this.store.watch(tableKey, Math.max(this.seen, this.view.version), watchWait)).pipe(
+	private watchOnce(): Effect.Effect<void> {
+		return Effect.suspend(() => this.store.watch(tableKey, Math.max(this.highestReadVersion, this.view.version), watchWaitMs)).pipe(
 			Effect.map(object => {
-				this.noteAvailable();
+				this.recordAvailable();
 				if (object) {
-					this.take(object);
+					this.applyObject(object);
 				}
 			}),
 			Effect.catch(error => Effect.suspend(() => {
-				this.noteFailure(error.detail);
-				return Effect.sleep(this.pause());
+				this.recordFailure(error.detail);
+				return Effect.sleep(this.retryDelay());
 			})),
 		);
 	}
 
-	private take(object: StoredObject): void {
-		this.seen = Math.max(this.seen, object.version);
+	private applyObject(object: StoredObject): void {
+		this.highestReadVersion = Math.max(this.highestReadVersion, object.version);
 		const decoded = decodeVersionedTable(object.version, object.value);
 		if (Result.isSuccess(decoded)) {
 			this.view.apply(decoded.success);
@@ -67,7 +69,7 @@
 		this.log.write('tableRejected', {version: object.version, path: fault?.path, expected: fault?.expected});
 	}
 
-	private noteAvailable(): void {
+	private recordAvailable(): void {
 		if (this.failures > 0) {
 			this.log.write('storeAvailable', {failures: this.failures});
 		}
@@ -75,15 +77,15 @@
 		this.failures = 0;
 	}
 
-	private noteFailure(detail: string): void {
+	private recordFailure(detail: string): void {
 		this.failures++;
 		if (this.failures === 1) {
 			this.log.write('storeUnavailable', {detail});
 		}
 	}
 
-	/** Grows with each failure and is jittered, so that boxes do not come back together. */
-	private pause(): number {
-		return Math.min(longestRetry, firstRetry * (2 ** this.failures)) * (0.5 + (Math.random() / 2));
+	/** @returns Delay before a retry in milliseconds. It doubles with each failure and has random jitter, so that boxes do not retry at the same time. */
+	private retryDelay(): number {
+		return Math.min(maxRetryDelayMs, baseRetryDelayMs * (2 ** this.failures)) * (0.5 + (Math.random() / 2));
 	}
 }
