--- a/src/daemon/entry-box.ts
+++ b/src/daemon/entry-box.ts
@@ -1,5 +1,5 @@
 /**
- * An entry box: the supervisor tree of its roles, and how it stops.
+ * An entry box: creates its components, supervises its roles, and stops in an orderly way.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -40,21 +40,21 @@
 import {RecordHandOver} from './record-hand-over.js';
 import {superviseRoles, type Role} from './role.js';
 
-/** Milliseconds between two sweeps of records. */
+/** Interval between two removals of expired records, in milliseconds. */
 const sweepInterval = 1000;
-/** Part of a reclaim notice that is left for handing requests over. */
+/** Share of the time left under a reclaim notice that is reserved for handing requests over to peers. */
 const handOverPart = 0.3;
-/** Milliseconds at least that are left for it. */
+/** Minimum time reserved for the hand-over, in milliseconds. */
 const shortestHandOver = 1500;
 
-/** What a box reaches outside of itself. */
+/** The external services that an entry box uses. */
 export type EntryBoxPlatform = {
 	readonly store: ObjectStore;
 	readonly list: BoxList;
 	readonly connector: UpstreamConnector;
 };
 
-/** Everything that stands on one box, wired once. */
+/** The components of one entry box, created once at the start. */
 type Parts = {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
@@ -66,15 +66,15 @@
 	readonly handOver: RecordHandOver;
 };
 
-/** An entry box that serves. */
+/** A running entry box. */
 export class EntryBox {
 	/**
-	 * Starts a box. It runs until the scope closes.
+	 * Starts an entry box, which runs until the scope closes.
 	 *
-	 * @param settings - Checked settings.
-	 * @param platform - What it reaches outside of itself.
-	 * @param log - Where events go.
-	 * @returns The box, listening.
+	 * @param settings - Validated settings.
+	 * @param platform - The external services that it uses.
+	 * @param log - Receives the events of the box.
+	 * @returns The box, once it listens on its ports.
 	 */
 	static start(settings: Settings, platform: EntryBoxPlatform, log: EventLog): Effect.Effect<EntryBox, never, Scope.Scope> {
 		return Effect.gen(function * () {
@@ -84,7 +84,7 @@
 		});
 	}
 
-	/** TCP ports it listens on. */
+	/** TCP ports that the box listens on. */
 	readonly ports = {callers: 0, peers: 0, operators: 0};
 	private readonly parts: Parts;
 	private door: CallersDoor | undefined;
@@ -98,7 +98,7 @@
 		this.parts = this.wire();
 	}
 
-	/** Whether this box should get callers. */
+	/** Whether the load balancer should send callers to this box. */
 	get readiness(): Readiness {
 		if (this.isStopping) {
 			return {isReady: false, detail: 'stopping'};
@@ -109,15 +109,16 @@
 			: {isReady: false, detail: 'no table yet'};
 	}
 
-	/** Requests in progress. */
+	/** Number of requests in progress. */
 	get inProgress(): number {
 		return this.parts.dispatch.runs.inProgress;
 	}
 
 	/**
-	 * Stops without cutting a request off: the balancer is told, then what is in progress ends by itself.
+	 * Stops without aborting a request: reports itself as not ready, waits for the balancer to notice, then waits for the requests
+	 * in progress to end.
 	 *
-	 * @returns Ends when nothing is in progress any more.
+	 * @returns Ends when no request is in progress any more.
 	 */
 	stop(): Effect.Effect<void> {
 		return Effect.gen({self: this}, function * () {
@@ -127,7 +128,7 @@
 		});
 	}
 
-	/** @returns Ends when the platform takes this box back and its requests have been moved. */
+	/** @returns Ends after the platform has announced that it reclaims this box, and the requests have been moved to peers. */
 	untilReclaimed(): Effect.Effect<void> {
 		const {directory} = this.parts;
 		const reclaimed = Effect.callback<Leaving & {readonly endsAt: number}>(resume => {
@@ -144,7 +145,7 @@
 		return reclaimed.pipe(Effect.flatMap(({endsAt}) => this.leaveBy(endsAt)));
 	}
 
-	/** Lets short requests end, then hands the others over while there is time. */
+	/** Waits for short requests to end, then hands the remaining ones over to peers before the box is reclaimed. */
 	private leaveBy(endsAt: number): Effect.Effect<void> {
 		return Effect.gen({self: this}, function * () {
 			const {clock, dispatch, handOver} = this.parts;
@@ -304,7 +305,7 @@
 		};
 	}
 
-	/** A peer's table counts like the store's own: both are the same bytes under the same version. */
+	/** Applies a table that a peer sent. It is as valid as one read from the store: the same version has the same bytes. */
 	private takeTable({version, value}: StoredTable): void {
 		const decoded = decodeVersionedTable(version, value);
 		if (Result.isSuccess(decoded)) {
--- a/src/daemon/local-peer.ts
+++ b/src/daemon/local-peer.ts
@@ -1,5 +1,5 @@
 /**
- * This box, as its peers reach it.
+ * Answers the calls that peers make to this box.
  */
 import * as Effect from 'effect/Effect';
 import type {Clock} from '../base/clock.js';
@@ -20,22 +20,22 @@
 import {encodeVersionedTable} from '../table/versioned-table.js';
 import {snapshotOf} from './record-hand-over.js';
 
-/** What this box needs to answer its peers. */
+/** The components that this box needs to answer its peers. */
 export type LocalPeerServices = {
 	readonly clock: Clock;
 	readonly directory: BoxDirectory;
 	readonly owner: CeilingOwner;
 	readonly table: TableView;
 	readonly dispatch: DispatchServices;
-	/** @returns How this box stands. */
+	/** @returns The current state of this box, as sent to peers. */
 	readonly state: () => PeerState;
 };
 
-/** Answers peers. */
+/** This box as a peer of the other boxes. */
 export class LocalPeer extends Peer {
 	/**
-	 * @param services - What it needs.
-	 * @returns This box.
+	 * @param services - The components of this box.
+	 * @returns A peer whose calls this box answers itself.
 	 */
 	static create(services: LocalPeerServices): LocalPeer {
 		return new LocalPeer(services);
@@ -89,7 +89,7 @@
 		return Effect.sync(() => snapshots.filter(snapshot => this.adopt(snapshot)).length);
 	}
 
-	/** A box with another version of the table means other rows by their places. */
+	/** Grants nothing to a box with another version of the table: rates refer to rows by index, and its indexes mean other rows. */
 	private grant({box, tableVersion}: PeerState, demands: readonly number[]): readonly number[] {
 		const {table, owner} = this.services;
 		return tableVersion === table.version
@@ -104,7 +104,7 @@
 		}
 	}
 
-	/** Goes on with a request that another box had; its caller finds it by its key. */
+	/** Resumes a request of another box. Its caller finds it here by the request key. */
 	private adopt(snapshot: RecordSnapshot): boolean {
 		const {records, runs, log} = this.services.dispatch;
 		if (records.lookUp(snapshot.origin)) {
--- a/src/daemon/peer-record-finder.ts
+++ b/src/daemon/peer-record-finder.ts
@@ -1,5 +1,5 @@
 /**
- * Looks for a record at every peer that answers.
+ * Looks up a request record at all reachable peers.
  */
 import * as Effect from 'effect/Effect';
 import {RecordFinder} from '../door/record-finder.js';
@@ -7,11 +7,11 @@
 import type {RecordSnapshot} from '../peers/peer-messages.js';
 import type {RecordName} from '../records/request-record.js';
 
-/** Asks peers. */
+/** Finds a record by asking the peers. */
 export class PeerRecordFinder extends RecordFinder {
 	/**
-	 * @param peers - Says which answer.
-	 * @returns The finder.
+	 * @param peers - Returns the peers that can be reached.
+	 * @returns A finder that asks these peers.
 	 */
 	static create(peers: () => readonly ReachablePeer[]): PeerRecordFinder {
 		return new PeerRecordFinder(peers);
@@ -30,7 +30,7 @@
 	}
 }
 
-/** As many events may be all of them, or those that came before a break. */
+/** Orders records with equally many events: a finished one is complete, any other may have been interrupted after these events. */
 function rankOf({state}: RecordSnapshot): number {
 	return state === 'finished' ? 0 : 1;
 }
--- a/src/daemon/record-hand-over.ts
+++ b/src/daemon/record-hand-over.ts
@@ -1,5 +1,5 @@
 /**
- * Hands the requests of a box that goes over to its peers.
+ * Hands the requests of a box that leaves over to its peers.
  */
 import {Buffer} from 'node:buffer';
 import * as Effect from 'effect/Effect';
@@ -15,27 +15,27 @@
 import type {RecordBook} from '../records/record-book.js';
 import type {RequestRecord} from '../records/request-record.js';
 
-/** Milliseconds an adopted request may take, whatever its caller's deadline was: it must be allowed to complete. */
+/** Timeout of an adopted request, in milliseconds. It replaces the caller's deadline, so that the request can complete. */
 const adoptedDeadline = 600_000;
-/** Records in one message at most. */
+/** Maximum number of records in one message. */
 const recordsPerMessage = 16;
-/** Bytes of records in one message at most, unless one alone has more: half of what a peer reads. */
+/** Maximum size of the records in one message, in bytes: half of what a peer reads. A single record may exceed it. */
 const bytesPerMessage = 8 * 1024 * 1024;
 
-/** What handing over needs. */
+/** The components that the hand-over needs. */
 export type RecordHandOverServices = {
 	readonly dataCentre: DataCentre;
 	readonly directory: BoxDirectory;
 	readonly records: RecordBook;
 	readonly runs: RunRegistry;
 	readonly log: EventLog;
-	/** @returns Peers that answer. */
+	/** @returns The peers that can be reached. */
 	readonly peers: () => readonly ReachablePeer[];
 };
 
 /**
- * @param record - A record whose run has ended or does not matter.
- * @returns What a peer needs to go on with it.
+ * @param record - A record whose run has ended, or whose further events are not needed.
+ * @returns The data that a peer needs to continue the request.
  */
 export function snapshotOf(record: RequestRecord): RecordSnapshot {
 	return {
@@ -47,11 +47,11 @@
 	};
 }
 
-/** Hands records over. */
+/** Hands records over to peers. */
 export class RecordHandOver {
 	/**
-	 * @param services - What it needs.
-	 * @returns The hand-over.
+	 * @param services - The components that it needs.
+	 * @returns A hand-over that has sent nothing yet.
 	 */
 	static create(services: RecordHandOverServices): RecordHandOver {
 		return new RecordHandOver(services);
@@ -60,15 +60,16 @@
 	private constructor(private readonly services: RecordHandOverServices) {}
 
 	/**
-	 * Stops every run of this box and hands it to a peer; callers are told where their answer will be.
+	 * Stops all running requests of this box and hands them over to peers. Their callers get a refusal that names the location of the
+	 * answer.
 	 *
-	 * @returns How many were handed over.
+	 * @returns The number of requests that peers adopted.
 	 */
 	moveActive(): Effect.Effect<number> {
 		return Effect.gen({self: this}, function * () {
 			const {records, runs, log} = this.services;
 			const {active} = records;
-			// A run that is stopped here cannot go on at two boxes.
+			// Stop each run before sending it, so that it never runs on two boxes at once.
 			yield * Effect.all(active.map(record => runs.stop(record)), {concurrency: 'unbounded', discard: true});
 			const moved = yield * this.moveAll(active);
 			log.write('recordsHandedOver', {records: active.length, taken: moved});
@@ -77,9 +78,9 @@
 	}
 
 	/**
-	 * Copies finished answers to a peer, so that their callers still find them.
+	 * Copies finished answers to peers, so that callers can still fetch them.
 	 *
-	 * @returns How many were copied.
+	 * @returns The number of answers that peers adopted.
 	 */
 	copyFinished(): Effect.Effect<number> {
 		return Effect.suspend(() => this.send(this.services.records.finished));
@@ -89,7 +90,7 @@
 		return Effect.gen({self: this}, function * () {
 			const moved = yield * this.send(active);
 			for (const record of active) {
-				// Whoever still asks here is sent to where the request is.
+				// A caller that still waits here is redirected by the refusal.
 				this.services.records.remove(record);
 				record.refuse(Refusal.create(
 					'moved-to-peer',
@@ -102,7 +103,7 @@
 		});
 	}
 
-	/** A part whose answer is lost may have been taken: it is not offered to a second peer. */
+	/** Sends each batch to one peer only: a peer whose answer was lost may have adopted the batch. */
 	private send(records: readonly RequestRecord[]): Effect.Effect<number> {
 		const peers = this.receivers();
 		if (peers.length === 0) {
@@ -117,7 +118,7 @@
 		return sent.pipe(Effect.map(counts => sumOf(counts)));
 	}
 
-	/** Peers that stay, those of other data centres first: a whole data centre may be going. */
+	/** The peers that are not leaving; only those of other data centres if there are any, since the whole data centre may be reclaimed. */
 	private receivers(): readonly ReachablePeer[] {
 		const {directory, dataCentre} = this.services;
 		const staying = this.services.peers().filter(({box, state}) => !directory.isLeaving(box.id) && !state.isStopping);
@@ -126,13 +127,13 @@
 	}
 }
 
-/** One after the other: calls of the same moment go over a link as one message. */
+/** Sends one batch after the other, since a link combines simultaneous calls into one message. */
 function sendInTurn(peer: Peer, parts: ReadonlyArray<readonly RecordSnapshot[]>): Effect.Effect<number> {
 	const taken = Effect.all(parts.map(part => peer.adoptRecords(part).pipe(Effect.catch(() => Effect.succeed(0)))));
 	return taken.pipe(Effect.map(counts => sumOf(counts)));
 }
 
-/** Prompts may be long: neither the number of records nor their bytes alone bound a message. */
+/** Splits records into batches of limited count and size. The count alone does not limit the size, since prompts may be long. */
 function partsOf(snapshots: readonly RecordSnapshot[]): ReadonlyArray<readonly RecordSnapshot[]> {
 	const parts: RecordSnapshot[][] = [];
 	let part: RecordSnapshot[] = [];
--- a/src/daemon/role.ts
+++ b/src/daemon/role.ts
@@ -1,18 +1,22 @@
 /**
- * Supervision: a role that fails is started again, alone, after a pause.
+ * Supervision of roles: a role that fails is restarted after a delay; the other roles keep running.
  */
 import * as Cause from 'effect/Cause';
 import * as Effect from 'effect/Effect';
 import type * as Scope from 'effect/Scope';
 import type {EventLog} from '../base/event-log.js';
 
-/** Milliseconds before a role that failed starts again; doubles with each failure in a row, so that one that cannot run fills no log. */
+/**
+ * Delay before a failed role is restarted, in milliseconds. It doubles with each consecutive failure, so that a role that always fails
+ * does not flood the log.
+ */
 const restartPause = 1000;
+/** Upper limit of the delay, in milliseconds. */
 const longestRestartPause = 30_000;
-/** Milliseconds after which a role that ran counts as started well. */
+/** Time in milliseconds that a role has to run before its next failure counts as the first again. */
 const settledAfter = 60_000;
 
-/** A part of the daemon that runs for as long as it does. */
+/** A long-running task of the daemon. */
 export type Role = {
 	readonly name: string;
 	readonly run: Effect.Effect<unknown>;
@@ -21,10 +25,10 @@
 /**
  * Runs roles until the scope closes, each under its own supervisor.
  *
- * @param roles - What to run.
- * @param log - Where failures are told.
- * @param onFailure - Called with the name of each role that failed.
- * @returns Ends when all have been started.
+ * @param roles - The roles to run.
+ * @param log - Receives an event for each failure.
+ * @param onFailure - Called with the name of a role each time it fails.
+ * @returns Ends when all roles have been started.
  */
 export function superviseRoles(roles: readonly Role[], log: EventLog, onFailure?: (role: string) => void): Effect.Effect<void, never, Scope.Scope> {
 	return Effect.all(roles.map(role => Effect.forkScoped(supervise(role, log, onFailure))), {discard: true});
--- a/src/daemon/test/at-most-once.test.ts
+++ b/src/daemon/test/at-most-once.test.ts
@@ -9,7 +9,7 @@
 } from '../../../development/harness/small-installation.js';
 
 let installation: Installation;
-/** Whose key the calls bear. */
+/** The client account whose key the calls carry. */
 const account = 'alpha' as ClientAccountName;
 
 before(async () => {
@@ -43,7 +43,7 @@
 	return {status: answer.status, verdict, reason};
 }
 
-test('the same key sent at once to three boxes runs once, and all are told so', async () => {
+test('a request sent with the same key to three boxes at once runs once, and all three callers get its answer', async () => {
 	await faults({before: 30});
 	const key = randomUUID();
 	const callers = installation.entries.map(member => callerAt([member]));
@@ -53,7 +53,7 @@
 	await faults({before: 2});
 });
 
-test('claims whose answers the platform loses run once', async () => {
+test('a request runs once if the platform loses the answer to the write of its claim', async () => {
 	const keys = Array.from({length: 5}, () => randomUUID());
 	for (const key of keys) {
 		await platformFaults({loseAnswers: 1});
@@ -63,7 +63,7 @@
 	}
 });
 
-test('without the platform a release is refused at once as not run, and did not run', async () => {
+test('during an outage of the platform a release is refused as not run, and does not run', async () => {
 	await platformFaults({outage: true});
 	const key = randomUUID();
 	const {status, verdict} = await postOnce(installation.entries[0]!.box.port, key);
@@ -77,7 +77,7 @@
 	assert.equal(await executionsOf(key), 1);
 });
 
-test('a call that was cut after it ran is told that it may have run, and is not sent again', async () => {
+test('a call whose connection is cut after execution is answered with may-have-run, and is not sent again', async () => {
 	await faults({cutAnswers: 1});
 	const key = randomUUID();
 	const [first, second] = installation.entries;
@@ -86,11 +86,11 @@
 	assert.equal(await executionsOf(key), 1);
 });
 
-test('a box that had notes to write when the platform went away is told at once of a call that was cut elsewhere', async () => {
+test('a box with unwritten settlements at the start of an outage refuses a call that was cut at another box', async () => {
 	const [first, second] = installation.entries;
 	const noted = randomUUID();
 	assert.equal((await postOnce(second!.box.port, noted)).status, 200);
-	// Its note that the call ran waits for others to share a write.
+	// The settlement of this call is still waiting to be written in a batch.
 	await platformFaults({outage: true});
 	const key = Array.from({length: 500}, () => randomUUID()).find(other => shardOf({account, key: other as RequestKey}) === shardOf({account, key: noted as RequestKey}))!;
 	assert.equal((await postOnce(first!.box.port, randomUUID())).status, 503);
@@ -101,10 +101,10 @@
 	assert.equal(await executionsOf(key), 1);
 });
 
-test('a box frozen between claim and dispatch, and thawed, does not run a call that was asked for elsewhere meanwhile', async () => {
+test('a call runs at most once if its box is suspended between claim and dispatch while another box gets the same call', async () => {
 	const [first, second] = installation.entries;
 	const key = randomUUID();
-	// The platform is slow, so that the freeze falls between the claim's write and its answer.
+	// The platform answers slowly, so that the box is suspended between the write of the claim and its answer.
 	await platformFaults({delay: 300});
 	const writes = async () => (await control(installation.platformPort, 'calls', {}) as {readonly writes: number}).writes;
 	const earlier = await writes();
@@ -122,7 +122,7 @@
 	assert.ok([elsewhere, own].every(({verdict}) => verdict !== 'not-run') || executions === 0 || answered.length > 0);
 });
 
-test('a box killed between dispatch and answer leaves a claim that nobody runs again', async () => {
+test('a box killed between dispatch and answer leaves a claim, and no other box runs the call again', async () => {
 	await faults({before: 2000});
 	const [first, second] = installation.entries;
 	const key = randomUUID();
--- a/src/daemon/test/broken-connections.test.ts
+++ b/src/daemon/test/broken-connections.test.ts
@@ -41,25 +41,25 @@
 	return {status: answer.status, verdict, executions: executions[key] ?? 0};
 }
 
-test('an answer that is dropped after the call went through is told as may have run, and ran once', async () => {
+test('a call that runs but whose answer is dropped gets may-have-run, and ran once', async () => {
 	proxy.fault = {kind: 'drop-answers'};
 	assert.deepEqual(await release(), {status: 502, verdict: 'may-have-run', executions: 1});
 	proxy.fault = {kind: 'none'};
 });
 
-test('an answer of which half comes is told as may have run, and nothing of it is passed on', async () => {
+test('a call whose answer is truncated gets may-have-run, and no part of the answer is passed on', async () => {
 	proxy.fault = {kind: 'half-close'};
 	assert.deepEqual(await release(), {status: 502, verdict: 'may-have-run', executions: 1});
 	proxy.fault = {kind: 'none'};
 });
 
-test('a slow way is waited out', async () => {
+test('a call over a slow connection is answered', async () => {
 	proxy.fault = {kind: 'delay', milliseconds: 300};
 	assert.deepEqual(await release(), {status: 200, verdict: undefined, executions: 1});
 	proxy.fault = {kind: 'none'};
 });
 
-test('once the upstream is gone, a call is told as not run, and did not run', async () => {
+test('a call whose upstream is unreachable gets not-run, and did not run', async () => {
 	proxy.close();
 	const {status, verdict, executions} = await release();
 	assert.equal(verdict, 'not-run');
--- a/src/daemon/test/broken-events.test.ts
+++ b/src/daemon/test/broken-events.test.ts
@@ -1,6 +1,6 @@
 /**
- * Engines that write their events in pieces and end inside them: what a caller has is each token once, in the very event of one engine,
- * wherever an answer was cut and went on.
+ * Engines write their events in several pieces and may crash inside an event. Guards against callers that get a token twice, not at all,
+ * or in an event that is joined from two engines, after an answer was interrupted and continued by another engine.
  */
 import assert from 'node:assert/strict';
 import {randomUUID} from 'node:crypto';
@@ -11,7 +11,7 @@
 
 const answers = 40;
 const tokens = 60;
-/** One answer in two is cut, on average: none is as often as it may be tried. */
+/** Probability of an interruption at each token: about every second answer is interrupted, and none uses up its attempts. */
 const broken = 1 / (2 * tokens);
 
 let installation: Installation;
@@ -40,14 +40,14 @@
 	return sum;
 }
 
-test('each caller gets each token once, in the very event of one engine, where engines write in pieces and end inside events', async () => {
+test('each caller gets each token once, in an unmodified event, from engines that write in pieces and crash inside events', async () => {
 	const caller = callerOf(installation);
 	const results = await Promise.all(Array.from({length: answers}, async (_, index) => caller.chat(chat(index % 4 !== 0))));
 	const endings = results.map(({judgement, restarts}) => ({judgement, restarts}));
 	assert.deepEqual(endings, endings.map(() => ({judgement: {kind: 'answered'}, restarts: 0})));
 	const moved = await sumOf(installation.entries.map(async ({operatorsPort}) => readMetric(operatorsPort, 'waydrift_streams_moved_total{cause="failure"}')));
-	assert.ok(moved > 0, 'answers were cut');
-	// Pieces alone are no fault: what was tried again was cut.
+	assert.ok(moved > 0, 'some answers were interrupted');
+	// An event that arrives in pieces is valid: only interrupted answers are retried.
 	const garbled = await sumOf(installation.entries.map(async ({operatorsPort}) => readMetric(operatorsPort, 'waydrift_retries_total{reason="garbled"}')));
 	assert.equal(garbled, 0);
 	const engines = [...installation.members.values()].filter(({box}) => box.role === 'model-engine');
@@ -55,5 +55,5 @@
 		const totals = await control(box.port, 'totals', {}) as {readonly started: number};
 		return totals.started;
 	}));
-	assert.ok(started >= answers + moved, `${started} runs for ${answers} answers that went on elsewhere ${moved} times`);
+	assert.ok(started >= answers + moved, `${started} runs for ${answers} answers that moved to another engine ${moved} times`);
 });
--- a/src/daemon/test/configuration.test.ts
+++ b/src/daemon/test/configuration.test.ts
@@ -24,12 +24,12 @@
 	});
 }
 
-test('a table that was accepted comes into force on every box', async () => {
+test('an accepted table comes into force on every box', async () => {
 	const version = await installation.applyTable(testTable());
 	await untilInForce(version, installation.entries);
 });
 
-test('a box that was frozen while the table changed comes up to date, and passes no older one on', async () => {
+test('a box that was suspended during a change of the table gets the new version, and the others keep it', async () => {
 	const [frozen, ...others] = installation.entries;
 	frozen!.child.signal('SIGSTOP');
 	const version = await installation.applyTable(testTable());
@@ -38,10 +38,10 @@
 	await untilInForce(version, installation.entries);
 });
 
-test('a box whose own reads of the table fail learns it from its peers', async () => {
+test('a box that cannot read the table from the store gets it from its peers', async () => {
 	const version = await installation.applyTable(testTable());
 	await untilInForce(version, installation.entries);
-	// The Object API is out; the box list still answers.
+	// The Object API has an outage; the box list is still available.
 	await control(installation.platformPort, 'faults', {objectOutage: true});
 	const late = await installation.addEntry('entry-late', {dataCentre: 'dc-1'});
 	await untilInForce(version, [late]);
--- a/src/daemon/test/leaving.test.ts
+++ b/src/daemon/test/leaving.test.ts
@@ -23,7 +23,7 @@
 	return proxy;
 }
 
-/** Three entry boxes, each with its own way to the platform and its peers' door behind a proxy; two engines. */
+/** Starts two engines and three entry boxes; each entry box reaches the platform, and is reached by its peers, through its own proxy. */
 async function start(): Promise<{readonly platform: readonly FaultProxy[]; readonly peers: readonly FaultProxy[]}> {
 	installation = await Installation.create();
 	await installation.applyTable(testTable());
@@ -61,7 +61,7 @@
 	return leaving.some(report => report.box === box);
 }
 
-/** Sends through every box and looks whether the engine got any of it. */
+/** Sends requests through every entry box and asserts that the engine got none of them. */
 async function assertNothingNew(engine: string): Promise<void> {
 	const before = await startedAt(engine);
 	const results = await Promise.all(installation.entries.flatMap(member =>
@@ -70,7 +70,7 @@
 	assert.equal(await startedAt(engine), before);
 }
 
-test('an engine under notice gets nothing new, though the box list is late by a minute', async () => {
+test('an engine with a reclaim notice gets no new requests, although the box list is out of date by a minute', async () => {
 	await start();
 	await control(installation.platformPort, 'faults', {boxListLag: 60_000});
 	await control(installation.platformPort, 'reclaim', {box: 'engine-1', notice: 60_000});
@@ -81,7 +81,7 @@
 	await assertNothingNew('engine-1');
 });
 
-test('a notice that one box alone hears reaches the others over the links between them', async () => {
+test('a reclaim notice that only one box receives reaches the other boxes over the peer links', async () => {
 	const {platform} = await start();
 	for (const proxy of platform.slice(1)) {
 		proxy.fault = {kind: 'freeze'};
@@ -95,7 +95,7 @@
 	await assertNothingNew('engine-1');
 });
 
-test('with the links between boxes cut and the box list late, the upstream\'s own word is enough', async () => {
+test('with the peer links cut and the box list out of date, an upstream that announces its departure gets no new requests', async () => {
 	const {peers} = await start();
 	await control(installation.platformPort, 'faults', {boxListLag: 60_000});
 	for (const proxy of peers) {
--- a/src/daemon/test/peer-record-finder.test.ts
+++ b/src/daemon/test/peer-record-finder.test.ts
@@ -19,12 +19,12 @@
 	return Effect.runPromise(PeerRecordFinder.create(() => peers).lookUp(name, false));
 };
 
-test('of several records of a request the longest is taken, and of those as long one that is finished', async () => {
+test('of several records of a request the longest is chosen, and among equally long ones a finished one', async () => {
 	for (const states of [['paused', 'finished'], ['finished', 'paused'], ['running', 'finished']] as const) {
 		assert.equal((await found(states.map(state => snapshot(state, 5))))?.state, 'finished', states.join(', '));
 	}
 
-	assert.equal((await found([snapshot('finished', 5), snapshot('paused', 7)]))?.state, 'paused', 'its caller may have all of it');
+	assert.equal((await found([snapshot('finished', 5), snapshot('paused', 7)]))?.state, 'paused', 'the caller may already have all its events');
 	assert.equal((await found([snapshot('paused', 2), snapshot('running', 5)]))?.events.length, 5);
 	assert.equal(await found([]), undefined);
 });
--- a/src/daemon/test/planned-stop.test.ts
+++ b/src/daemon/test/planned-stop.test.ts
@@ -28,7 +28,7 @@
 	return answer.ok;
 }
 
-test('each entry box in turn is stopped under load, and no answer in progress is cut off', async () => {
+test('entry boxes that are stopped one after the other under load complete all answers in progress', async () => {
 	const boxes = installation.entries;
 	for (const box of boxes) {
 		const caller = callerAt([box]);
@@ -39,13 +39,13 @@
 		});
 		box.child.signal('SIGTERM');
 		const results = await Promise.all(answers);
-		// One try each: neither cut nor asked to come back.
+		// One attempt each: no answer was interrupted, and no caller was asked to retry.
 		assert.deepEqual(results.map(({judgement, tries}) => [judgement.kind, tries]), results.map(() => ['answered', 1]));
 		assert.equal(await box.child.exited, 0);
 	}
 });
 
-test('a box that is stopping says so to the balancer, and still answers who comes', async () => {
+test('a stopping box reports itself as not ready to the balancer, and still answers new requests', async () => {
 	const box = await installation.addEntry('entry-late', {dataCentre: 'dc-1', balancerDelay: 1500});
 	await until(async () => isReady(box));
 	box.child.signal('SIGTERM');
@@ -55,7 +55,7 @@
 	assert.equal(await box.child.exited, 0);
 });
 
-test('an engine that leaves without an end in sight finishes what it has, and gets nothing new', async () => {
+test('an engine that leaves without a known end time finishes its requests in progress, and gets no new ones', async () => {
 	const box = await installation.addEntry('entry-last', {dataCentre: 'dc-1'});
 	await until(async () => isReady(box));
 	const caller = callerAt([box]);
--- a/src/daemon/test/reclaim.test.ts
+++ b/src/daemon/test/reclaim.test.ts
@@ -16,8 +16,9 @@
 
 afterEach(async () => installation.close());
 
+/** Reclaim notice, in milliseconds. */
 const notice = 3000;
-/** Long enough that no answer is whole before the notice ends. */
+/** Length of an answer: enough that no answer is complete before the notice ends. */
 const tokens = 700;
 
 const chat = (isStreamed: boolean): Chat => {
@@ -27,12 +28,12 @@
 	};
 };
 
-/** @returns Requests in progress on each entry box. */
+/** @returns The number of requests in progress on each entry box. */
 async function inProgress(): Promise<readonly number[]> {
 	return Promise.all(installation.entries.map(async ({operatorsPort}) => readMetric(operatorsPort, 'waydrift_requests_in_progress')));
 }
 
-/** Starts streamed and whole answers on all boxes, and waits until engines work on all of them. */
+/** Starts streamed and non-streamed chat requests on all boxes, and waits until all of them are in progress at once. */
 async function beginAnswers(count: number): Promise<Array<Promise<Result>>> {
 	const caller = callerOf(installation);
 	const ended: string[] = [];
@@ -52,7 +53,7 @@
 			return sumOf(last) === count;
 		});
 	} catch (error) {
-		// An answer that ends before the last one has begun, refused or whole, leaves fewer in progress for good.
+		// If an answer is refused or completes before the last one starts, the count is never reached.
 		throw new Error(`${count} answers were never in progress at once; in progress: ${last.join(', ')}; ended: ${ended.join(', ') || 'none'}`, {cause: error});
 	}
 
@@ -65,7 +66,7 @@
 	assert.deepEqual(endings, endings.map(() => ({judgement: {kind: 'answered'}, restarts: 0})));
 }
 
-/** @returns The engine that most requests run on, as the engines report it. */
+/** @returns The engine that reports the most running requests, among those that are not leaving. */
 async function busiestEngine(): Promise<string> {
 	const engines = [...installation.members.values()].filter(({box}) => box.role === 'model-engine');
 	let busiest = '';
@@ -86,7 +87,7 @@
 	return sumOf(await Promise.all(installation.entries.map(async ({operatorsPort}) => readMetric(operatorsPort, name))));
 }
 
-test('answers complete when the box of their engine is reclaimed with notice, with the cache moved', async () => {
+test('answers complete when the box of their engine is reclaimed with notice, and its cache is moved', async () => {
 	const answers = await beginAnswers(12);
 	await installation.reclaim(await busiestEngine(), notice);
 	await assertAllAnswered(answers);
@@ -117,7 +118,7 @@
 	await assertAllAnswered(answers);
 });
 
-test('releases that were accepted complete, once each, while their box is reclaimed', async () => {
+test('accepted releases complete while an entry box and a service box are reclaimed', async () => {
 	const caller = callerOf(installation);
 	const keys = Array.from({length: 40}, () => randomUUID());
 	const answers = keys.map(async key => caller.call({
--- a/src/daemon/test/record-hand-over.test.ts
+++ b/src/daemon/test/record-hand-over.test.ts
@@ -1,6 +1,6 @@
 /*
- * Records are handed over in messages of sixteen, which a peer reads up to a size: with long prompts sixteen are over it, and then all of
- * them were lost, and the link to the peer with them.
+ * Records are handed over in messages of up to 16, and a peer reads messages up to a maximum size. Guards against messages of long prompts
+ * that exceed this size: all records of such a message were lost, and the link to the peer was closed.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -22,9 +22,9 @@
 import {RequestRecord} from '../../records/request-record.js';
 import {RecordHandOver} from '../record-hand-over.js';
 
-const unasked = () => Effect.fail(new PeerFailure({detail: 'not asked here'}));
+const unasked = () => Effect.fail(new PeerFailure({detail: 'not expected in this test'}));
 
-/** Keeps what is handed to it. */
+/** Stores the records that are handed over to it, and counts the messages. */
 class AdoptingPeer extends Peer {
 	readonly adopted: RecordSnapshot[] = [];
 	messages = 0;
@@ -84,19 +84,19 @@
 
 const keys = (count: number): readonly string[] => Array.from({length: count}, (_, index) => `key-${String(index).padStart(3, '0')}`);
 
-test('requests with long prompts are handed over whole, however many fit into a message', async () => {
-	// 1.2 million bytes each, of 400,000 characters.
+test('all requests with long prompts are handed over, although fewer of them fit into a message', async () => {
+	// Each prompt has 400,000 characters of three bytes, 1.2 million bytes.
 	const {adopted, moved} = await handOver(Array.from({length: 18}, () => '₹'.repeat(400_000)));
 	assert.deepEqual(adopted, keys(18));
 	assert.equal(moved, 18);
 });
 
-test('short requests still share messages, and one that is long goes by itself', async () => {
+test('short requests share messages, and a very long one is sent in a message of its own', async () => {
 	const {adopted, messages} = await handOver([...Array.from({length: 20}, () => 'short'), 'x'.repeat(9_000_000), 'short']);
 	assert.deepEqual(adopted, keys(22));
 	assert.ok(messages <= 4, `${messages} messages`);
 });
 
-test('nothing is sent where nothing is in progress', async () => {
+test('no message is sent if no request is in progress', async () => {
 	assert.deepEqual(await handOver([]), {adopted: [], messages: 0, moved: 0});
 });
--- a/src/daemon/test/role.test.ts
+++ b/src/daemon/test/role.test.ts
@@ -4,7 +4,7 @@
 import {KeepingLog, until} from '../../../development/relay/relay-installation.js';
 import {superviseRoles} from '../role.js';
 
-test('a role that fails is told, counted and started again, and the others go on', async () => {
+test('a role that fails is reported, counted and restarted, and the other roles keep running', async () => {
 	const log = new KeepingLog();
 	const failed: string[] = [];
 	let starts = 0;
--- a/src/daemon/test/verdict-after-retry.test.ts
+++ b/src/daemon/test/verdict-after-retry.test.ts
@@ -1,4 +1,4 @@
-/** Guards against a caller that is told that its request was not run, although an earlier try may have run it. */
+/** Guards against an answer that says that a request was not run, although an earlier attempt may have run it. */
 import assert from 'node:assert/strict';
 import {randomUUID} from 'node:crypto';
 import {after, before, test} from 'node:test';
@@ -29,7 +29,7 @@
 	return await answer.json() as Told;
 }
 
-/** Ends an upstream once it runs a request; from then on nobody listens at its address. */
+/** Kills an upstream once it runs a request; later connections to its address are refused. */
 async function endWhileRunning(id: string): Promise<void> {
 	const {box, child} = installation.members.get(id)!;
 	await until(async () => {
@@ -40,13 +40,13 @@
 	await child.kill();
 }
 
-test('a call whose service ended while it ran it is told that it may have run, whatever the later tries met', async () => {
+test('a call whose service crashed while running it gets may-have-run, regardless of the results of later attempts', async () => {
 	await control(installation.members.get('service-1')!.box.port, 'faults', {before: 5000});
 	const [told] = await Promise.all([post('/v1/services/orders/look-up', 'look-up', {}), endWhileRunning('service-1')]);
 	assert.equal(told.verdict, 'may-have-run', told.reason);
 });
 
-test('a chat whose engine ended before its first token is told that it may have run, whatever the later tries met', async () => {
+test('a chat whose engine crashed before its first token gets may-have-run, regardless of the results of later attempts', async () => {
 	const body = {model: 'assistant', messages: [{role: 'user', content: 'word '.repeat(20_000)}], max_tokens: 50};
 	const [told] = await Promise.all([post('/v1/chat/completions', 'chat', body), endWhileRunning('engine-1')]);
 	assert.equal(told.verdict, 'may-have-run', told.reason);
