--- a/src/daemon/entry-box.ts
+++ b/src/daemon/entry-box.ts
@@ -43,9 +43,9 @@
 /** Interval between two removals of expired records, in milliseconds. */
 const sweepInterval = 1000;
 /** Share of the time left under a reclaim notice that is reserved for handing requests over to peers. */
-const handOverPart = 0.3;
+const handOverShare = 0.3;
 /** Minimum time reserved for the hand-over, in milliseconds. */
-const shortestHandOver = 1500;
+const minHandOver = 1500;
 
 /** The external services that an entry box uses. */
 export type EntryBoxPlatform = {
@@ -55,7 +55,7 @@
 };
 
 /** The components of one entry box, created once at the start. */
-type Parts = {
+type Components = {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 	readonly table: TableView;
@@ -86,7 +86,7 @@
 
 	/** TCP ports that the box listens on. */
 	readonly ports = {callers: 0, peers: 0, operators: 0};
-	private readonly parts: Parts;
+	private readonly components: Components;
 	private door: CallersDoor | undefined;
 	private isStopping = false;
 
@@ -95,7 +95,7 @@
 		private readonly platform: EntryBoxPlatform,
 		private readonly log: EventLog,
 	) {
-		this.parts = this.wire();
+		this.components = this.createComponents();
 	}
 
 	/** Whether the load balancer should send callers to this box. */
@@ -104,14 +104,14 @@
 			return {isReady: false, detail: 'stopping'};
 		}
 
-		return this.parts.table.inForce
+		return this.components.table.inForce
 			? {isReady: true, detail: 'ready'}
 			: {isReady: false, detail: 'no table yet'};
 	}
 
 	/** Number of requests in progress. */
 	get inProgress(): number {
-		return this.parts.dispatch.runs.inProgress;
+		return this.components.dispatch.runs.inProgress;
 	}
 
 	/**
@@ -130,7 +130,7 @@
 
 	/** @returns Ends after the platform has announced that it reclaims this box, and the requests have been moved to peers. */
 	untilReclaimed(): Effect.Effect<void> {
-		const {directory} = this.parts;
+		const {directory} = this.components;
 		const reclaimed = Effect.callback<Leaving & {readonly endsAt: number}>(resume => {
 			const check = (leaving: Leaving | undefined) => {
 				if (leaving?.box === this.settings.box && leaving.endsAt !== undefined) {
@@ -148,12 +148,12 @@
 	/** Waits for short requests to end, then hands the remaining ones over to peers before the box is reclaimed. */
 	private leaveBy(endsAt: number): Effect.Effect<void> {
 		return Effect.gen({self: this}, function * () {
-			const {clock, dispatch, handOver} = this.parts;
-			const left = endsAt - clock.monotonic();
-			this.log.write('boxReclaimed', {remaining: Math.round(left)});
+			const {clock, dispatch, handOver} = this.components;
+			const remaining = endsAt - clock.monotonic();
+			this.log.write('boxReclaimed', {remaining: Math.round(remaining)});
 			this.beginStopping();
-			const patience = Math.max(0, left - Math.max(shortestHandOver, left * handOverPart));
-			yield * Effect.raceFirst(dispatch.runs.whenIdle(), Effect.sleep(patience));
+			const idleTimeout = Math.max(0, remaining - Math.max(minHandOver, remaining * handOverShare));
+			yield * Effect.raceFirst(dispatch.runs.whenIdle(), Effect.sleep(idleTimeout));
 			yield * handOver.moveActive();
 			yield * Effect.raceFirst(this.drain(), Effect.sleep(Math.max(0, endsAt - clock.monotonic())));
 		});
@@ -171,13 +171,13 @@
 	private drain(): Effect.Effect<void> {
 		return Effect.gen({self: this}, function * () {
 			yield * this.door?.stopListening() ?? Effect.void;
-			yield * this.parts.dispatch.runs.whenIdle();
-			yield * this.parts.handOver.copyFinished();
+			yield * this.components.dispatch.runs.whenIdle();
+			yield * this.components.handOver.copyFinished();
 			this.log.write('boxStopped');
 		});
 	}
 
-	private wire(): Parts {
+	private createComponents(): Components {
 		const {box, dataCentre, records: retention} = this.settings;
 		const {log} = this;
 		const clock = SystemClock.create();
@@ -219,7 +219,7 @@
 			state: () => this.state(),
 			rowNames: () => table.rowNames,
 			takeTable: stored => {
-				this.takeTable(stored);
+				this.applyPeerTable(stored);
 			},
 		});
 		const handOver = RecordHandOver.create({
@@ -233,8 +233,8 @@
 	private open(): Effect.Effect<void, never, Scope.Scope> {
 		return Effect.gen({self: this}, function * () {
 			const {settings, log} = this;
-			const {table, dispatch, metrics} = this.parts;
-			const finder = PeerRecordFinder.create(() => this.parts.peers.reachable);
+			const {table, dispatch, metrics} = this.components;
+			const finder = PeerRecordFinder.create(() => this.components.peers.reachable);
 			this.ports.peers = yield * listenForPeers(this.localPeer(), settings.peers.host, settings.peers.port);
 			yield * superviseRoles(this.roles(), log);
 			this.ports.operators = yield * openOperatorsDoor({
@@ -255,7 +255,7 @@
 	}
 
 	private localPeer(): LocalPeer {
-		const {clock, directory, owner, table, dispatch} = this.parts;
+		const {clock, directory, owner, table, dispatch} = this.components;
 		return LocalPeer.create({
 			clock, directory, owner, table, dispatch, state: () => this.state(),
 		});
@@ -263,7 +263,7 @@
 
 	private roles(): readonly Role[] {
 		const {store, list} = this.platform;
-		const {clock, table, directory, dispatch, peers} = this.parts;
+		const {clock, table, directory, dispatch, peers} = this.components;
 		const {log, settings} = this;
 		const boxWatch = BoxWatch.create(list, directory, clock, log);
 		const summary = SummaryDuty.create({
@@ -293,7 +293,7 @@
 	}
 
 	private state(): PeerState {
-		const {table, directory, clock} = this.parts;
+		const {table, directory, clock} = this.components;
 		const now = clock.monotonic();
 		return {
 			box: this.settings.box,
@@ -306,10 +306,10 @@
 	}
 
 	/** Applies a table that a peer sent. It is as valid as one read from the store: the same version has the same bytes. */
-	private takeTable({version, value}: StoredTable): void {
+	private applyPeerTable({version, value}: StoredTable): void {
 		const decoded = decodeVersionedTable(version, value);
 		if (Result.isSuccess(decoded)) {
-			this.parts.table.apply(decoded.success);
+			this.components.table.apply(decoded.success);
 		}
 	}
 }
--- a/src/daemon/local-peer.ts
+++ b/src/daemon/local-peer.ts
@@ -47,14 +47,14 @@
 
 	override exchange({state, demands}: Exchange): Effect.Effect<ExchangeAnswer> {
 		return Effect.sync(() => {
-			this.takeLeaving(state.leaving);
+			this.markLeaving(state.leaving);
 			return {state: this.services.state(), grants: this.grant(state, demands)};
 		});
 	}
 
 	override announceLeaving(reports: readonly LeavingReport[]): Effect.Effect<void> {
 		return Effect.sync(() => {
-			this.takeLeaving(reports);
+			this.markLeaving(reports);
 		});
 	}
 
@@ -97,7 +97,7 @@
 			: [];
 	}
 
-	private takeLeaving(reports: readonly LeavingReport[]): void {
+	private markLeaving(reports: readonly LeavingReport[]): void {
 		const now = this.services.clock.monotonic();
 		for (const report of reports) {
 			this.services.directory.markLeaving(report.box, 'peer', endOf(report, now));
--- a/src/daemon/peer-record-finder.ts
+++ b/src/daemon/peer-record-finder.ts
@@ -22,9 +22,9 @@
 	}
 
 	override lookUp({account, key}: RecordName, isTakingOver: boolean): Effect.Effect<RecordSnapshot | undefined> {
-		const asked = Effect.all(this.peers().map(({peer}) => peer.fetchRecord({account, key, isTakingOver})
+		const queries = Effect.all(this.peers().map(({peer}) => peer.fetchRecord({account, key, isTakingOver})
 			.pipe(Effect.catch(() => Effect.succeed(undefined)))), {concurrency: 'unbounded'});
-		return asked.pipe(Effect.map(answers => answers
+		return queries.pipe(Effect.map(answers => answers
 			.filter(snapshot => snapshot !== undefined)
 			.sort((left, right) => right.events.length - left.events.length || rankOf(left) - rankOf(right))[0]));
 	}
--- a/src/daemon/record-hand-over.ts
+++ b/src/daemon/record-hand-over.ts
@@ -16,11 +16,11 @@
 import type {RequestRecord} from '../records/request-record.js';
 
 /** Timeout of an adopted request, in milliseconds. It replaces the caller's deadline, so that the request can complete. */
-const adoptedDeadline = 600_000;
+const adoptedTimeout = 600_000;
 /** Maximum number of records in one message. */
-const recordsPerMessage = 16;
+const maxRecordsPerMessage = 16;
 /** Maximum size of the records in one message, in bytes: half of what a peer reads. A single record may exceed it. */
-const bytesPerMessage = 8 * 1024 * 1024;
+const maxBytesPerMessage = 8 * 1024 * 1024;
 
 /** The components that the hand-over needs. */
 export type RecordHandOverServices = {
@@ -43,7 +43,7 @@
 		state: record.state,
 		events: record.events,
 		...(record.usageEvent === undefined ? {} : {usageEvent: record.usageEvent}),
-		remaining: adoptedDeadline,
+		remaining: adoptedTimeout,
 	};
 }
 
@@ -110,9 +110,9 @@
 			return Effect.succeed(0);
 		}
 
-		const parts = partsOf(records.map(record => snapshotOf(record)));
+		const batches = splitIntoBatches(records.map(record => snapshotOf(record)));
 		const sent = Effect.all(
-			peers.map(({peer}, place) => sendInTurn(peer, parts.filter((_, index) => index % peers.length === place))),
+			peers.map(({peer}, peerIndex) => sendSequentially(peer, batches.filter((_, index) => index % peers.length === peerIndex))),
 			{concurrency: 'unbounded'},
 		);
 		return sent.pipe(Effect.map(counts => sumOf(counts)));
@@ -128,27 +128,27 @@
 }
 
 /** Sends one batch after the other, since a link combines simultaneous calls into one message. */
-function sendInTurn(peer: Peer, parts: ReadonlyArray<readonly RecordSnapshot[]>): Effect.Effect<number> {
-	const taken = Effect.all(parts.map(part => peer.adoptRecords(part).pipe(Effect.catch(() => Effect.succeed(0)))));
-	return taken.pipe(Effect.map(counts => sumOf(counts)));
+function sendSequentially(peer: Peer, batches: ReadonlyArray<readonly RecordSnapshot[]>): Effect.Effect<number> {
+	const adopted = Effect.all(batches.map(batch => peer.adoptRecords(batch).pipe(Effect.catch(() => Effect.succeed(0)))));
+	return adopted.pipe(Effect.map(counts => sumOf(counts)));
 }
 
 /** Splits records into batches of limited count and size. The count alone does not limit the size, since prompts may be long. */
-function partsOf(snapshots: readonly RecordSnapshot[]): ReadonlyArray<readonly RecordSnapshot[]> {
-	const parts: RecordSnapshot[][] = [];
-	let part: RecordSnapshot[] = [];
+function splitIntoBatches(snapshots: readonly RecordSnapshot[]): ReadonlyArray<readonly RecordSnapshot[]> {
+	const batches: RecordSnapshot[][] = [];
+	let batch: RecordSnapshot[] = [];
 	let bytes = 0;
 	for (const snapshot of snapshots) {
 		const size = Buffer.byteLength(JSON.stringify(snapshot));
-		if (part.length === 0 || part.length === recordsPerMessage || bytes + size > bytesPerMessage) {
-			part = [];
+		if (batch.length === 0 || batch.length === maxRecordsPerMessage || bytes + size > maxBytesPerMessage) {
+			batch = [];
 			bytes = 0;
-			parts.push(part);
+			batches.push(batch);
 		}
 
-		part.push(snapshot);
+		batch.push(snapshot);
 		bytes += size;
 	}
 
-	return parts;
+	return batches;
 }
--- a/src/daemon/role.ts
+++ b/src/daemon/role.ts
@@ -10,11 +10,11 @@
  * Delay before a failed role is restarted, in milliseconds. It doubles with each consecutive failure, so that a role that always fails
  * does not flood the log.
  */
-const restartPause = 1000;
+const restartDelay = 1000;
 /** Upper limit of the delay, in milliseconds. */
-const longestRestartPause = 30_000;
+const maxRestartDelay = 30_000;
 /** Time in milliseconds that a role has to run before its next failure counts as the first again. */
-const settledAfter = 60_000;
+const failureResetAfter = 60_000;
 
 /** A long-running task of the daemon. */
 export type Role = {
@@ -36,14 +36,14 @@
 
 function supervise({name, run}: Role, log: EventLog, onFailure?: (role: string) => void): Effect.Effect<never> {
 	let failures = 0;
-	const once = Effect.suspend(() => {
+	const runOnce = Effect.suspend(() => {
 		const startedAt = performance.now();
 		return run.pipe(Effect.asVoid, Effect.catchDefect(defect => Effect.sync(() => {
-			failures = performance.now() - startedAt > settledAfter ? 1 : failures + 1;
+			failures = performance.now() - startedAt > failureResetAfter ? 1 : failures + 1;
 			onFailure?.(name);
 			log.write('roleFailed', {role: name, failures, detail: Cause.pretty(Cause.die(defect))});
 		})));
 	});
-	const pause = Effect.suspend(() => Effect.sleep(Math.min(longestRestartPause, restartPause * (2 ** Math.max(0, failures - 1)))));
-	return Effect.forever(once.pipe(Effect.andThen(pause)));
+	const delay = Effect.suspend(() => Effect.sleep(Math.min(maxRestartDelay, restartDelay * (2 ** Math.max(0, failures - 1)))));
+	return Effect.forever(runOnce.pipe(Effect.andThen(delay)));
 }
--- a/src/daemon/test/at-most-once.test.ts
+++ b/src/daemon/test/at-most-once.test.ts
@@ -33,9 +33,9 @@
 	service: 'orders', path: '/release', key, body: `{"order":"${key}"}`,
 });
 
-type Told = {readonly status: number; readonly verdict: string | undefined; readonly reason: string | undefined};
+type CallOutcome = {readonly status: number; readonly verdict: string | undefined; readonly reason: string | undefined};
 
-async function postOnce(port: number, key: string): Promise<Told> {
+async function postOnce(port: number, key: string): Promise<CallOutcome> {
 	const answer = await fetch(`http://127.0.0.1:${port}/v1/services/orders/release`, {
 		method: 'POST', body: release(key).body, headers: {Authorization: `Bearer ${testKeys.alpha}`, 'Idempotency-Key': key},
 	});
@@ -88,11 +88,11 @@
 
 test('a box with unwritten settlements at the start of an outage refuses a call that was cut at another box', async () => {
 	const [first, second] = installation.entries;
-	const noted = randomUUID();
-	assert.equal((await postOnce(second!.box.port, noted)).status, 200);
+	const settledKey = randomUUID();
+	assert.equal((await postOnce(second!.box.port, settledKey)).status, 200);
 	// The settlement of this call is still waiting to be written in a batch.
 	await platformFaults({outage: true});
-	const key = Array.from({length: 500}, () => randomUUID()).find(other => shardOf({account, key: other as RequestKey}) === shardOf({account, key: noted as RequestKey}))!;
+	const key = Array.from({length: 500}, () => randomUUID()).find(other => shardOf({account, key: other as RequestKey}) === shardOf({account, key: settledKey as RequestKey}))!;
 	assert.equal((await postOnce(first!.box.port, randomUUID())).status, 503);
 	await platformFaults({outage: false});
 	await faults({cutAnswers: 1});
@@ -107,14 +107,14 @@
 	// The platform answers slowly, so that the box is suspended between the write of the claim and its answer.
 	await platformFaults({delay: 300});
 	const writes = async () => (await control(installation.platformPort, 'calls', {}) as {readonly writes: number}).writes;
-	const earlier = await writes();
-	const asked = postOnce(first!.box.port, key);
-	await until(async () => await writes() > earlier);
+	const writesBefore = await writes();
+	const pending = postOnce(first!.box.port, key);
+	await until(async () => await writes() > writesBefore);
 	first!.child.signal('SIGSTOP');
 	await platformFaults({delay: 0});
 	const elsewhere = await postOnce(second!.box.port, key);
 	first!.child.signal('SIGCONT');
-	const own = await asked;
+	const own = await pending;
 	const executions = await executionsOf(key);
 	const answered = [elsewhere, own].filter(({status}) => status === 200);
 	assert.ok(executions <= 1, `executed ${executions} times`);
--- a/src/daemon/test/broken-connections.test.ts
+++ b/src/daemon/test/broken-connections.test.ts
@@ -28,9 +28,9 @@
 	await installation.close();
 });
 
-type Told = {readonly status: number; readonly verdict: string | undefined; readonly executions: number};
+type CallOutcome = {readonly status: number; readonly verdict: string | undefined; readonly executions: number};
 
-async function release(): Promise<Told> {
+async function release(): Promise<CallOutcome> {
 	const key = randomUUID();
 	const [entry] = installation.entries;
 	const answer = await fetch(`http://127.0.0.1:${entry!.box.port}/v1/services/orders/release`, {
--- a/src/daemon/test/broken-events.test.ts
+++ b/src/daemon/test/broken-events.test.ts
@@ -9,16 +9,16 @@
 import {control, readMetric, type Installation} from '../../../development/harness/installation.js';
 import {callerOf, startInstallation} from '../../../development/harness/small-installation.js';
 
-const answers = 40;
-const tokens = 60;
+const answerCount = 40;
+const tokensPerAnswer = 60;
 /** Probability of an interruption at each token: about every second answer is interrupted, and none uses up its attempts. */
-const broken = 1 / (2 * tokens);
+const breakProbability = 1 / (2 * tokensPerAnswer);
 
 let installation: Installation;
 
 before(async () => {
 	installation = await startInstallation({
-		entries: 2, engines: 4, services: 0, dataCentres: 2, traits: {writing: {seed: 20_261_203, mostPieces: 5, broken}},
+		entries: 2, engines: 4, services: 0, dataCentres: 2, traits: {writing: {seed: 20_261_203, mostPieces: 5, broken: breakProbability}},
 	});
 });
 
@@ -27,7 +27,7 @@
 const chat = (isStreamed: boolean): Chat => {
 	const key = randomUUID();
 	return {
-		model: 'assistant', key, isStreamed, maximumTokens: tokens, messages: [{role: 'user', content: `Write bulletin ${key}.`}],
+		model: 'assistant', key, isStreamed, maximumTokens: tokensPerAnswer, messages: [{role: 'user', content: `Write bulletin ${key}.`}],
 	};
 };
 
@@ -42,7 +42,7 @@
 
 test('each caller gets each token once, in an unmodified event, from engines that write in pieces and crash inside events', async () => {
 	const caller = callerOf(installation);
-	const results = await Promise.all(Array.from({length: answers}, async (_, index) => caller.chat(chat(index % 4 !== 0))));
+	const results = await Promise.all(Array.from({length: answerCount}, async (_, index) => caller.chat(chat(index % 4 !== 0))));
 	const endings = results.map(({judgement, restarts}) => ({judgement, restarts}));
 	assert.deepEqual(endings, endings.map(() => ({judgement: {kind: 'answered'}, restarts: 0})));
 	const moved = await sumOf(installation.entries.map(async ({operatorsPort}) => readMetric(operatorsPort, 'waydrift_streams_moved_total{cause="failure"}')));
@@ -55,5 +55,5 @@
 		const totals = await control(box.port, 'totals', {}) as {readonly started: number};
 		return totals.started;
 	}));
-	assert.ok(started >= answers + moved, `${started} runs for ${answers} answers that moved to another engine ${moved} times`);
+	assert.ok(started >= answerCount + moved, `${started} runs for ${answerCount} answers that moved to another engine ${moved} times`);
 });
--- a/src/daemon/test/leaving.test.ts
+++ b/src/daemon/test/leaving.test.ts
@@ -50,7 +50,7 @@
 	model: 'assistant', key: randomUUID(), isStreamed: true, maximumTokens: 2, messages: [{role: 'user', content: text}],
 });
 
-async function startedAt(engine: string): Promise<number> {
+async function startedRequests(engine: string): Promise<number> {
 	const totals = await control(installation.members.get(engine)!.box.port, 'totals', {}) as {readonly started: number};
 	return totals.started;
 }
@@ -62,12 +62,12 @@
 }
 
 /** Sends requests through every entry box and asserts that the engine got none of them. */
-async function assertNothingNew(engine: string): Promise<void> {
-	const before = await startedAt(engine);
+async function assertNoNewRequests(engine: string): Promise<void> {
+	const before = await startedRequests(engine);
 	const results = await Promise.all(installation.entries.flatMap(member =>
 		Array.from({length: 8}, async (_, index) => callerAt([member]).chat(chat(`${member.box.id} ${index}`)))));
 	assert.deepEqual(results.map(({judgement}) => judgement.kind), results.map(() => 'answered'));
-	assert.equal(await startedAt(engine), before);
+	assert.equal(await startedRequests(engine), before);
 }
 
 test('an engine with a reclaim notice gets no new requests, although the box list is out of date by a minute', async () => {
@@ -78,7 +78,7 @@
 		const known = await Promise.all(installation.entries.map(async ({operatorsPort}) => knowsLeaving(operatorsPort, 'engine-1')));
 		return known.every(Boolean);
 	});
-	await assertNothingNew('engine-1');
+	await assertNoNewRequests('engine-1');
 });
 
 test('a reclaim notice that only one box receives reaches the other boxes over the peer links', async () => {
@@ -92,7 +92,7 @@
 		const known = await Promise.all(installation.entries.map(async ({operatorsPort}) => knowsLeaving(operatorsPort, 'engine-1')));
 		return known.every(Boolean);
 	});
-	await assertNothingNew('engine-1');
+	await assertNoNewRequests('engine-1');
 });
 
 test('with the peer links cut and the box list out of date, an upstream that announces its departure gets no new requests', async () => {
@@ -107,5 +107,5 @@
 		const known = await Promise.all(installation.entries.map(async ({operatorsPort}) => knowsLeaving(operatorsPort, 'engine-1')));
 		return known.every(Boolean);
 	});
-	await assertNothingNew('engine-1');
+	await assertNoNewRequests('engine-1');
 });
--- a/src/daemon/test/reclaim.test.ts
+++ b/src/daemon/test/reclaim.test.ts
@@ -19,12 +19,12 @@
 /** Reclaim notice, in milliseconds. */
 const notice = 3000;
 /** Length of an answer: enough that no answer is complete before the notice ends. */
-const tokens = 700;
+const tokensPerAnswer = 700;
 
 const chat = (isStreamed: boolean): Chat => {
 	const key = randomUUID();
 	return {
-		model: 'assistant', key, isStreamed, maximumTokens: tokens, messages: [{role: 'user', content: `Write bulletin ${key}.`}],
+		model: 'assistant', key, isStreamed, maximumTokens: tokensPerAnswer, messages: [{role: 'user', content: `Write bulletin ${key}.`}],
 	};
 };
 
@@ -34,7 +34,7 @@
 }
 
 /** Starts streamed and non-streamed chat requests on all boxes, and waits until all of them are in progress at once. */
-async function beginAnswers(count: number): Promise<Array<Promise<Result>>> {
+async function startChats(count: number): Promise<Array<Promise<Result>>> {
 	const caller = callerOf(installation);
 	const ended: string[] = [];
 	const startedAt = performance.now();
@@ -88,7 +88,7 @@
 }
 
 test('answers complete when the box of their engine is reclaimed with notice, and its cache is moved', async () => {
-	const answers = await beginAnswers(12);
+	const answers = await startChats(12);
 	await installation.reclaim(await busiestEngine(), notice);
 	await assertAllAnswered(answers);
 	assert.ok(await sumMetric('waydrift_streams_moved_total{cause="leaving"}') > 0);
@@ -97,20 +97,20 @@
 });
 
 test('answers complete when an entry box is reclaimed with notice', async () => {
-	const answers = await beginAnswers(12);
+	const answers = await startChats(12);
 	await installation.reclaim('entry-1', notice);
 	await assertAllAnswered(answers);
 });
 
 test('answers complete when a whole data centre is reclaimed with notice, entry boxes and engines together', async () => {
-	const answers = await beginAnswers(12);
+	const answers = await startChats(12);
 	const leaving = [...installation.members.values()].filter(({box}) => box.dataCentre === 'dc-1').map(({box}) => box.id);
 	await Promise.all(leaving.map(async id => installation.reclaim(id, notice)));
 	await assertAllAnswered(answers);
 });
 
 test('answers complete through two reclaims in a row', async () => {
-	const answers = await beginAnswers(8);
+	const answers = await startChats(8);
 	await installation.reclaim(await busiestEngine(), notice);
 	await until(async () => await sumMetric('waydrift_streams_moved_total{cause="leaving"}') > 0);
 	await installation.reclaim(await busiestEngine(), notice);
--- a/src/daemon/test/record-hand-over.test.ts
+++ b/src/daemon/test/record-hand-over.test.ts
@@ -22,7 +22,7 @@
 import {RequestRecord} from '../../records/request-record.js';
 import {RecordHandOver} from '../record-hand-over.js';
 
-const unasked = () => Effect.fail(new PeerFailure({detail: 'not expected in this test'}));
+const unexpectedCall = () => Effect.fail(new PeerFailure({detail: 'not expected in this test'}));
 
 /** Stores the records that are handed over to it, and counts the messages. */
 class AdoptingPeer extends Peer {
@@ -30,19 +30,19 @@
 	messages = 0;
 
 	override exchange() {
-		return unasked();
+		return unexpectedCall();
 	}
 
 	override announceLeaving() {
-		return unasked();
+		return unexpectedCall();
 	}
 
 	override fetchTable() {
-		return unasked();
+		return unexpectedCall();
 	}
 
 	override fetchRecord() {
-		return unasked();
+		return unexpectedCall();
 	}
 
 	override adoptRecords(records: readonly RecordSnapshot[]) {
@@ -63,7 +63,7 @@
 	const clock = SystemClock.create();
 	const log = SilentEventLog.create();
 	const receiver = new AdoptingPeer();
-	const moving = Effect.gen(function * () {
+	const handingOver = Effect.gen(function * () {
 		const port = yield * listenForPeers(receiver, '127.0.0.1', 0);
 		const peer = RemotePeer.create('127.0.0.1', port);
 		const records = RecordBook.create({retention: 1000, maximumBytes: 1000}, clock);
@@ -78,7 +78,7 @@
 		peer.close();
 		return moved;
 	});
-	const moved = await Effect.runPromise(Effect.scoped(moving));
+	const moved = await Effect.runPromise(Effect.scoped(handingOver));
 	return {adopted: receiver.adopted.map(({origin}) => origin.key).sort(), messages: receiver.messages, moved};
 }
 
--- a/src/daemon/test/verdict-after-retry.test.ts
+++ b/src/daemon/test/verdict-after-retry.test.ts
@@ -15,9 +15,9 @@
 
 after(async () => installation.close());
 
-type Told = {readonly verdict: string; readonly reason: string};
+type ErrorAnswer = {readonly verdict: string; readonly reason: string};
 
-async function post(path: string, kind: string, body: unknown): Promise<Told> {
+async function post(path: string, kind: string, body: unknown): Promise<ErrorAnswer> {
 	const answer = await fetch(`http://127.0.0.1:${installation.entries[0]!.box.port}${path}`, {
 		method: 'POST',
 		body: JSON.stringify(body),
@@ -26,11 +26,11 @@
 		},
 	});
 	assert.notEqual(answer.status, 200);
-	return await answer.json() as Told;
+	return await answer.json() as ErrorAnswer;
 }
 
 /** Kills an upstream once it runs a request; later connections to its address are refused. */
-async function endWhileRunning(id: string): Promise<void> {
+async function killWhileRunning(id: string): Promise<void> {
 	const {box, child} = installation.members.get(id)!;
 	await until(async () => {
 		const load = await fetch(`http://127.0.0.1:${box.port}/load`);
@@ -42,12 +42,12 @@
 
 test('a call whose service crashed while running it gets may-have-run, regardless of the results of later attempts', async () => {
 	await control(installation.members.get('service-1')!.box.port, 'faults', {before: 5000});
-	const [told] = await Promise.all([post('/v1/services/orders/look-up', 'look-up', {}), endWhileRunning('service-1')]);
-	assert.equal(told.verdict, 'may-have-run', told.reason);
+	const [answer] = await Promise.all([post('/v1/services/orders/look-up', 'look-up', {}), killWhileRunning('service-1')]);
+	assert.equal(answer.verdict, 'may-have-run', answer.reason);
 });
 
 test('a chat whose engine crashed before its first token gets may-have-run, regardless of the results of later attempts', async () => {
 	const body = {model: 'assistant', messages: [{role: 'user', content: 'word '.repeat(20_000)}], max_tokens: 50};
-	const [told] = await Promise.all([post('/v1/chat/completions', 'chat', body), endWhileRunning('engine-1')]);
-	assert.equal(told.verdict, 'may-have-run', told.reason);
+	const [answer] = await Promise.all([post('/v1/chat/completions', 'chat', body), killWhileRunning('engine-1')]);
+	assert.equal(answer.verdict, 'may-have-run', answer.reason);
 });
