--- a/src/command/account-commands.ts
+++ b/src/command/account-commands.ts
@@ -1,5 +1,5 @@
 /**
- * `waydrift account` and `waydrift service`: parts of the table that are easier made than written.
+ * `waydrift account` and `waydrift service`: commands for the parts of the table that are easier to generate than to edit by hand.
  */
 import {randomBytes} from 'node:crypto';
 import * as Effect from 'effect/Effect';
@@ -13,9 +13,10 @@
 } from './operator.js';
 import {print, printValue, type OutputFormat} from './output.js';
 
+/** Length of the random part of a key, in bytes. */
 const keyBytes = 32;
 
-/** @returns A key that nobody guesses; only its hash is kept. */
+/** @returns A random key. The table stores only its hash. */
 const makeKey = () => `wd_${randomBytes(keyBytes).toString('base64url')}`;
 
 const invalid = (line: string) => Effect.fail(new CommandFailure({exitCode: exitCode.invalid, lines: [line]}));
@@ -34,9 +35,9 @@
 /**
  * `account create`.
  *
- * @param operator - The platform.
+ * @param operator - Connection to the platform.
  * @param name - Name of the client account.
- * @param format - How to print.
+ * @param format - Output format.
  */
 export function createAccount(operator: Operator, name: string, format: OutputFormat): Effect.Effect<void, CommandFailure> {
 	const key = makeKey();
@@ -50,10 +51,10 @@
 /**
  * `account rotate-key`.
  *
- * @param operator - The platform.
+ * @param operator - Connection to the platform.
  * @param name - Name of the client account.
  * @param isKeeping - Whether the newest old key stays valid beside the new one, until the next rotation.
- * @param format - How to print.
+ * @param format - Output format.
  */
 export function rotateKey(operator: Operator, name: string, isKeeping: boolean, format: OutputFormat): Effect.Effect<void, CommandFailure> {
 	const key = makeKey();
@@ -72,8 +73,8 @@
 /**
  * `account list`.
  *
- * @param operator - The platform.
- * @param format - How to print.
+ * @param operator - Connection to the platform.
+ * @param format - Output format.
  */
 export function listAccounts(operator: Operator, format: OutputFormat): Effect.Effect<void, CommandFailure> {
 	return readTable(operator).pipe(Effect.map(({table}) => {
@@ -92,6 +93,7 @@
 	readonly name: string;
 	readonly type: string;
 	readonly pool: string;
+	/** Seconds that a request may take. */
 	readonly deadline: number;
 	readonly latencyWeight: number;
 };
@@ -99,8 +101,8 @@
 /**
  * `service create`.
  *
- * @param operator - The platform.
- * @param service - The service.
+ * @param operator - Connection to the platform.
+ * @param service - The service to create.
  */
 export function createService(operator: Operator, service: ServiceOptions): Effect.Effect<void, CommandFailure> {
 	return changeTable(operator, `service create ${service.name}`, table => checked(service.name, {
@@ -113,8 +115,8 @@
 /**
  * `service list`.
  *
- * @param operator - The platform.
- * @param format - How to print.
+ * @param operator - Connection to the platform.
+ * @param format - Output format.
  */
 export function listServices(operator: Operator, format: OutputFormat): Effect.Effect<void, CommandFailure> {
 	return readTable(operator).pipe(Effect.map(({table: {services}}) => {
--- a/src/command/check-command.ts
+++ b/src/command/check-command.ts
@@ -1,5 +1,5 @@
 /**
- * `waydrift check`: tells all faults of settings and tables, offline.
+ * `waydrift check`: reports all faults of settings files and table files, offline.
  */
 import {readFileSync} from 'node:fs';
 import * as Effect from 'effect/Effect';
@@ -11,7 +11,7 @@
 import {exitCode} from './exit-code.js';
 import {print} from './output.js';
 
-/** A table has rows at its left margin; settings do not. */
+/** Matches a top-level key of a table. Settings files have none of these keys. */
 const tableMark = /^(?:rows|accounts|services)\s*:/mv;
 
 function faultsOf(file: string): readonly Fault[] {
@@ -25,8 +25,8 @@
 }
 
 /**
- * @param files - Settings or tables.
- * @returns Fails with all faults of all files.
+ * @param files - Paths of settings files or table files.
+ * @returns Ends when all files are valid; fails with all faults of all files.
  */
 export function checkFiles(files: readonly string[]): Effect.Effect<void, CommandFailure> {
 	return Effect.suspend(() => {
--- a/src/command/command-failure.ts
+++ b/src/command/command-failure.ts
@@ -1,12 +1,12 @@
 /**
- * A command that could not do what it was asked to.
+ * The error of a command that failed.
  */
 import * as Data from 'effect/Data';
 import type {ExitCode} from './exit-code.js';
 
-/** Carries what to tell the operator and the exit code. */
+/** Carries the exit code and the message for the operator. */
 export class CommandFailure extends Data.TaggedError('CommandFailure')<{
 	readonly exitCode: ExitCode;
-	/** Lines for the operator. */
+	/** Lines of the message, printed to standard error. */
 	readonly lines: readonly string[];
 }> {}
--- a/src/command/command-line.ts
+++ b/src/command/command-line.ts
@@ -1,5 +1,5 @@
 /**
- * The command line: what there is, with help and examples.
+ * The command line: all commands, with their help and examples.
  */
 import process from 'node:process';
 import * as Effect from 'effect/Effect';
@@ -19,23 +19,25 @@
 	applyTable, diffTable, editTable, getTable, printHistory, type ApplyOptions,
 } from './table-commands.js';
 
+/** Default of a service's deadline, in seconds. */
 const defaultDeadline = 60;
+/** Default number of history entries to print. */
 const defaultHistory = 20;
 
-/** Options of every operators' command. */
+/** Options that all commands for operators share. */
 type CommonOptions = {
 	readonly platform: string | undefined;
 	readonly output: string;
 };
 
-/** What a command ended with. */
+/** Runs a command and holds its exit code. */
 class Ending {
 	code: ExitCode = exitCode.done;
 
 	/**
-	 * Runs an operators' command.
+	 * Runs a command that needs a connection to the platform, and closes the connection afterwards.
 	 *
-	 * @param options - Where the platform is.
+	 * @param options - The shared options, with the address of the platform.
 	 * @param use - The command.
 	 */
 	async operate(options: CommonOptions, use: (operator: Operator, format: OutputFormat) => Effect.Effect<void, CommandFailure>): Promise<void> {
@@ -45,7 +47,7 @@
 	}
 
 	/**
-	 * Runs a command and prints why it failed.
+	 * Runs a command; if it fails, prints the message to standard error and sets the exit code.
 	 *
 	 * @param command - The command.
 	 */
@@ -129,8 +131,8 @@
 /**
  * Runs the command line.
  *
- * @param words - Its words, without the program's name.
- * @param version - What `--version` prints.
+ * @param words - Arguments, without the program's name.
+ * @param version - Version that `--version` prints.
  * @returns The exit code.
  */
 export async function runCommandLine(words: readonly string[], version: string): Promise<ExitCode> {
--- a/src/command/force-watch.ts
+++ b/src/command/force-watch.ts
@@ -1,5 +1,5 @@
 /**
- * Waits until a version of the table is in force on every live entry box, as the summaries tell.
+ * Waits until a version of the table is in force on every live entry box, according to the summaries of the data centres.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -10,11 +10,12 @@
 import {exitCode} from './exit-code.js';
 import {readBoxes, unavailable, type Operator} from './operator.js';
 
+/** Interval between two reads of the summaries, in milliseconds. */
 const lookInterval = 1000;
 
 /**
- * @param operator - The platform.
- * @returns The summaries of all data centres.
+ * @param operator - Connection to the platform.
+ * @returns The summaries of all data centres, without those that cannot be decoded.
  */
 export function readSummaries({store}: Operator): Effect.Effect<readonly DataCentreSummary[], CommandFailure> {
 	return store.list(summaryPrefix).pipe(
@@ -27,7 +28,7 @@
 	);
 }
 
-/** @returns Live entry boxes that have not told that the version is in force. */
+/** @returns The live entry boxes that do not yet report this version or a later one. */
 function laggards(operator: Operator, version: ObjectVersion): Effect.Effect<readonly BoxId[], CommandFailure> {
 	return Effect.gen(function * () {
 		const {boxes} = yield * readBoxes(operator);
@@ -38,10 +39,10 @@
 }
 
 /**
- * @param operator - The platform.
- * @param version - The version that was accepted.
- * @param seconds - How long to wait.
- * @returns Ends when it is in force everywhere; fails with the boxes that do not tell so.
+ * @param operator - Connection to the platform.
+ * @param version - The accepted version.
+ * @param seconds - Maximum time to wait, in seconds.
+ * @returns Ends when the version is in force on every live entry box; fails with the boxes that do not report it in time.
  */
 export function waitInForce(operator: Operator, version: ObjectVersion, seconds: number): Effect.Effect<void, CommandFailure> {
 	return Effect.gen(function * () {
--- a/src/command/main.ts
+++ b/src/command/main.ts
@@ -5,16 +5,16 @@
 import {version} from './version.js';
 
 /**
- * Without a listener Node ends a process that is told to read its settings anew while it still loads, some 0.4 s on a busy
- * machine; what it loads reads them afterwards.
+ * Ignores SIGHUP, the signal to reload the settings. Without a listener, Node ends the process on a SIGHUP while modules are still
+ * loading, which takes about 0.4 s on a busy machine. No reload is lost: the settings are read after loading.
  */
 const outliveReloads = (): void => {
 	process.on('SIGHUP', () => undefined);
 };
 
 /**
- * Each command line is loaded by itself: a relay that is killed is missed until it has loaded what it needs, and the
- * operators' commands are not that.
+ * Runs a command. `relay` without options is loaded without the other commands, so that a relay that was killed serves again as soon
+ * as possible.
  */
 const run = async (words: readonly string[]): Promise<number> => {
 	if (words[0] === 'relay') {
@@ -31,7 +31,7 @@
 };
 
 const start = async (): Promise<void> => {
-	// What is left open (an idle connection, a watch) must not keep a finished command alive.
+	// Exit explicitly: an open handle, such as an idle connection or a watch, must not keep a finished command alive.
 	process.exit(await run(process.argv.slice(2)));
 };
 
--- a/src/command/operator.ts
+++ b/src/command/operator.ts
@@ -1,5 +1,5 @@
 /**
- * What operators' commands reach: the platform, and nothing else. No command talks to a box.
+ * The connection of operator commands to the platform. Commands never connect to a box.
  */
 import process from 'node:process';
 import {userInfo} from 'node:os';
@@ -19,25 +19,26 @@
 import {CommandFailure} from './command-failure.js';
 import {exitCode} from './exit-code.js';
 
-/** Variable that names the platform when no option does. */
+/** Environment variable with the address of the platform, used without the option `--platform`. */
 const platformVariable = 'WAYDRIFT_PLATFORM';
+/** TCP port of the platform if its address has none. */
 const defaultPort = 80;
-/** Races after which a change that is made anew each time is given up. */
+/** Maximum number of retries of a change after conflicts with other changes. */
 const racesTried = 5;
 
-/** The platform, as commands reach it. */
+/** A connection to the platform on behalf of an operator. */
 export type Operator = {
 	readonly store: ObjectStore;
 	readonly list: BoxList;
 	readonly editor: TableEditor;
-	/** Who is at the keyboard; kept with each change. */
+	/** User name of the operator, stored with each change. */
 	readonly author: string;
 	readonly close: () => void;
 };
 
 /**
- * @param address - `host:port`, or `undefined` to take it from the environment.
- * @returns The platform; fails where nothing names it.
+ * @param address - `host:port`, or `undefined` to read it from the environment.
+ * @returns The connection; fails if neither gives an address.
  */
 export function connectOperator(address: string | undefined): Effect.Effect<Operator, CommandFailure> {
 	const named = address ?? process.env[platformVariable];
@@ -62,7 +63,7 @@
 }
 
 /**
- * @param operator - The platform.
+ * @param operator - Connection to the platform.
  * @returns The box list.
  */
 export function readBoxes({list}: Operator): Effect.Effect<BoxListing, CommandFailure> {
@@ -72,12 +73,12 @@
 	);
 }
 
-/** @returns What to tell when the platform does not answer. */
+/** @returns The failure of a command if the platform does not answer. */
 export function unavailable(failure: StoreFailure): CommandFailure {
 	return new CommandFailure({exitCode: exitCode.unavailable, lines: [`The platform does not answer (${failure.detail}). Nothing was changed by this command.`]});
 }
 
-/** @returns What to tell of faults in a file. */
+/** @returns The failure of a command if a file has faults. */
 export function invalidFile(file: string, faults: readonly Fault[]): CommandFailure {
 	return new CommandFailure({
 		exitCode: exitCode.invalid,
@@ -86,7 +87,7 @@
 }
 
 /**
- * @param operator - The platform.
+ * @param operator - Connection to the platform.
  * @returns The table in force.
  */
 export function readTable({editor}: Operator): Effect.Effect<VersionedTable, CommandFailure> {
@@ -94,12 +95,12 @@
 }
 
 /**
- * Changes the table by a function of what is in force; tries again after a race, since the change is made anew.
+ * Changes the table by a function of the table in force. Retries after a conflict, with the function applied to the newer table.
  *
- * @param operator - The platform.
- * @param comment - Kept with the change.
- * @param change - Makes the new table, or says why it cannot.
- * @returns The table in force because of it.
+ * @param operator - Connection to the platform.
+ * @param comment - Stored with the change.
+ * @param change - Returns the new table, or fails with the reason why it cannot.
+ * @returns The table in force after the change.
  */
 export function changeTable(
 	operator: Operator,
@@ -125,9 +126,9 @@
 }
 
 /**
- * @param failure - Why a change was not made.
- * @param mine - The table that was to be; shows what collides.
- * @returns What to tell the operator.
+ * @param failure - The reason why a change was not made.
+ * @param mine - The rejected table, to show which changes collide.
+ * @returns The failure of the command, with a message for the operator.
  */
 export function describeEditFailure(
 	failure: StoreFailure | TableUnreadable | TableConflict | EditUnsettled,
@@ -155,7 +156,7 @@
 	}
 }
 
-/** A three-way difference: what they changed, what you change, and where both meet. */
+/** Describes a three-way difference: changes by others, changes of this operator, and collisions of both. */
 function describeConflict({base, current}: TableConflict, mine: Table | undefined): readonly string[] {
 	const head = `The table is at version ${current.version} by now, by ${current.edit.author} (${current.edit.comment || 'no comment'}). Nothing was changed.`;
 	if (!base || !mine) {
--- a/src/command/output.ts
+++ b/src/command/output.ts
@@ -1,19 +1,19 @@
 /**
- * What commands print: tables for people, JSON for scripts.
+ * Output of commands: text tables for people, JSON for scripts.
  */
 import process from 'node:process';
 
-/** How to print. */
+/** An output format of the option `--output`. */
 export type OutputFormat = 'text' | 'json' | 'yaml' | 'csv';
 
-/** A table for people. */
+/** A table to print as text. */
 export type TextTable = {
 	readonly head: readonly string[];
 	readonly rows: ReadonlyArray<readonly string[]>;
 };
 
 /**
- * @param table - Cells.
+ * @param table - Cells of the table.
  * @returns Lines with aligned columns.
  */
 export function renderTable({head, rows}: TextTable): string {
@@ -25,20 +25,20 @@
 }
 
 /**
- * Prints a line to standard output.
+ * Prints text to standard output, with a line break at its end.
  *
- * @param text - What to print.
+ * @param text - The text.
  */
 export function print(text: string): void {
 	process.stdout.write(text.endsWith('\n') ? text : `${text}\n`);
 }
 
 /**
- * Prints a value: as JSON for scripts, or as a table for people.
+ * Prints a value as JSON, or as a text table for all other formats.
  *
- * @param format - How.
- * @param value - For scripts.
- * @param table - For people.
+ * @param format - Output format.
+ * @param value - The value to print as JSON.
+ * @param table - Returns the table to print as text.
  */
 export function printValue(format: OutputFormat, value: unknown, table: () => TextTable): void {
 	print(format === 'json' ? JSON.stringify(value, undefined, 2) : renderTable(table()));
--- a/src/command/reach-platform.ts
+++ b/src/command/reach-platform.ts
@@ -1,5 +1,5 @@
 /**
- * Wires the adapter at the root: how a relay reaches the platform.
+ * Connects a relay to the platform: the only place of the product that creates the adapter of `platform/`.
  */
 import {HttpDutyCalls} from '../../platform/duties.js';
 import {
@@ -11,8 +11,8 @@
 import type {RelaySettings} from '../settings/relay-settings.js';
 
 /**
- * @param settings - Where the platform is.
- * @returns The way to it.
+ * @param settings - Addresses of the platform's services.
+ * @returns The clients and formats that a relay uses to talk to the platform.
  */
 export function reachPlatform({store, duties}: Pick<RelaySettings, 'store' | 'duties'>): PlatformLink {
 	return {
--- a/src/command/relay-command.ts
+++ b/src/command/relay-command.ts
@@ -1,5 +1,5 @@
 /**
- * `waydrift relay`: a box between the platform's balancer and its replicas.
+ * `waydrift relay`: a proxy between the platform's balancer and its replicas.
  */
 import process from 'node:process';
 import * as Effect from 'effect/Effect';
@@ -13,13 +13,13 @@
 import {SettingsFile} from './settings-file.js';
 import {onSignal, signalled} from './signals.js';
 
-/** Milliseconds between two looks at the settings file, which may change without a signal. */
+/** Interval between two reads of the settings file, in milliseconds. The file may change without a signal. */
 const settingsInterval = 1000;
 
 /**
- * Relays until the process is asked to stop.
+ * Runs a relay until the process gets a signal to stop.
  *
- * @param file - Settings file; by default the one that the platform names.
+ * @param file - Path of the settings file; by default the path in the platform's environment variable.
  * @returns The exit code.
  */
 export async function relay(file: string | undefined): Promise<ExitCode> {
@@ -35,11 +35,11 @@
 		yield * onSignal('SIGHUP', () => {
 			settings.reload();
 		});
-		// A second one must not cut what the first one lets end.
+		// A second SIGTERM must not end the process while requests in progress end after the first one.
 		yield * onSignal('SIGTERM', ignore);
 		yield * Effect.forkScoped(Effect.repeat(reading, Schedule.spaced(settingsInterval)));
 		settings.reload();
-		// Bad settings end nothing: they may be mended while the process waits.
+		// Invalid settings do not end the process: it waits until they are corrected.
 		while (!settings.current) {
 			yield * Effect.sleep(settingsInterval);
 		}
--- a/src/command/serve-command.ts
+++ b/src/command/serve-command.ts
@@ -15,7 +15,7 @@
 import {decodeSettings, type Settings} from '../settings/settings.js';
 import {exitCode, type ExitCode} from './exit-code.js';
 
-/** Ends when the process is asked to stop. */
+/** Ends when the process gets SIGTERM or SIGINT. */
 const stopAsked: Effect.Effect<void> = Effect.callback<void>(resume => {
 	const listener = () => {
 		resume(Effect.void);
@@ -39,9 +39,9 @@
 }
 
 /**
- * Serves until the process is asked to stop or the platform takes the box back.
+ * Runs an entry box until the process gets a signal to stop, or the platform reclaims the box.
  *
- * @param file - Settings file.
+ * @param file - Path of the settings file.
  * @returns The exit code.
  */
 export async function serve(file: string): Promise<ExitCode> {
--- a/src/command/settings-file.ts
+++ b/src/command/settings-file.ts
@@ -7,34 +7,34 @@
 import {describeFaults} from '../base/faults.js';
 import {decodeRelaySettings, type RelaySettings} from '../settings/relay-settings.js';
 
-/** Reads the file; one that cannot be used leaves what was in force. */
+/** Reads the file. A file that is missing or invalid leaves the settings in force unchanged. */
 export class SettingsFile {
 	/**
 	 * @param file - Path of the file.
-	 * @param log - Where changes and faults are told.
-	 * @returns The file, not read.
+	 * @param log - Receives an event for each change and each fault.
+	 * @returns The settings file, not yet read.
 	 */
 	static create(file: string, log: EventLog): SettingsFile {
 		return new SettingsFile(file, log);
 	}
 
-	/** What is in force; `undefined` before the first settings that can be used. */
+	/** The settings in force; `undefined` until valid settings have been read. */
 	current: RelaySettings | undefined;
-	/** The text that was last decoded. */
+	/** The text that was last decoded, valid or not. */
 	private text = '';
-	/** Another text that the last look found. */
+	/** The text that the last poll read. */
 	private seen: string | undefined;
 
 	private constructor(private readonly file: string, private readonly log: EventLog) {}
 
-	/** Reads the file, which somebody said has changed. */
+	/** Reads the file and applies it at once; called after a signal that it has changed. */
 	reload(): void {
 		this.take(this.read());
 	}
 
 	/**
-	 * Looks whether the file has changed without a word; to be called now and then. A part of a file may be settings as well, so
-	 * that a change is taken once two looks in a row found the same.
+	 * Checks whether the file has changed; to be called at intervals. A partly written file may be valid settings too, so a change is
+	 * applied only after two consecutive polls have read the same text. The first settings are applied at once.
 	 */
 	look(): void {
 		const text = this.read();
--- a/src/command/signals.ts
+++ b/src/command/signals.ts
@@ -1,13 +1,13 @@
 /**
- * Signals to the process.
+ * Signals that the process receives.
  */
 import process from 'node:process';
 import * as Effect from 'effect/Effect';
 import type * as Scope from 'effect/Scope';
 
 /**
- * @param name - Which signal.
- * @returns Ends when the process gets it.
+ * @param name - Name of the signal.
+ * @returns Ends when the process gets the signal.
  */
 export const signalled = (name: NodeJS.Signals): Effect.Effect<void> => Effect.callback<void>(resume => {
 	const listener = () => {
@@ -21,11 +21,12 @@
 });
 
 /**
- * Listens for a signal until the scope closes. The listener stays between signals: without one Node ends the process.
+ * Listens for a signal until the scope closes. The listener stays registered between signals, since Node ends the process on a signal
+ * without a listener.
  *
- * @param name - Which signal.
- * @param listener - Called each time the process gets it.
- * @returns Ends when it listens.
+ * @param name - Name of the signal.
+ * @param listener - Called each time the process gets the signal.
+ * @returns Ends when the listener is registered.
  */
 export const onSignal = (name: NodeJS.Signals, listener: () => void): Effect.Effect<void, never, Scope.Scope> => Effect.acquireRelease(
 	Effect.sync(() => {
--- a/src/command/status-command.ts
+++ b/src/command/status-command.ts
@@ -1,5 +1,5 @@
 /**
- * `waydrift status` and `waydrift boxes`: what operators watch.
+ * `waydrift status` and `waydrift boxes`: the state of the table, the entry boxes and the pools.
  */
 import * as Effect from 'effect/Effect';
 import type {Box} from '../external/box-list.js';
@@ -11,6 +11,7 @@
 	print, printValue, renderTable, type OutputFormat,
 } from './output.js';
 
+/** Interval between two prints of `status --watch`, in milliseconds. */
 const watchInterval = 2000;
 
 type BoxStatus = {
@@ -25,7 +26,7 @@
 	readonly pool: string;
 	readonly live: number;
 	readonly leaving: number;
-	/** Price units an hour. */
+	/** Price units per hour. */
 	readonly price: number;
 };
 
@@ -99,9 +100,9 @@
 /**
  * `status`.
  *
- * @param operator - The platform.
- * @param isWatching - Whether to print again and again.
- * @param format - How to print.
+ * @param operator - Connection to the platform.
+ * @param isWatching - Whether to print repeatedly.
+ * @param format - Output format.
  */
 export function printStatus(operator: Operator, isWatching: boolean, format: OutputFormat): Effect.Effect<void, CommandFailure> {
 	const once = readStatus(operator).pipe(Effect.map(status => {
@@ -113,8 +114,8 @@
 /**
  * `boxes`.
  *
- * @param operator - The platform.
- * @param format - How to print.
+ * @param operator - Connection to the platform.
+ * @param format - Output format.
  */
 export function printBoxes(operator: Operator, format: OutputFormat): Effect.Effect<void, CommandFailure> {
 	return readBoxes(operator).pipe(Effect.map(({boxes}) => {
--- a/src/command/table-commands.ts
+++ b/src/command/table-commands.ts
@@ -1,5 +1,5 @@
 /**
- * `waydrift table`: the one thing that operators edit.
+ * `waydrift table`: reads and changes the table, the only configuration that operators edit.
  */
 import {readFileSync} from 'node:fs';
 import * as Effect from 'effect/Effect';
@@ -20,6 +20,7 @@
 } from './operator.js';
 import {print, printValue, type OutputFormat} from './output.js';
 
+/** Maximum number of history entries that are searched for an edit. */
 const longestHistory = 1000;
 
 const invalid = (...lines: readonly string[]) => new CommandFailure({exitCode: exitCode.invalid, lines});
@@ -40,7 +41,7 @@
 	}
 }
 
-/** Reads a file as a table; CSV gives rows alone, and keeps services and accounts. */
+/** Reads a file as a table. A CSV file has only the rows; services and accounts are those of the current table. */
 function readFile(file: string, current: Table): Effect.Effect<{readonly table: Table; readonly version: number | undefined}, CommandFailure> {
 	return Effect.suspend(() => {
 		const text = readFileSync(file === '-' ? 0 : file, 'utf8');
@@ -54,9 +55,9 @@
 /**
  * `table get`.
  *
- * @param operator - The platform.
- * @param format - How to print; YAML unless told otherwise.
- * @param edit - Id of an earlier edit to print in place of what is in force.
+ * @param operator - Connection to the platform.
+ * @param format - Output format; YAML unless it is JSON or CSV.
+ * @param edit - Beginning of the id of an edit, to print the table that it made instead of the table in force.
  */
 export function getTable(operator: Operator, format: OutputFormat, edit: string | undefined): Effect.Effect<void, CommandFailure> {
 	return Effect.gen(function * () {
@@ -72,7 +73,7 @@
 			return yield * Effect.fail(invalid(`No edit in the history begins with "${edit}".`));
 		}
 
-		// With the version in force, so that it can be applied again as it is.
+		// Print it with the version in force, so that the output can be applied without a conflict.
 		print(render(format, {...found, version: current.version}));
 	});
 }
@@ -80,9 +81,9 @@
 /**
  * `table diff`.
  *
- * @param operator - The platform.
- * @param file - The file to compare with what is in force.
- * @param format - How to print.
+ * @param operator - Connection to the platform.
+ * @param file - Path of the file to compare with the table in force.
+ * @param format - Output format.
  */
 export function diffTable(operator: Operator, file: string, format: OutputFormat): Effect.Effect<void, CommandFailure> {
 	return Effect.gen(function * () {
@@ -100,9 +101,9 @@
 /** How to apply a change. */
 export type ApplyOptions = {
 	readonly comment: string;
-	/** Version the file was edited from, where its first line does not say. */
+	/** Version that the file was edited from, if its first line does not name it. */
 	readonly base: number | undefined;
-	/** Seconds to wait until it is in force everywhere; zero not to wait. */
+	/** Seconds to wait until the change is in force on every live entry box; zero to not wait. */
 	readonly wait: number;
 	readonly format: OutputFormat;
 };
@@ -110,9 +111,9 @@
 /**
  * `table apply`.
  *
- * @param operator - The platform.
- * @param file - The new table.
- * @param options - How.
+ * @param operator - Connection to the platform.
+ * @param file - Path of the file with the new table.
+ * @param options - Options of the change.
  */
 export function applyTable(operator: Operator, file: string, options: ApplyOptions): Effect.Effect<void, CommandFailure> {
 	return Effect.gen(function * () {
@@ -134,12 +135,12 @@
 }
 
 /**
- * `table edit`: changes fields of one row in place. No editor is opened: the program starts no other program.
+ * `table edit`: changes fields of one row. It opens no editor, since the program starts no other programs.
  *
- * @param operator - The platform.
+ * @param operator - Connection to the platform.
  * @param row - `account/service/kind`.
- * @param assignments - For example `ceiling=500`; `remove` takes the row away.
- * @param options - How.
+ * @param assignments - For example `ceiling=500`; `remove` removes the row.
+ * @param options - Options of the change.
  */
 export function editTable(operator: Operator, row: string, assignments: readonly string[], options: ApplyOptions): Effect.Effect<void, CommandFailure> {
 	return Effect.gen(function * () {
@@ -195,9 +196,9 @@
 /**
  * `table history`.
  *
- * @param operator - The platform.
- * @param most - How many to print.
- * @param format - How to print.
+ * @param operator - Connection to the platform.
+ * @param most - Maximum number of entries to print.
+ * @param format - Output format.
  */
 export function printHistory(operator: Operator, most: number, format: OutputFormat): Effect.Effect<void, CommandFailure> {
 	return operator.editor.history(most).pipe(
--- a/src/command/test/command-line.test.ts
+++ b/src/command/test/command-line.test.ts
@@ -37,14 +37,14 @@
 	return file;
 }
 
-test('the version is the one of package.json', async () => {
+test('--version prints the version in package.json', async () => {
 	const manifest = JSON.parse(readFileSync(fileURLToPath(new URL('../../../../package.json', import.meta.url)), 'utf8')) as {readonly version: string};
 	assert.equal(manifest.version, version);
 	const {output} = await run('--version');
 	assert.equal(output.trim(), version);
 });
 
-test('check tells all faults of three broken files with line, path, value and what was expected', async () => {
+test('check reports all faults of three invalid files, each with its line, path, value and expectation', async () => {
 	const settings = write('settings.yaml', [
 		'box: Not A Name',
 		'dataCentre: dc-1',
@@ -76,7 +76,7 @@
 	assert.deepEqual(expected.filter(part => !errors.includes(part)), []);
 });
 
-test('a table is created, exported, edited and applied, and a race is a conflict that changes nothing', async () => {
+test('a table is created, exported, edited and applied; a conflicting change fails and changes nothing', async () => {
 	assert.equal((await run('service', 'create', 'assistant', '--type', 'model', '--pool', 'engines')).code, 0);
 	const created = await run('account', 'create', 'dams', '-o', 'json');
 	assert.match(created.output, /"key":"wd_/v);
@@ -94,7 +94,7 @@
 	assert.equal(newest!.comment, 'more for dams');
 });
 
-test('a file with faults, a file without a version and a platform that is away have their own exit codes', async () => {
+test('invalid files, a file without a version and an unknown command exit with 2, and an unavailable platform with 4', async () => {
 	const faulty = write('faulty.yaml', '# waydrift table, version 1\nservices: []\naccounts: []\nrows: [{}]\n');
 	assert.equal((await run('table', 'apply', faulty)).code, 2);
 	const unversioned = write('unversioned.yaml', 'services: []\naccounts: []\nrows: []\n');
@@ -105,7 +105,7 @@
 	assert.equal((await run('nonsense')).code, 2);
 });
 
-test('without a box to tell so, --wait says that nothing is known to be late', async () => {
+test('--wait succeeds at once if there are no live entry boxes', async () => {
 	const {code, output} = await run('table', 'edit', 'dams/assistant/write', 'ceiling=800', '--wait', '1');
 	assert.equal(code, 0);
 	assert.match(output, /In force on every live box/v);
--- a/src/command/test/relay-process.test.ts
+++ b/src/command/test/relay-process.test.ts
@@ -47,7 +47,7 @@
 	child = Child.start('src/command/main.js', ['relay', '--settings', file()]);
 };
 
-test('bad settings and settings that are missing are told and end nothing; mended without a signal the relay serves', async () => {
+test('missing and invalid settings are logged and do not end the process; corrected settings are applied without a signal', async () => {
 	installation = await RelayInstallation.start({relays: 0, replicas: ['i-1']});
 	const ports = await freeRelayPorts();
 	start();
@@ -68,7 +68,7 @@
 	assert.equal(child!.isEnded, false);
 });
 
-test('a store that cannot be reached at the start means 503, a line that says so, and no end', async () => {
+test('if the store is unreachable at the start, the relay logs it, answers 503 and keeps running', async () => {
 	const ports = await freeRelayPorts();
 	write(settingsText(ports, await freePort()));
 	start();
@@ -78,7 +78,7 @@
 	assert.equal(child!.isEnded, false);
 });
 
-test('SIGHUP after SIGHUP reloads the settings and ends nothing, and bad ones leave what was in force', async () => {
+test('repeated SIGHUPs reload the settings without ending the process; invalid settings leave those in force unchanged', async () => {
 	const ports = await freeRelayPorts();
 	write(settingsText(ports, await freePort()));
 	start();
@@ -98,10 +98,10 @@
 	await child!.line(({eventName}) => eventName === 'relayStopping');
 	child!.signal('SIGTERM');
 	await child!.exited;
-	assert.equal(linesOf('relayStopped').length, 1, 'it ends by itself when asked to');
+	assert.equal(linesOf('relayStopped').length, 1, 'the process stops in an orderly way despite the second SIGTERM');
 });
 
-/** Holds the relay's own modules back, as a busy machine does, until a file is there. */
+/** Returns a module loader hook that delays the relay's modules until a file exists, to simulate slow loading on a busy machine. */
 const heldLoading = (release: string): string => `import {existsSync} from 'node:fs';
 export async function resolve(specifier, context, next) {
 	while (specifier.endsWith('relay-command.js') && !existsSync(${JSON.stringify(release)})) {
@@ -112,15 +112,15 @@
 }`;
 const asModule = (code: string): string => `data:text/javascript,${encodeURIComponent(code)}`;
 
-test('SIGHUP while the program is still being loaded ends nothing', async () => {
+test('a SIGHUP while the program is loading does not end the process', async () => {
 	const ports = await freeRelayPorts();
 	write(settingsText(ports, await freePort()));
 	const release = path.join(folder, 'loaded');
 	const registers = asModule(`import {register} from 'node:module'; register(${JSON.stringify(asModule(heldLoading(release)))});`);
 	child = Child.start('src/command/main.js', ['relay', '--settings', file()], ['--import', registers]);
-	// Node itself catches nothing until it runs the program.
+	// Node has no signal handler of its own: wait until the program has registered one.
 	await until(() => child!.hasListenerFor('SIGHUP'));
-	assert.equal(child.lines.length, 0, 'nothing has begun yet');
+	assert.equal(child.lines.length, 0, 'the relay has not started yet');
 	child.signal('SIGHUP');
 	writeFileSync(release, '');
 	await child.line(({eventName}) => eventName === 'relayStarted');
--- a/src/command/test/settings-file.test.ts
+++ b/src/command/test/settings-file.test.ts
@@ -20,7 +20,7 @@
 	}, storePort: 7004, grace: 5,
 })}\nquarantine:\n  released:\n${released.map(fingerprint => `    - ${fingerprint}\n`).join('')}`;
 
-test('a file that is looked at while it is written changes nothing until it is whole', () => {
+test('a file that is polled while it is being written is not applied until it is complete', () => {
 	const before = text(['AbC-_1234567', 'AbC-_7654321']);
 	const next = text(['AbC-_1234567', 'AbC-_7654321', 'AbC-_0000000']);
 	writeFileSync(file, before);
@@ -28,7 +28,7 @@
 	const settings = SettingsFile.create(file, log);
 	settings.look();
 	const whole = settings.current?.released;
-	assert.deepEqual(whole, ['AbC-_1234567', 'AbC-_7654321'], 'the first ones are taken at once');
+	assert.deepEqual(whole, ['AbC-_1234567', 'AbC-_7654321'], 'the first settings are applied at once');
 	for (let length = 0; length < next.length; length++) {
 		writeFileSync(file, next.slice(0, length));
 		settings.look();
@@ -42,7 +42,7 @@
 	assert.deepEqual(log.lines.map(({eventName}) => eventName), ['settingsApplied', 'settingsApplied']);
 });
 
-test('a file that is said to have changed is read at once, and a bad one leaves what was in force', () => {
+test('a reload applies a changed file at once; an invalid or missing file leaves the settings in force unchanged', () => {
 	writeFileSync(file, text(['AbC-_1234567']));
 	const log = new KeepingLog();
 	const settings = SettingsFile.create(file, log);
--- a/src/command/version.ts
+++ b/src/command/version.ts
@@ -1,4 +1,4 @@
 /**
- * Version of the program; the same as in package.json, which a test holds.
+ * Version of the program. A test checks that it is the version in package.json.
  */
 export const version = '0.1.0';
