--- a/src/command/account-commands.ts
+++ b/src/command/account-commands.ts
@@ -53,16 +53,16 @@
  *
  * @param operator - Connection to the platform.
  * @param name - Name of the client account.
- * @param isKeeping - Whether the newest old key stays valid beside the new one, until the next rotation.
+ * @param keepsOldKey - Whether the newest old key stays valid beside the new one, until the next rotation.
  * @param format - Output format.
  */
-export function rotateKey(operator: Operator, name: string, isKeeping: boolean, format: OutputFormat): Effect.Effect<void, CommandFailure> {
+export function rotateKey(operator: Operator, name: string, keepsOldKey: boolean, format: OutputFormat): Effect.Effect<void, CommandFailure> {
 	const key = makeKey();
 	return changeTable(operator, `account rotate-key ${name}`, table => table.accounts.some(account => account.name === name)
 		? Effect.succeed({
 			...table,
 			accounts: table.accounts.map(account => account.name === name
-				? {...account, keyHashes: [hashKey(key), ...(isKeeping ? account.keyHashes.slice(0, 1) : [])]}
+				? {...account, keyHashes: [hashKey(key), ...(keepsOldKey ? account.keyHashes.slice(0, 1) : [])]}
 				: account),
 		})
 		: invalid(`There is no client account ${name}.`)).pipe(Effect.map(() => {
--- a/src/command/check-command.ts
+++ b/src/command/check-command.ts
@@ -12,12 +12,12 @@
 import {print} from './output.js';
 
 /** Matches a top-level key of a table. Settings files have none of these keys. */
-const tableMark = /^(?:rows|accounts|services)\s*:/mv;
+const tableKeyPattern = /^(?:rows|accounts|services)\s*:/mv;
 
 function faultsOf(file: string): readonly Fault[] {
 	try {
 		const text = readFileSync(file, 'utf8');
-		const decoded: Result.Result<unknown, readonly Fault[]> = tableMark.test(text) ? decodeTable(text) : decodeSettings(text);
+		const decoded: Result.Result<unknown, readonly Fault[]> = tableKeyPattern.test(text) ? decodeTable(text) : decodeSettings(text);
 		return Result.isSuccess(decoded) ? [] : decoded.failure;
 	} catch (error) {
 		return [{path: '', value: undefined, expected: `a file that can be read (${(error as Error).message})`}];
--- a/src/command/command-line.ts
+++ b/src/command/command-line.ts
@@ -31,17 +31,17 @@
 };
 
 /** Runs a command and holds its exit code. */
-class Ending {
+class CommandRunner {
 	code: ExitCode = exitCode.done;
 
 	/**
 	 * Runs a command that needs a connection to the platform, and closes the connection afterwards.
 	 *
 	 * @param options - The shared options, with the address of the platform.
-	 * @param use - The command.
+	 * @param action - The command.
 	 */
-	async operate(options: CommonOptions, use: (operator: Operator, format: OutputFormat) => Effect.Effect<void, CommandFailure>): Promise<void> {
-		await this.run(connectOperator(options.platform).pipe(Effect.flatMap(operator => use(operator, options.output as OutputFormat).pipe(Effect.ensuring(Effect.sync(() => {
+	async runWithOperator(options: CommonOptions, action: (operator: Operator, format: OutputFormat) => Effect.Effect<void, CommandFailure>): Promise<void> {
+		await this.run(connectOperator(options.platform).pipe(Effect.flatMap(operator => action(operator, options.output as OutputFormat).pipe(Effect.ensuring(Effect.sync(() => {
 			operator.close();
 		}))))));
 	}
@@ -59,108 +59,108 @@
 	}
 }
 
-const withCommon = (command: Argv) => command
+const withCommonOptions = (command: Argv) => command
 	.option('platform', {type: 'string', describe: 'HOST:PORT of the platform; else the variable WAYDRIFT_PLATFORM'})
 	.option('output', {
 		alias: 'o', choices: ['text', 'json', 'yaml', 'csv'] as const, default: 'text', describe: 'How to print',
 	});
 
-const withApply = (command: Argv) => withCommon(command)
+const withApplyOptions = (command: Argv) => withCommonOptions(command)
 	.option('comment', {type: 'string', default: '', describe: 'Kept with the change'})
 	.option('base', {type: 'number', describe: 'Version that the file was edited from, where its first line does not say'})
 	.option('wait', {type: 'number', default: 0, describe: 'Seconds to wait until it is in force on every live box'});
 
-const applyOptions = ({comment, base, wait, output}: {
+const toApplyOptions = ({comment, base, wait, output}: {
 	readonly comment: string; readonly base: number | undefined; readonly wait: number; readonly output: string;
 }): ApplyOptions => ({
 	comment, base, wait, format: output as OutputFormat,
 });
 
-const tableCommands = (ending: Ending) => (command: Argv) => command
-	.command('get', 'Print the table', builder => withCommon(builder)
+const tableCommands = (runner: CommandRunner) => (command: Argv) => command
+	.command('get', 'Print the table', builder => withCommonOptions(builder)
 		.option('edit', {type: 'string', describe: 'Print the table that this edit made'})
 		.example('$0 table get > table.yaml', 'The whole table, to edit and apply')
 		.example('$0 table get -o csv > rows.csv', 'The rows, for a spreadsheet'), async options =>
-		ending.operate(options, (operator, format) => getTable(operator, format, options.edit)))
-	.command('diff <file>', 'Show what a file would change', builder => withCommon(builder)
+		runner.runWithOperator(options, (operator, format) => getTable(operator, format, options.edit)))
+	.command('diff <file>', 'Show what a file would change', builder => withCommonOptions(builder)
 		.positional('file', {type: 'string', demandOption: true, describe: 'YAML, or CSV of the rows; - for standard input'}), async options =>
-		ending.operate(options, (operator, format) => diffTable(operator, options.file, format)))
-	.command('apply <file>', 'Put a table in force', builder => withApply(builder)
+		runner.runWithOperator(options, (operator, format) => diffTable(operator, options.file, format)))
+	.command('apply <file>', 'Put a table in force', builder => withApplyOptions(builder)
 		.positional('file', {type: 'string', demandOption: true, describe: 'YAML, or CSV of the rows; - for standard input'})
 		.example('$0 table apply table.yaml --wait 17', 'Wait until every box has it'), async options =>
-		ending.operate(options, operator => applyTable(operator, options.file, applyOptions(options))))
-	.command('edit <row> <assignments..>', 'Change fields of one row, add it, or remove it', builder => withApply(builder)
+		runner.runWithOperator(options, operator => applyTable(operator, options.file, toApplyOptions(options))))
+	.command('edit <row> <assignments..>', 'Change fields of one row, add it, or remove it', builder => withApplyOptions(builder)
 		.positional('row', {type: 'string', demandOption: true, describe: 'ACCOUNT/SERVICE/KIND'})
 		.positional('assignments', {
 			type: 'string', array: true, demandOption: true, describe: 'FIELD=VALUE, or "remove"',
 		})
 		.example('$0 table edit dams/bulletin/write ceiling=5000 priority=1', 'Raise a ceiling')
 		.example('$0 table edit dams/bulletin/write remove', 'Take the row away'), async options =>
-		ending.operate(options, operator => editTable(operator, options.row, options.assignments, applyOptions(options))))
-	.command('history', 'Show who changed the table', builder => withCommon(builder)
+		runner.runWithOperator(options, operator => editTable(operator, options.row, options.assignments, toApplyOptions(options))))
+	.command('history', 'Show who changed the table', builder => withCommonOptions(builder)
 		.option('most', {type: 'number', default: defaultHistory, describe: 'Entries to print'}), async options =>
-		ending.operate(options, (operator, format) => printHistory(operator, options.most, format)))
+		runner.runWithOperator(options, (operator, format) => printHistory(operator, options.most, format)))
 	.demandCommand(1, 'Name a command: get, diff, apply, edit or history.');
 
-const accountCommands = (ending: Ending) => (command: Argv) => command
-	.command('create <name>', 'Create a client account and print its key', builder => withCommon(builder)
+const accountCommands = (runner: CommandRunner) => (command: Argv) => command
+	.command('create <name>', 'Create a client account and print its key', builder => withCommonOptions(builder)
 		.positional('name', {type: 'string', demandOption: true}), async options =>
-		ending.operate(options, (operator, format) => createAccount(operator, options.name, format)))
-	.command('list', 'List client accounts', builder => withCommon(builder), async options =>
-		ending.operate(options, (operator, format) => listAccounts(operator, format)))
-	.command('rotate-key <name>', 'Give a client account a new key', builder => withCommon(builder)
+		runner.runWithOperator(options, (operator, format) => createAccount(operator, options.name, format)))
+	.command('list', 'List client accounts', builder => withCommonOptions(builder), async options =>
+		runner.runWithOperator(options, (operator, format) => listAccounts(operator, format)))
+	.command('rotate-key <name>', 'Give a client account a new key', builder => withCommonOptions(builder)
 		.positional('name', {type: 'string', demandOption: true})
 		.option('keep-old', {type: 'boolean', default: false, describe: 'The newest old key stays valid until the next rotation'}), async options =>
-		ending.operate(options, (operator, format) => rotateKey(operator, options.name, options.keepOld, format)))
+		runner.runWithOperator(options, (operator, format) => rotateKey(operator, options.name, options.keepOld, format)))
 	.demandCommand(1, 'Name a command: create, list or rotate-key.');
 
-const serviceCommands = (ending: Ending) => (command: Argv) => command
-	.command('create <name>', 'Create a service', builder => withCommon(builder)
+const serviceCommands = (runner: CommandRunner) => (command: Argv) => command
+	.command('create <name>', 'Create a service', builder => withCommonOptions(builder)
 		.positional('name', {type: 'string', demandOption: true})
 		.option('type', {choices: ['model', 'plain'] as const, demandOption: true, describe: 'What its upstreams are'})
 		.option('pool', {type: 'string', demandOption: true, describe: 'Pool of upstreams, as the box list names it'})
 		.option('deadline', {type: 'number', default: defaultDeadline, describe: 'Seconds a request may take'})
 		.option('latency-weight', {type: 'number', default: 1, describe: 'How much latency counts against price'}), async options =>
-		ending.operate(options, operator => createService(operator, {
+		runner.runWithOperator(options, operator => createService(operator, {
 			name: options.name, type: options.type, pool: options.pool, deadline: options.deadline, latencyWeight: options.latencyWeight,
 		})))
-	.command('list', 'List services', builder => withCommon(builder), async options =>
-		ending.operate(options, (operator, format) => listServices(operator, format)))
+	.command('list', 'List services', builder => withCommonOptions(builder), async options =>
+		runner.runWithOperator(options, (operator, format) => listServices(operator, format)))
 	.demandCommand(1, 'Name a command: create or list.');
 
 /**
  * Runs the command line.
  *
- * @param words - Arguments, without the program's name.
+ * @param args - Arguments, without the program's name.
  * @param version - Version that `--version` prints.
  * @returns The exit code.
  */
-export async function runCommandLine(words: readonly string[], version: string): Promise<ExitCode> {
-	const ending = new Ending();
-	const parser = yargs([...words])
+export async function runCommandLine(args: readonly string[], version: string): Promise<ExitCode> {
+	const runner = new CommandRunner();
+	const parser = yargs([...args])
 		.scriptName('waydrift')
 		.usage('$0 COMMAND\n\nServes language models and plain services on boxes the cloud may take back at any moment.')
 		.command('serve', 'Run the daemon of an entry box', builder => builder
 			.option('settings', {type: 'string', demandOption: true, describe: 'Settings file (YAML)'})
 			.example('$0 serve --settings box.yaml', 'Serve until stopped'), async ({settings}) => {
-			ending.code = await serve(settings);
+			runner.code = await serve(settings);
 		})
 		.command('relay', 'Run a relay before the replicas of the users\' platform', builder => builder
 			.option('settings', {type: 'string', describe: 'Settings file (YAML); by default the one that the platform names'}), async ({settings}) => {
-			ending.code = await relay(settings);
+			runner.code = await relay(settings);
 		})
-		.command('table', 'Read and change the table', tableCommands(ending))
-		.command('account', 'Client accounts and their keys', accountCommands(ending))
-		.command('service', 'Services', serviceCommands(ending))
-		.command('status', 'Show what is in force and what runs', builder => withCommon(builder)
+		.command('table', 'Read and change the table', tableCommands(runner))
+		.command('account', 'Client accounts and their keys', accountCommands(runner))
+		.command('service', 'Services', serviceCommands(runner))
+		.command('status', 'Show what is in force and what runs', builder => withCommonOptions(builder)
 			.option('watch', {type: 'boolean', default: false, describe: 'Print again every two seconds'}), async options =>
-			ending.operate(options, (operator, format) => printStatus(operator, options.watch, format)))
-		.command('boxes', 'List the boxes', builder => withCommon(builder), async options =>
-			ending.operate(options, (operator, format) => printBoxes(operator, format)))
+			runner.runWithOperator(options, (operator, format) => printStatus(operator, options.watch, format)))
+		.command('boxes', 'List the boxes', builder => withCommonOptions(builder), async options =>
+			runner.runWithOperator(options, (operator, format) => printBoxes(operator, format)))
 		.command('check <files..>', 'Check settings and tables, offline', builder => builder
 			.positional('files', {type: 'string', array: true, demandOption: true})
 			.example('$0 check box.yaml table.yaml', 'All faults at once; nothing is changed'), async ({files}) =>
-			ending.run(checkFiles(files)))
+			runner.run(checkFiles(files)))
 		.completion('completion', 'Print a shell completion script')
 		.demandCommand(1, 'Name a command; --help lists them.')
 		.strict()
@@ -173,9 +173,9 @@
 			}
 
 			process.stderr.write(`${message}\nSee "waydrift --help".\n`);
-			ending.code = exitCode.invalid;
+			runner.code = exitCode.invalid;
 		})
 		.exitProcess(false);
 	await parser.parseAsync();
-	return ending.code;
+	return runner.code;
 }
--- a/src/command/main.ts
+++ b/src/command/main.ts
@@ -8,7 +8,7 @@
  * Ignores SIGHUP, the signal to reload the settings. Without a listener, Node ends the process on a SIGHUP while modules are still
  * loading, which takes about 0.4 s on a busy machine. No reload is lost: the settings are read after loading.
  */
-const outliveReloads = (): void => {
+const ignoreReloadSignals = (): void => {
 	process.on('SIGHUP', () => undefined);
 };
 
@@ -16,18 +16,18 @@
  * Runs a command. `relay` without options is loaded without the other commands, so that a relay that was killed serves again as soon
  * as possible.
  */
-const run = async (words: readonly string[]): Promise<number> => {
-	if (words[0] === 'relay') {
-		outliveReloads();
+const run = async (args: readonly string[]): Promise<number> => {
+	if (args[0] === 'relay') {
+		ignoreReloadSignals();
 	}
 
-	if (words.length === 1 && words[0] === 'relay') {
+	if (args.length === 1 && args[0] === 'relay') {
 		const {relay} = await import('./relay-command.js');
 		return relay(undefined);
 	}
 
 	const {runCommandLine} = await import('./command-line.js');
-	return runCommandLine(words, version);
+	return runCommandLine(args, version);
 };
 
 const start = async (): Promise<void> => {
--- a/src/command/operator.ts
+++ b/src/command/operator.ts
@@ -24,7 +24,7 @@
 /** TCP port of the platform if its address has none. */
 const defaultPort = 80;
 /** Maximum number of retries of a change after conflicts with other changes. */
-const racesTried = 5;
+const maxConflictRetries = 5;
 
 /** A connection to the platform on behalf of an operator. */
 export type Operator = {
@@ -41,14 +41,14 @@
  * @returns The connection; fails if neither gives an address.
  */
 export function connectOperator(address: string | undefined): Effect.Effect<Operator, CommandFailure> {
-	const named = address ?? process.env[platformVariable];
-	if (named === undefined || named === '') {
+	const platformAddress = address ?? process.env[platformVariable];
+	if (platformAddress === undefined || platformAddress === '') {
 		return Effect.fail(new CommandFailure({
 			exitCode: exitCode.invalid, lines: [`Name the platform: --platform HOST:PORT, or the variable ${platformVariable}.`],
 		}));
 	}
 
-	const {hostname, port} = new URL(`http://${named}`);
+	const {hostname, port} = new URL(`http://${platformAddress}`);
 	const client = HttpClient.create(hostname, port === '' ? defaultPort : Number(port));
 	const store = HttpObjectStore.create(client);
 	return Effect.succeed({
@@ -108,21 +108,21 @@
 	change: (table: Table) => Effect.Effect<Table, CommandFailure>,
 ): Effect.Effect<VersionedTable, CommandFailure> {
 	const {editor, author} = operator;
-	const once = Effect.gen(function * () {
+	const changeOnce = Effect.gen(function * () {
 		const current = yield * readTable(operator);
 		const table = yield * change(current.table);
 		return yield * editor.apply({
 			base: current.version, table, author, comment,
 		});
 	});
-	const again = (left: number): Effect.Effect<VersionedTable, CommandFailure> => once.pipe(Effect.catch(error => {
+	const changeWithRetries = (retriesLeft: number): Effect.Effect<VersionedTable, CommandFailure> => changeOnce.pipe(Effect.catch(error => {
 		if (error._tag === 'CommandFailure') {
 			return Effect.fail(error);
 		}
 
-		return error._tag === 'TableConflict' && left > 0 ? again(left - 1) : Effect.fail(describeEditFailure(error));
+		return error._tag === 'TableConflict' && retriesLeft > 0 ? changeWithRetries(retriesLeft - 1) : Effect.fail(describeEditFailure(error));
 	}));
-	return again(racesTried);
+	return changeWithRetries(maxConflictRetries);
 }
 
 /**
--- a/src/command/relay-command.ts
+++ b/src/command/relay-command.ts
@@ -11,10 +11,10 @@
 import {exitCode, type ExitCode} from './exit-code.js';
 import {reachPlatform} from './reach-platform.js';
 import {SettingsFile} from './settings-file.js';
-import {onSignal, signalled} from './signals.js';
+import {onSignal, untilSignal} from './signals.js';
 
 /** Interval between two reads of the settings file, in milliseconds. The file may change without a signal. */
-const settingsInterval = 1000;
+const settingsPollInterval = 1000;
 
 /**
  * Runs a relay until the process gets a signal to stop.
@@ -28,8 +28,8 @@
 		metrics.linesLeftOut.inc();
 	});
 	const settings = SettingsFile.create(file ?? process.env[settingsVariable] ?? '', log);
-	const reading = Effect.sync(() => {
-		settings.look();
+	const polling = Effect.sync(() => {
+		settings.poll();
 	});
 	const serving = Effect.gen(function * () {
 		yield * onSignal('SIGHUP', () => {
@@ -37,18 +37,18 @@
 		});
 		// A second SIGTERM must not end the process while requests in progress end after the first one.
 		yield * onSignal('SIGTERM', ignore);
-		yield * Effect.forkScoped(Effect.repeat(reading, Schedule.spaced(settingsInterval)));
+		yield * Effect.forkScoped(Effect.repeat(polling, Schedule.spaced(settingsPollInterval)));
 		settings.reload();
 		// Invalid settings do not end the process: it waits until they are corrected.
 		while (!settings.current) {
-			yield * Effect.sleep(settingsInterval);
+			yield * Effect.sleep(settingsPollInterval);
 		}
 
 		log.name(settings.current.node);
 		const node = yield * RelayNode.start({
 			settings: () => settings.current!, link: reachPlatform(settings.current), log, metrics,
 		});
-		yield * Effect.raceFirst(signalled('SIGTERM'), signalled('SIGINT'));
+		yield * Effect.raceFirst(untilSignal('SIGTERM'), untilSignal('SIGINT'));
 		yield * node.stop();
 	});
 	await Effect.runPromise(Effect.scoped(serving));
--- a/src/command/serve-command.ts
+++ b/src/command/serve-command.ts
@@ -16,7 +16,7 @@
 import {exitCode, type ExitCode} from './exit-code.js';
 
 /** Ends when the process gets SIGTERM or SIGINT. */
-const stopAsked: Effect.Effect<void> = Effect.callback<void>(resume => {
+const stopRequested: Effect.Effect<void> = Effect.callback<void>(resume => {
 	const listener = () => {
 		resume(Effect.void);
 	};
@@ -29,7 +29,7 @@
 	});
 });
 
-function reach(settings: Settings): EntryBoxPlatform {
+function createPlatform(settings: Settings): EntryBoxPlatform {
 	const {host, port} = settings.platform;
 	return {
 		store: HttpObjectStore.create(HttpClient.create(host, port)),
@@ -54,8 +54,8 @@
 	const settings = decoded.success;
 	const log = BunyanEventLog.create(settings.box);
 	const serving = Effect.gen(function * () {
-		const box = yield * EntryBox.start(settings, reach(settings), log);
-		const stopped = stopAsked.pipe(Effect.andThen(Effect.suspend(() => box.stop())));
+		const box = yield * EntryBox.start(settings, createPlatform(settings), log);
+		const stopped = stopRequested.pipe(Effect.andThen(Effect.suspend(() => box.stop())));
 		yield * Effect.raceFirst(stopped, box.untilReclaimed());
 	});
 	await Effect.runPromise(Effect.scoped(serving));
--- a/src/command/settings-file.ts
+++ b/src/command/settings-file.ts
@@ -21,27 +21,27 @@
 	/** The settings in force; `undefined` until valid settings have been read. */
 	current: RelaySettings | undefined;
 	/** The text that was last decoded, valid or not. */
-	private text = '';
+	private decodedText = '';
 	/** The text that the last poll read. */
-	private seen: string | undefined;
+	private polledText: string | undefined;
 
 	private constructor(private readonly file: string, private readonly log: EventLog) {}
 
 	/** Reads the file and applies it at once; called after a signal that it has changed. */
 	reload(): void {
-		this.take(this.read());
+		this.apply(this.read());
 	}
 
 	/**
 	 * Checks whether the file has changed; to be called at intervals. A partly written file may be valid settings too, so a change is
 	 * applied only after two consecutive polls have read the same text. The first settings are applied at once.
 	 */
-	look(): void {
+	poll(): void {
 		const text = this.read();
-		const isSettled = this.current === undefined || text === this.seen;
-		this.seen = text;
+		const isSettled = this.current === undefined || text === this.polledText;
+		this.polledText = text;
 		if (isSettled) {
-			this.take(text);
+			this.apply(text);
 		}
 	}
 
@@ -54,13 +54,13 @@
 		}
 	}
 
-	private take(text: string | undefined): void {
-		if (text === undefined || text === this.text) {
+	private apply(newText: string | undefined): void {
+		if (newText === undefined || newText === this.decodedText) {
 			return;
 		}
 
-		this.text = text;
-		const decoded = decodeRelaySettings(text);
+		this.decodedText = newText;
+		const decoded = decodeRelaySettings(newText);
 		if (Result.isFailure(decoded)) {
 			this.log.write('settingsInvalid', {file: this.file, detail: describeFaults(this.file, decoded.failure)});
 			return;
--- a/src/command/signals.ts
+++ b/src/command/signals.ts
@@ -9,7 +9,7 @@
  * @param name - Name of the signal.
  * @returns Ends when the process gets the signal.
  */
-export const signalled = (name: NodeJS.Signals): Effect.Effect<void> => Effect.callback<void>(resume => {
+export const untilSignal = (name: NodeJS.Signals): Effect.Effect<void> => Effect.callback<void>(resume => {
 	const listener = () => {
 		resume(Effect.void);
 	};
--- a/src/command/status-command.ts
+++ b/src/command/status-command.ts
@@ -5,7 +5,7 @@
 import type {Box} from '../external/box-list.js';
 import type {DataCentreSummary} from '../status/data-centre-summary.js';
 import type {CommandFailure} from './command-failure.js';
-import {readSummaries} from './force-watch.js';
+import {readSummaries} from './wait-in-force.js';
 import {readBoxes, readTable, type Operator} from './operator.js';
 import {
 	print, printValue, renderTable, type OutputFormat,
@@ -38,13 +38,13 @@
 };
 
 function entryStatus(boxes: readonly Box[], summaries: readonly DataCentreSummary[]): readonly BoxStatus[] {
-	const told = new Map(summaries.flatMap(summary => summary.boxes).map(box => [box.box, box]));
+	const reported = new Map(summaries.flatMap(summary => summary.boxes).map(box => [box.box, box]));
 	return boxes.filter(({role}) => role === 'entry').map(({id, dataCentre, state}) => ({
 		box: id,
 		dataCentre,
-		state: told.get(id)?.isStopping ? 'stopping' : state,
-		tableVersion: told.get(id)?.tableVersion,
-		inProgress: told.get(id)?.inProgress,
+		state: reported.get(id)?.isStopping ? 'stopping' : state,
+		tableVersion: reported.get(id)?.tableVersion,
+		inProgress: reported.get(id)?.inProgress,
 	}));
 }
 
@@ -81,13 +81,13 @@
 }
 
 function describe({tableVersion, edit, entryBoxes, pools}: Status): string {
-	const unknown = (value: number | undefined) => value === undefined ? '?' : String(value);
+	const numberOrUnknown = (value: number | undefined) => value === undefined ? '?' : String(value);
 	return [
 		`Table: version ${tableVersion}, edit ${edit.slice(0, 8)}`,
 		'',
 		renderTable({
 			head: ['ENTRY BOX', 'DATA CENTRE', 'STATE', 'TABLE', 'REQUESTS'],
-			rows: entryBoxes.map(box => [box.box, box.dataCentre, box.state, unknown(box.tableVersion), unknown(box.inProgress)]),
+			rows: entryBoxes.map(box => [box.box, box.dataCentre, box.state, numberOrUnknown(box.tableVersion), numberOrUnknown(box.inProgress)]),
 		}),
 		'',
 		renderTable({
--- a/src/command/table-commands.ts
+++ b/src/command/table-commands.ts
@@ -14,14 +14,14 @@
 import type {VersionedTable} from '../table/versioned-table.js';
 import {CommandFailure} from './command-failure.js';
 import {exitCode} from './exit-code.js';
-import {waitInForce} from './force-watch.js';
+import {waitInForce} from './wait-in-force.js';
 import {
 	changeTable, describeEditFailure, invalidFile, readTable, type Operator,
 } from './operator.js';
 import {print, printValue, type OutputFormat} from './output.js';
 
 /** Maximum number of history entries that are searched for an edit. */
-const longestHistory = 1000;
+const maxHistory = 1000;
 
 const invalid = (...lines: readonly string[]) => new CommandFailure({exitCode: exitCode.invalid, lines});
 
@@ -67,7 +67,7 @@
 			return;
 		}
 
-		const tables = yield * operator.editor.history(longestHistory).pipe(Effect.mapError(failure => describeEditFailure(failure)));
+		const tables = yield * operator.editor.history(maxHistory).pipe(Effect.mapError(failure => describeEditFailure(failure)));
 		const found = tables.find(table => table.edit.id.startsWith(edit));
 		if (!found) {
 			return yield * Effect.fail(invalid(`No edit in the history begins with "${edit}".`));
@@ -197,11 +197,11 @@
  * `table history`.
  *
  * @param operator - Connection to the platform.
- * @param most - Maximum number of entries to print.
+ * @param limit - Maximum number of entries to print.
  * @param format - Output format.
  */
-export function printHistory(operator: Operator, most: number, format: OutputFormat): Effect.Effect<void, CommandFailure> {
-	return operator.editor.history(most).pipe(
+export function printHistory(operator: Operator, limit: number, format: OutputFormat): Effect.Effect<void, CommandFailure> {
+	return operator.editor.history(limit).pipe(
 		Effect.mapError(failure => describeEditFailure(failure)),
 		Effect.map(tables => {
 			printValue(format, tables.map(({version, edit}) => ({version, ...edit})), () => ({
--- a/src/command/test/command-line.test.ts
+++ b/src/command/test/command-line.test.ts
@@ -19,11 +19,11 @@
 
 after(async () => installation.close());
 
-type Ended = {readonly code: number; readonly output: string; readonly errors: string};
+type RunResult = {readonly code: number; readonly output: string; readonly errors: string};
 
-async function run(...words: readonly string[]): Promise<Ended> {
+async function run(...args: readonly string[]): Promise<RunResult> {
 	return new Promise(resolve => {
-		execFile(process.execPath, [program, ...words], {
+		execFile(process.execPath, [program, ...args], {
 			env: {...process.env, WAYDRIFT_PLATFORM: `127.0.0.1:${installation.platformPort}`},
 		}, (error, output, errors) => {
 			resolve({code: error ? Number(error.code) : 0, output, errors});
--- a/src/command/test/relay-process.test.ts
+++ b/src/command/test/relay-process.test.ts
@@ -102,9 +102,9 @@
 });
 
 /** Returns a module loader hook that delays the relay's modules until a file exists, to simulate slow loading on a busy machine. */
-const heldLoading = (release: string): string => `import {existsSync} from 'node:fs';
+const delayedLoading = (releaseFile: string): string => `import {existsSync} from 'node:fs';
 export async function resolve(specifier, context, next) {
-	while (specifier.endsWith('relay-command.js') && !existsSync(${JSON.stringify(release)})) {
+	while (specifier.endsWith('relay-command.js') && !existsSync(${JSON.stringify(releaseFile)})) {
 		await new Promise(resume => setTimeout(resume, 10));
 	}
 
@@ -115,14 +115,14 @@
 test('a SIGHUP while the program is loading does not end the process', async () => {
 	const ports = await freeRelayPorts();
 	write(settingsText(ports, await freePort()));
-	const release = path.join(folder, 'loaded');
-	const registers = asModule(`import {register} from 'node:module'; register(${JSON.stringify(asModule(heldLoading(release)))});`);
-	child = Child.start('src/command/main.js', ['relay', '--settings', file()], ['--import', registers]);
+	const releaseFile = path.join(folder, 'loaded');
+	const registration = asModule(`import {register} from 'node:module'; register(${JSON.stringify(asModule(delayedLoading(releaseFile)))});`);
+	child = Child.start('src/command/main.js', ['relay', '--settings', file()], ['--import', registration]);
 	// Node has no signal handler of its own: wait until the program has registered one.
 	await until(() => child!.hasListenerFor('SIGHUP'));
 	assert.equal(child.lines.length, 0, 'the relay has not started yet');
 	child.signal('SIGHUP');
-	writeFileSync(release, '');
+	writeFileSync(releaseFile, '');
 	await child.line(({eventName}) => eventName === 'relayStarted');
 	assert.equal(child.isEnded, false);
 });
--- a/src/command/test/settings-file.test.ts
+++ b/src/command/test/settings-file.test.ts
@@ -14,49 +14,49 @@
 	rmSync(folder, {recursive: true});
 });
 
-const text = (released: readonly string[]): string => `${relaySettingsText({
+const settingsText = (released: readonly string[]): string => `${relaySettingsText({
 	name: 'relay-1', ports: {
 		front: 7000, ready: 7001, control: 7002, metrics: 7003,
 	}, storePort: 7004, grace: 5,
 })}\nquarantine:\n  released:\n${released.map(fingerprint => `    - ${fingerprint}\n`).join('')}`;
 
 test('a file that is polled while it is being written is not applied until it is complete', () => {
-	const before = text(['AbC-_1234567', 'AbC-_7654321']);
-	const next = text(['AbC-_1234567', 'AbC-_7654321', 'AbC-_0000000']);
+	const before = settingsText(['AbC-_1234567', 'AbC-_7654321']);
+	const next = settingsText(['AbC-_1234567', 'AbC-_7654321', 'AbC-_0000000']);
 	writeFileSync(file, before);
 	const log = new KeepingLog();
 	const settings = SettingsFile.create(file, log);
-	settings.look();
-	const whole = settings.current?.released;
-	assert.deepEqual(whole, ['AbC-_1234567', 'AbC-_7654321'], 'the first settings are applied at once');
+	settings.poll();
+	const inForce = settings.current?.released;
+	assert.deepEqual(inForce, ['AbC-_1234567', 'AbC-_7654321'], 'the first settings are applied at once');
 	for (let length = 0; length < next.length; length++) {
 		writeFileSync(file, next.slice(0, length));
-		settings.look();
-		assert.deepEqual(settings.current?.released, whole, `${length} of ${next.length} bytes`);
+		settings.poll();
+		assert.deepEqual(settings.current?.released, inForce, `${length} of ${next.length} bytes`);
 	}
 
 	writeFileSync(file, next);
-	settings.look();
-	settings.look();
+	settings.poll();
+	settings.poll();
 	assert.equal(settings.current?.released.length, 3);
 	assert.deepEqual(log.lines.map(({eventName}) => eventName), ['settingsApplied', 'settingsApplied']);
 });
 
 test('a reload applies a changed file at once; an invalid or missing file leaves the settings in force unchanged', () => {
-	writeFileSync(file, text(['AbC-_1234567']));
+	writeFileSync(file, settingsText(['AbC-_1234567']));
 	const log = new KeepingLog();
 	const settings = SettingsFile.create(file, log);
 	settings.reload();
-	writeFileSync(file, text(['AbC-_7654321']));
+	writeFileSync(file, settingsText(['AbC-_7654321']));
 	settings.reload();
 	assert.deepEqual(settings.current?.released, ['AbC-_7654321']);
 	writeFileSync(file, 'node: [');
-	settings.look();
-	settings.look();
-	settings.look();
+	settings.poll();
+	settings.poll();
+	settings.poll();
 	assert.deepEqual(settings.current.released, ['AbC-_7654321']);
 	rmSync(file);
-	settings.look();
+	settings.poll();
 	assert.deepEqual(settings.current.released, ['AbC-_7654321']);
 	assert.equal(log.lines.filter(({eventName}) => eventName === 'settingsInvalid').length, 2);
 });
--- a/src/command/force-watch.ts
+++ b/src/command/wait-in-force.ts
@@ -11,7 +11,7 @@
 import {readBoxes, unavailable, type Operator} from './operator.js';
 
 /** Interval between two reads of the summaries, in milliseconds. */
-const lookInterval = 1000;
+const pollInterval = 1000;
 
 /**
  * @param operator - Connection to the platform.
@@ -29,7 +29,7 @@
 }
 
 /** @returns The live entry boxes that do not yet report this version or a later one. */
-function laggards(operator: Operator, version: ObjectVersion): Effect.Effect<readonly BoxId[], CommandFailure> {
+function outdatedBoxes(operator: Operator, version: ObjectVersion): Effect.Effect<readonly BoxId[], CommandFailure> {
 	return Effect.gen(function * () {
 		const {boxes} = yield * readBoxes(operator);
 		const summaries = yield * readSummaries(operator);
@@ -47,16 +47,16 @@
 export function waitInForce(operator: Operator, version: ObjectVersion, seconds: number): Effect.Effect<void, CommandFailure> {
 	return Effect.gen(function * () {
 		const endsAt = performance.now() + (seconds * 1000);
-		let late = yield * laggards(operator, version);
-		while (late.length > 0 && performance.now() < endsAt) {
-			yield * Effect.sleep(lookInterval);
-			late = yield * laggards(operator, version);
+		let outdated = yield * outdatedBoxes(operator, version);
+		while (outdated.length > 0 && performance.now() < endsAt) {
+			yield * Effect.sleep(pollInterval);
+			outdated = yield * outdatedBoxes(operator, version);
 		}
 
-		if (late.length > 0) {
+		if (outdated.length > 0) {
 			return yield * Effect.fail(new CommandFailure({
 				exitCode: exitCode.notInForce,
-				lines: [`Version ${version} was accepted, but these boxes do not tell that it is in force: ${late.join(', ')}`],
+				lines: [`Version ${version} was accepted, but these boxes do not tell that it is in force: ${outdated.join(', ')}`],
 			}));
 		}
 	});
