--- a/src/command/table-commands.ts
+++ b/src/command/table-commands.ts
@@ -1,5 +1,5 @@
 /**
- * `waydrift table`: reads and changes the table, the only configuration that operators edit.
+ * `waydrift table`: reads and changes the table, which is the only thing that operators edit.
  */
 import {readFileSync} from 'node:fs';
 import * as Effect from 'effect/Effect';
