--- a/src/command/status-command.ts
+++ b/src/command/status-command.ts
@@ -59,9 +59,9 @@
 			price += member.price;
 		}
 
-		const gone = members.filter(member => isLeaving(member)).length;
+		const leavingCount = members.filter(member => isLeaving(member)).length;
 		return {
-			pool, live: members.length - gone, leaving: gone, price,
+			pool, live: members.length - leavingCount, leaving: leavingCount, price,
 		};
 	});
 }
