--- a/src/command/check-command.ts
+++ b/src/command/check-command.ts
@@ -1,5 +1,5 @@
 /**
- * `waydrift check`: tells all faults of settings and tables, offline.
+ * `waydrift check`: reports all faults of settings files and table files, offline.
  */
 import {readFileSync} from 'node:fs';
 import * as Effect from 'effect/Effect';
@@ -11,13 +11,13 @@
 import {exitCode} from './exit-code.js';
 import {print} from './output.js';
 
-/** A table has rows at its left margin; settings do not. */
-const tableMark = /^(?:rows|accounts|services)\s*:/mv;
+/** Matches a top-level key of a table. Settings files have none of these keys. */
+const tableKeyPattern = /^(?:rows|accounts|services)\s*:/mv;
 
 function faultsOf(file: string): readonly Fault[] {
 	try {
 		const text = readFileSync(file, 'utf8');
-		const decoded: Result.Result<unknown, readonly Fault[]> = tableMark.test(text) ? decodeTable(text) : decodeSettings(text);
+		const decoded: Result.Result<unknown, readonly Fault[]> = tableKeyPattern.test(text) ? decodeTable(text) : decodeSettings(text);
 		return Result.isSuccess(decoded) ? [] : decoded.failure;
 	} catch (error) {
 		return [{path: '', value: undefined, expected: `a file that can be read (${(error as Error).message})`}];
@@ -25,8 +25,8 @@
 }
 
 /**
- * @param files - Settings or tables.
- * @returns Fails with all faults of all files.
+ * @param files - Paths of settings files or table files.
+ * @returns Ends when all files are valid; fails with all faults of all files.
  */
 export function checkFiles(files: readonly string[]): Effect.Effect<void, CommandFailure> {
 	return Effect.suspend(() => {
--- a/src/command/relay-command.ts
+++ b/src/command/relay-command.ts
@@ -1,5 +1,5 @@
 /**
- * `waydrift relay`: a box between the platform's balancer and its replicas.
+ * `waydrift relay`: a proxy between the platform's balancer and its replicas.
  */
 import process from 'node:process';
 import * as Effect from 'effect/Effect';
@@ -11,15 +11,15 @@
 import {exitCode, type ExitCode} from './exit-code.js';
 import {reachPlatform} from './reach-platform.js';
 import {SettingsFile} from './settings-file.js';
-import {onSignal, signalled} from './signals.js';
+import {onSignal, untilSignal} from './signals.js';
 
-/** Milliseconds between two looks at the settings file, which may change without a signal. */
-const settingsInterval = 1000;
+/** Interval between two reads of the settings file, in milliseconds. The file may change without a signal. */
+const settingsPollInterval = 1000;
 
 /**
- * Relays until the process is asked to stop.
+ * Runs a relay until the process gets a signal to stop.
  *
- * @param file - Settings file; by default the one that the platform names.
+ * @param file - Path of the settings file; by default the path in the platform's environment variable.
  * @returns The exit code.
  */
 export async function relay(file: string | undefined): Promise<ExitCode> {
@@ -28,27 +28,27 @@
 		metrics.droppedLogLines.inc();
 	});
 	const settings = SettingsFile.create(file ?? process.env[settingsVariable] ?? '', log);
-	const reading = Effect.sync(() => {
-		settings.look();
+	const polling = Effect.sync(() => {
+		settings.poll();
 	});
 	const serving = Effect.gen(function * () {
 		yield * onSignal('SIGHUP', () => {
 			settings.reload();
 		});
-		// A second one must not cut what the first one lets end.
+		// A second SIGTERM must not end the process while requests in progress end after the first one.
 		yield * onSignal('SIGTERM', ignore);
-		yield * Effect.forkScoped(Effect.repeat(reading, Schedule.spaced(settingsInterval)));
+		yield * Effect.forkScoped(Effect.repeat(polling, Schedule.spaced(settingsPollInterval)));
 		settings.reload();
-		// Bad settings end nothing: they may be mended while the process waits.
+		// Invalid settings do not end the process: it waits until they are corrected.
 		while (!settings.current) {
-			yield * Effect.sleep(settingsInterval);
+			yield * Effect.sleep(settingsPollInterval);
 		}
 
 		log.name(settings.current.node);
 		const node = yield * RelayNode.start({
 			settings: () => settings.current!, link: reachPlatform(settings.current), log, metrics,
 		});
-		yield * Effect.raceFirst(signalled('SIGTERM'), signalled('SIGINT'));
+		yield * Effect.raceFirst(untilSignal('SIGTERM'), untilSignal('SIGINT'));
 		yield * node.stop();
 	});
 	await Effect.runPromise(Effect.scoped(serving));
--- a/src/command/serve-command.ts
+++ b/src/command/serve-command.ts
@@ -15,8 +15,8 @@
 import {decodeSettings, type Settings} from '../settings/settings.js';
 import {exitCode, type ExitCode} from './exit-code.js';
 
-/** Ends when the process is asked to stop. */
-const stopAsked: Effect.Effect<void> = Effect.callback<void>(resume => {
+/** Ends when the process gets SIGTERM or SIGINT. */
+const stopRequested: Effect.Effect<void> = Effect.callback<void>(resume => {
 	const listener = () => {
 		resume(Effect.void);
 	};
@@ -29,7 +29,7 @@
 	});
 });
 
-function reach(settings: Settings): EntryBoxPlatform {
+function createPlatform(settings: Settings): EntryBoxPlatform {
 	const {host, port} = settings.platform;
 	return {
 		store: HttpObjectStore.create(HttpClient.create(host, port)),
@@ -39,9 +39,9 @@
 }
 
 /**
- * Serves until the process is asked to stop or the platform takes the box back.
+ * Runs an entry box until the process gets a signal to stop, or the platform reclaims the box.
  *
- * @param file - Settings file.
+ * @param file - Path of the settings file.
  * @returns The exit code.
  */
 export async function serve(file: string): Promise<ExitCode> {
@@ -54,8 +54,8 @@
 	const settings = decoded.success;
 	const log = BunyanEventLog.create(settings.box);
 	const serving = Effect.gen(function * () {
-		const box = yield * EntryBox.start(settings, reach(settings), log);
-		const stopped = stopAsked.pipe(Effect.andThen(Effect.suspend(() => box.stop())));
+		const box = yield * EntryBox.start(settings, createPlatform(settings), log);
+		const stopped = stopRequested.pipe(Effect.andThen(Effect.suspend(() => box.stop())));
 		yield * Effect.raceFirst(stopped, box.untilReclaimed());
 	});
 	await Effect.runPromise(Effect.scoped(serving));
--- a/src/command/status-command.ts
+++ b/src/command/status-command.ts
@@ -1,16 +1,17 @@
 /**
- * `waydrift status` and `waydrift boxes`: what operators watch.
+ * `waydrift status` and `waydrift boxes`: the state of the table, the entry boxes and the pools.
  */
 import * as Effect from 'effect/Effect';
 import type {Box} from '../external/box-list.js';
 import type {DataCentreSummary} from '../status/data-centre-summary.js';
 import type {CommandFailure} from './command-failure.js';
-import {readSummaries} from './force-watch.js';
+import {readSummaries} from './wait-in-force.js';
 import {readBoxes, readTable, type Operator} from './operator.js';
 import {
 	print, printValue, renderTable, type OutputFormat,
 } from './output.js';
 
+/** Interval between two prints of `status --watch`, in milliseconds. */
 const watchInterval = 2000;
 
 type BoxStatus = {
@@ -25,7 +26,7 @@
 	readonly pool: string;
 	readonly live: number;
 	readonly leaving: number;
-	/** Price units an hour. */
+	/** Price units per hour. */
 	readonly price: number;
 };
 
@@ -37,13 +38,13 @@
 };
 
 function entryStatus(boxes: readonly Box[], summaries: readonly DataCentreSummary[]): readonly BoxStatus[] {
-	const told = new Map(summaries.flatMap(summary => summary.boxes).map(box => [box.box, box]));
+	const reported = new Map(summaries.flatMap(summary => summary.boxes).map(box => [box.box, box]));
 	return boxes.filter(({role}) => role === 'entry').map(({id, dataCentre, state}) => ({
 		box: id,
 		dataCentre,
-		state: told.get(id)?.isStopping ? 'stopping' : state,
-		tableVersion: told.get(id)?.tableVersion,
-		inProgress: told.get(id)?.inProgress,
+		state: reported.get(id)?.isStopping ? 'stopping' : state,
+		tableVersion: reported.get(id)?.tableVersion,
+		inProgress: reported.get(id)?.inProgress,
 	}));
 }
 
@@ -58,9 +59,9 @@
 			price += member.price;
 		}
 
-		const gone = members.filter(member => isLeaving(member)).length;
+		const leavingCount = members.filter(member => isLeaving(member)).length;
 		return {
-			pool, live: members.length - gone, leaving: gone, price,
+			pool, live: members.length - leavingCount, leaving: leavingCount, price,
 		};
 	});
 }
@@ -80,13 +81,13 @@
 }
 
 function describe({tableVersion, edit, entryBoxes, pools}: Status): string {
-	const unknown = (value: number | undefined) => value === undefined ? '?' : String(value);
+	const numberOrUnknown = (value: number | undefined) => value === undefined ? '?' : String(value);
 	return [
 		`Table: version ${tableVersion}, edit ${edit.slice(0, 8)}`,
 		'',
 		renderTable({
 			head: ['ENTRY BOX', 'DATA CENTRE', 'STATE', 'TABLE', 'REQUESTS'],
-			rows: entryBoxes.map(box => [box.box, box.dataCentre, box.state, unknown(box.tableVersion), unknown(box.inProgress)]),
+			rows: entryBoxes.map(box => [box.box, box.dataCentre, box.state, numberOrUnknown(box.tableVersion), numberOrUnknown(box.inProgress)]),
 		}),
 		'',
 		renderTable({
@@ -99,9 +100,9 @@
 /**
  * `status`.
  *
- * @param operator - The platform.
- * @param isWatching - Whether to print again and again.
- * @param format - How to print.
+ * @param operator - Connection to the platform.
+ * @param isWatching - Whether to print repeatedly.
+ * @param format - Output format.
  */
 export function printStatus(operator: Operator, isWatching: boolean, format: OutputFormat): Effect.Effect<void, CommandFailure> {
 	const once = readStatus(operator).pipe(Effect.map(status => {
@@ -113,8 +114,8 @@
 /**
  * `boxes`.
  *
- * @param operator - The platform.
- * @param format - How to print.
+ * @param operator - Connection to the platform.
+ * @param format - Output format.
  */
 export function printBoxes(operator: Operator, format: OutputFormat): Effect.Effect<void, CommandFailure> {
 	return readBoxes(operator).pipe(Effect.map(({boxes}) => {
--- a/src/command/force-watch.ts
+++ b/src/command/wait-in-force.ts
@@ -1,5 +1,5 @@
 /**
- * Waits until a version of the table is in force on every live entry box, as the summaries tell.
+ * Waits until a version of the table is in force on every live entry box, according to the summaries of the data centres.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -10,11 +10,12 @@
 import {exitCode} from './exit-code.js';
 import {readBoxes, unavailable, type Operator} from './operator.js';
 
-const lookInterval = 1000;
+/** Interval between two reads of the summaries, in milliseconds. */
+const pollInterval = 1000;
 
 /**
- * @param operator - The platform.
- * @returns The summaries of all data centres.
+ * @param operator - Connection to the platform.
+ * @returns The summaries of all data centres, without those that cannot be decoded.
  */
 export function readSummaries({store}: Operator): Effect.Effect<readonly DataCentreSummary[], CommandFailure> {
 	return store.list(summaryPrefix).pipe(
@@ -27,8 +28,8 @@
 	);
 }
 
-/** @returns Live entry boxes that have not told that the version is in force. */
-function laggards(operator: Operator, version: ObjectVersion): Effect.Effect<readonly BoxId[], CommandFailure> {
+/** @returns The live entry boxes that do not yet report this version or a later one. */
+function outdatedBoxes(operator: Operator, version: ObjectVersion): Effect.Effect<readonly BoxId[], CommandFailure> {
 	return Effect.gen(function * () {
 		const {boxes} = yield * readBoxes(operator);
 		const summaries = yield * readSummaries(operator);
@@ -38,24 +39,24 @@
 }
 
 /**
- * @param operator - The platform.
- * @param version - The version that was accepted.
- * @param seconds - How long to wait.
- * @returns Ends when it is in force everywhere; fails with the boxes that do not tell so.
+ * @param operator - Connection to the platform.
+ * @param version - The accepted version.
+ * @param seconds - Maximum time to wait, in seconds.
+ * @returns Ends when the version is in force on every live entry box; fails with the boxes that do not report it in time.
  */
 export function waitInForce(operator: Operator, version: ObjectVersion, seconds: number): Effect.Effect<void, CommandFailure> {
 	return Effect.gen(function * () {
 		const endsAt = performance.now() + (seconds * 1000);
-		let late = yield * laggards(operator, version);
-		while (late.length > 0 && performance.now() < endsAt) {
-			yield * Effect.sleep(lookInterval);
-			late = yield * laggards(operator, version);
+		let outdated = yield * outdatedBoxes(operator, version);
+		while (outdated.length > 0 && performance.now() < endsAt) {
+			yield * Effect.sleep(pollInterval);
+			outdated = yield * outdatedBoxes(operator, version);
 		}
 
-		if (late.length > 0) {
+		if (outdated.length > 0) {
 			return yield * Effect.fail(new CommandFailure({
 				exitCode: exitCode.notInForce,
-				lines: [`Version ${version} was accepted, but these boxes do not tell that it is in force: ${late.join(', ')}`],
+				lines: [`Version ${version} was accepted, but these boxes do not tell that it is in force: ${outdated.join(', ')}`],
 			}));
 		}
 	});
--- a/src/daemon/entry-box.ts
+++ b/src/daemon/entry-box.ts
@@ -1,5 +1,5 @@
 /**
- * An entry box: the supervisor tree of its roles, and how it stops.
+ * An entry box: creates its components, supervises its roles, and stops in an orderly way.
  */
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
@@ -40,22 +40,22 @@
 import {RecordHandOver} from './record-hand-over.js';
 import {superviseRoles, type Role} from './role.js';
 
-/** Milliseconds between two sweeps of records. */
+/** Interval between two removals of expired records, in milliseconds. */
 const sweepInterval = 1000;
-/** Part of a reclaim notice that is left for handing requests over. */
-const handOverPart = 0.3;
-/** Milliseconds at least that are left for it. */
-const shortestHandOver = 1500;
+/** Share of the time left under a reclaim notice that is reserved for handing requests over to peers. */
+const handOverShare = 0.3;
+/** Minimum time reserved for the hand-over, in milliseconds. */
+const minHandOver = 1500;
 
-/** What a box reaches outside of itself. */
+/** The external services that an entry box uses. */
 export type EntryBoxPlatform = {
 	readonly store: ObjectStore;
 	readonly list: BoxList;
 	readonly connector: UpstreamConnector;
 };
 
-/** Everything that stands on one box, wired once. */
-type Parts = {
+/** The components of one entry box, created once at the start. */
+type Components = {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 	readonly table: TableView;
@@ -66,15 +66,15 @@
 	readonly handOver: RecordHandOver;
 };
 
-/** An entry box that serves. */
+/** A running entry box. */
 export class EntryBox {
 	/**
-	 * Starts a box. It runs until the scope closes.
+	 * Starts an entry box, which runs until the scope closes.
 	 *
-	 * @param settings - Checked settings.
-	 * @param platform - What it reaches outside of itself.
-	 * @param log - Where events go.
-	 * @returns The box, listening.
+	 * @param settings - Validated settings.
+	 * @param platform - The external services that it uses.
+	 * @param log - Receives the events of the box.
+	 * @returns The box, once it listens on its ports.
 	 */
 	static start(settings: Settings, platform: EntryBoxPlatform, log: EventLog): Effect.Effect<EntryBox, never, Scope.Scope> {
 		return Effect.gen(function * () {
@@ -84,9 +84,9 @@
 		});
 	}
 
-	/** TCP ports it listens on. */
+	/** TCP ports that the box listens on. */
 	readonly ports = {callers: 0, peers: 0, operators: 0};
-	private readonly parts: Parts;
+	private readonly components: Components;
 	private door: CallersDoor | undefined;
 	private isStopping = false;
 
@@ -95,29 +95,30 @@
 		private readonly platform: EntryBoxPlatform,
 		private readonly log: EventLog,
 	) {
-		this.parts = this.wire();
+		this.components = this.createComponents();
 	}
 
-	/** Whether this box should get callers. */
+	/** Whether the load balancer should send callers to this box. */
 	get readiness(): Readiness {
 		if (this.isStopping) {
 			return {isReady: false, detail: 'stopping'};
 		}
 
-		return this.parts.table.inForce
+		return this.components.table.inForce
 			? {isReady: true, detail: 'ready'}
 			: {isReady: false, detail: 'no table yet'};
 	}
 
-	/** Requests in progress. */
+	/** Number of requests in progress. */
 	get inProgress(): number {
-		return this.parts.dispatch.runs.inProgress;
+		return this.components.dispatch.runs.inProgress;
 	}
 
 	/**
-	 * Stops without cutting a request off: the balancer is told, then what is in progress ends by itself.
+	 * Stops without aborting a request: reports itself as not ready, waits for the balancer to notice, then waits for the requests
+	 * in progress to end.
 	 *
-	 * @returns Ends when nothing is in progress any more.
+	 * @returns Ends when no request is in progress any more.
 	 */
 	stop(): Effect.Effect<void> {
 		return Effect.gen({self: this}, function * () {
@@ -127,9 +128,9 @@
 		});
 	}
 
-	/** @returns Ends when the platform takes this box back and its requests have been moved. */
+	/** @returns Ends after the platform has announced that it reclaims this box, and the requests have been moved to peers. */
 	untilReclaimed(): Effect.Effect<void> {
-		const {directory} = this.parts;
+		const {directory} = this.components;
 		const reclaimed = Effect.callback<Leaving & {readonly endsAt: number}>(resume => {
 			const check = (leaving: Leaving | undefined) => {
 				if (leaving?.box === this.settings.box && leaving.endsAt !== undefined) {
@@ -144,15 +145,15 @@
 		return reclaimed.pipe(Effect.flatMap(({endsAt}) => this.leaveBy(endsAt)));
 	}
 
-	/** Lets short requests end, then hands the others over while there is time. */
+	/** Waits for short requests to end, then hands the remaining ones over to peers before the box is reclaimed. */
 	private leaveBy(endsAt: number): Effect.Effect<void> {
 		return Effect.gen({self: this}, function * () {
-			const {clock, dispatch, handOver} = this.parts;
-			const left = endsAt - clock.monotonic();
-			this.log.write('boxReclaimed', {remaining: Math.round(left)});
+			const {clock, dispatch, handOver} = this.components;
+			const remaining = endsAt - clock.monotonic();
+			this.log.write('boxReclaimed', {remaining: Math.round(remaining)});
 			this.beginStopping();
-			const patience = Math.max(0, left - Math.max(shortestHandOver, left * handOverPart));
-			yield * Effect.raceFirst(dispatch.runs.whenIdle(), Effect.sleep(patience));
+			const idleTimeout = Math.max(0, remaining - Math.max(minHandOver, remaining * handOverShare));
+			yield * Effect.raceFirst(dispatch.runs.whenIdle(), Effect.sleep(idleTimeout));
 			yield * handOver.moveActive();
 			yield * Effect.raceFirst(this.drain(), Effect.sleep(Math.max(0, endsAt - clock.monotonic())));
 		});
@@ -170,13 +171,13 @@
 	private drain(): Effect.Effect<void> {
 		return Effect.gen({self: this}, function * () {
 			yield * this.door?.stopListening() ?? Effect.void;
-			yield * this.parts.dispatch.runs.whenIdle();
-			yield * this.parts.handOver.copyFinished();
+			yield * this.components.dispatch.runs.whenIdle();
+			yield * this.components.handOver.copyFinished();
 			this.log.write('boxStopped');
 		});
 	}
 
-	private wire(): Parts {
+	private createComponents(): Components {
 		const {box, dataCentre, records: retention} = this.settings;
 		const {log} = this;
 		const clock = SystemClock.create();
@@ -218,7 +219,7 @@
 			state: () => this.state(),
 			rowNames: () => table.rowNames,
 			takeTable: stored => {
-				this.takeTable(stored);
+				this.applyPeerTable(stored);
 			},
 		});
 		const handOver = RecordHandOver.create({
@@ -232,8 +233,8 @@
 	private open(): Effect.Effect<void, never, Scope.Scope> {
 		return Effect.gen({self: this}, function * () {
 			const {settings, log} = this;
-			const {table, dispatch, metrics} = this.parts;
-			const finder = PeerRecordFinder.create(() => this.parts.peers.reachable);
+			const {table, dispatch, metrics} = this.components;
+			const finder = PeerRecordFinder.create(() => this.components.peers.reachable);
 			this.ports.peers = yield * listenForPeers(this.localPeer(), settings.peers.host, settings.peers.port);
 			yield * superviseRoles(this.roles(), log);
 			this.ports.operators = yield * openOperatorsDoor({
@@ -254,7 +255,7 @@
 	}
 
 	private localPeer(): LocalPeer {
-		const {clock, directory, owner, table, dispatch} = this.parts;
+		const {clock, directory, owner, table, dispatch} = this.components;
 		return LocalPeer.create({
 			clock, directory, owner, table, dispatch, state: () => this.state(),
 		});
@@ -262,7 +263,7 @@
 
 	private roles(): readonly Role[] {
 		const {store, list} = this.platform;
-		const {clock, table, directory, dispatch, peers} = this.parts;
+		const {clock, table, directory, dispatch, peers} = this.components;
 		const {log, settings} = this;
 		const boxWatch = BoxWatch.create(list, directory, clock, log);
 		const summary = SummaryDuty.create({
@@ -292,7 +293,7 @@
 	}
 
 	private state(): PeerState {
-		const {table, directory, clock} = this.parts;
+		const {table, directory, clock} = this.components;
 		const now = clock.monotonic();
 		return {
 			box: this.settings.box,
@@ -304,11 +305,11 @@
 		};
 	}
 
-	/** A peer's table counts like the store's own: both are the same bytes under the same version. */
-	private takeTable({version, value}: StoredTable): void {
+	/** Applies a table that a peer sent. It is as valid as one read from the store: the same version has the same bytes. */
+	private applyPeerTable({version, value}: StoredTable): void {
 		const decoded = decodeVersionedTable(version, value);
 		if (Result.isSuccess(decoded)) {
-			this.parts.table.apply(decoded.success);
+			this.components.table.apply(decoded.success);
 		}
 	}
 }
