--- a/development/fuzz/claim-suite.ts
+++ b/development/fuzz/claim-suite.ts
@@ -10,7 +10,7 @@
 import {Refusal} from '../../src/base/verdict.js';
 import type {ClaimLedger} from '../../src/claims/claim.js';
 import {StoreClaimLedger} from '../../src/claims/store-claim-ledger.js';
-import {runClaimed} from '../../src/dispatch/claimed-run.js';
+import {runWithClaim} from '../../src/dispatch/claimed-run.js';
 import {FakeObjectStore, FakeObjects, type CallFate} from './fake-object-store.js';
 import {step, type Suite} from './suite.js';
 import {VirtualClock, type VirtualTime} from './virtual-time.js';
@@ -58,7 +58,7 @@
 		};
 		const run = Effect.suspend(() => this.execute(key, attempt, fate));
 		this.pending++;
-		Effect.runFork(runClaimed(ledger, claim, run, () => undefined).pipe(
+		Effect.runFork(runWithClaim(ledger, claim, run, () => undefined).pipe(
 			Effect.map(() => 'ran'),
 			Effect.catch(error => Effect.succeed(error._tag === 'Refusal' ? error.verdict : 'ran')),
 			Effect.map(verdict => {
--- a/development/fuzz/event-suite.ts
+++ b/development/fuzz/event-suite.ts
@@ -45,7 +45,7 @@
 		this.deliver(this.pending.length);
 		assert.deepEqual(this.got, this.written, 'the whole stream');
 		assert.deepEqual(EventSplitter.create().split(this.text), this.written, 'the whole stream at once');
-		assert.equal(this.splitter.heldBack, 0, 'nothing is held back behind the last event');
+		assert.equal(this.splitter.incompleteLength, 0, 'nothing is held back behind the last event');
 	}
 
 	/** @returns Whether an end here would be inside an event. */
@@ -57,7 +57,7 @@
 		const whole = this.text.split(blankLine).slice(0, -1).map(event => event + blankLine);
 		assert.deepEqual(whole, this.written.slice(0, whole.length), 'the suite knows what it wrote');
 		assert.deepEqual(this.got, whole, 'each event that has come, and no part of one');
-		assert.equal(this.splitter.heldBack, this.text.length - whole.join('').length, 'what is held back is told');
+		assert.equal(this.splitter.incompleteLength, this.text.length - whole.join('').length, 'what is held back is told');
 	}
 }
 
--- a/development/fuzz/stream-suite.ts
+++ b/development/fuzz/stream-suite.ts
@@ -223,7 +223,7 @@
 			},
 			table: {services: [service], accounts: [], rows: [row]},
 		});
-		directory.takeListing({version: 1, boxes: [...this.engines.keys()].map(name => engineBox(name))});
+		directory.applyListing({version: 1, boxes: [...this.engines.keys()].map(name => engineBox(name))});
 		const facts: CeilingFacts = {ceiling: name => table.ceiling(name), rows: () => [rowName(row)], entryBoxes: () => [id]};
 		const links = UpstreamLinks.create({
 			self: id, directory, clock, log, connector: new FakeConnector(this.engines),
--- a/development/fuzz/virtual-time.ts
+++ b/development/fuzz/virtual-time.ts
@@ -145,7 +145,7 @@
 		return this.time.now + this.offset;
 	}
 
-	override lastWake(): number {
+	override lastResumedAt(): number {
 		return Number.NEGATIVE_INFINITY;
 	}
 
--- a/development/harness/moved-clock.ts
+++ b/development/harness/moved-clock.ts
@@ -23,7 +23,7 @@
 		return this.now + this.shift;
 	}
 
-	override lastWake(): number {
+	override lastResumedAt(): number {
 		return this.wokenAt;
 	}
 
--- a/development/relay/relay-installation.ts
+++ b/development/relay/relay-installation.ts
@@ -10,7 +10,7 @@
 import {configurationKind, configurationName, replicaKind} from '../../platform/formats.js';
 import {EventLog, type EventFields} from '../../src/base/event-log.js';
 import type {EventName} from '../../src/base/event-catalogue.js';
-import {reachPlatform} from '../../src/command/reach-platform.js';
+import {createPlatformLink} from '../../src/command/create-platform-link.js';
 import {RelayNode} from '../../src/node/relay-node.js';
 import {RelayMetrics} from '../../src/relay/relay-metrics.js';
 import type {RelayBounds, RelaySettings} from '../../src/settings/relay-settings.js';
@@ -269,7 +269,7 @@
 		const node = await new Promise<RelayNode>(resolve => {
 			fiber = Effect.runFork(Effect.scoped(Effect.gen(function * () {
 				resolve(yield * RelayNode.start({
-					settings: () => settings, link: reachPlatform(settings), log, metrics,
+					settings: () => settings, link: createPlatformLink(settings), log, metrics,
 				}));
 				yield * Effect.never;
 			})));
--- a/src/base/bounded-event-log.ts
+++ b/src/base/bounded-event-log.ts
@@ -44,7 +44,7 @@
 	}
 
 	/** @param node - Name of the box, which becomes a field of each later line. */
-	name(node: string): void {
+	setBoxName(node: string): void {
 		this.node = node;
 	}
 
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -4,7 +4,7 @@
 import {performance} from 'node:perf_hooks';
 
 /** Milliseconds sent to other boxes as the age of something whose age is unknown; also the maximum of a known age. */
-export const unknownAge = 1_000_000;
+export const unknownAgeMs = 1_000_000;
 
 /** Reads time. Durations are always taken from the monotonic clock. */
 export abstract class Clock {
@@ -13,7 +13,7 @@
 	 * @returns Milliseconds since then; infinite if the machine was suspended in between, as the duration is unknown.
 	 */
 	ageOf(at: number): number {
-		return at > this.lastWake() ? this.monotonic() - at : Number.POSITIVE_INFINITY;
+		return at > this.lastResumedAt() ? this.monotonic() - at : Number.POSITIVE_INFINITY;
 	}
 
 	/** @returns Milliseconds that never decrease, even if the wall clock is set back. Time in which the machine is suspended is not counted. */
@@ -26,7 +26,7 @@
 	 * @returns Monotonic milliseconds at which this process may last have resumed from a suspension; negative infinity if never.
 	 * Anything known before that moment is of unknown age and must not be used.
 	 */
-	abstract lastWake(): number;
+	abstract lastResumedAt(): number;
 }
 
 /** Milliseconds by which the wall clock must gain on the monotonic clock to indicate a suspension. */
@@ -54,7 +54,7 @@
 	 * The wall clock counts the time of a suspension and the monotonic clock does not. A wall clock that is set ahead looks the same;
 	 * then known state is only refreshed once more than needed.
 	 */
-	override lastWake(): number {
+	override lastResumedAt(): number {
 		const now = performance.now();
 		const offset = Date.now() - now;
 		this.resumedAt = offset - this.wallClockOffset > minSuspensionMs ? now : this.resumedAt;
--- a/src/base/http-client.ts
+++ b/src/base/http-client.ts
@@ -12,7 +12,7 @@
 /** An HTTP call that failed without a complete answer. */
 export class HttpFailure extends Data.TaggedError('HttpFailure')<{
 	/** Whether a part of the request may have been sent. */
-	readonly maySent: boolean;
+	readonly mayHaveBeenSent: boolean;
 	readonly detail: string;
 }> {}
 
@@ -107,7 +107,7 @@
 			// Not removed after the first error, since an error event without a listener would crash the process.
 			outgoing.on('error', error => {
 				clearTimeout(timer);
-				resume(Effect.fail(new HttpFailure({maySent: isConnected, detail: error.message})));
+				resume(Effect.fail(new HttpFailure({mayHaveBeenSent: isConnected, detail: error.message})));
 			});
 			outgoing.once('response', message => {
 				message.once('close', () => {
@@ -143,7 +143,7 @@
 		const chunks: Uint8Array[] = [];
 		let size = 0;
 		const fail = (detail: string) => {
-			resume(Effect.fail(new HttpFailure({maySent: true, detail})));
+			resume(Effect.fail(new HttpFailure({mayHaveBeenSent: true, detail})));
 		};
 
 		message.on('data', (chunk: Uint8Array) => {
--- a/src/base/port.ts
+++ b/src/base/port.ts
@@ -1,2 +1,2 @@
 /** The highest port number of TCP and UDP. */
-export const largestPort = 65_535;
+export const maxPort = 65_535;
--- a/src/base/rate-meter.ts
+++ b/src/base/rate-meter.ts
@@ -31,7 +31,7 @@
 	}
 
 	/** @param units - Units to add at the current time. */
-	note(units: number): void {
+	addSample(units: number): void {
 		this.sum = this.decayedSum() + units;
 		this.updatedAt = this.clock.monotonic();
 	}
--- a/src/base/rendezvous.ts
+++ b/src/base/rendezvous.ts
@@ -32,7 +32,7 @@
  * @param text - Text to hash.
  * @returns A number from 0 to 1.
  */
-export function shareOf(text: string): number {
+export function hashFraction(text: string): number {
 	return hashText(text) / maxHash;
 }
 
--- a/src/base/rotated.ts
+++ b/src/base/rotating-slice.ts
@@ -8,7 +8,7 @@
  * @param turn - Number of the message, which increases by one with each, so that every item is sent in turn.
  * @returns The items of this message.
  */
-export function rotated<Item>(items: readonly Item[], maxItems: number, turn: number): readonly Item[] {
+export function rotatingSlice<Item>(items: readonly Item[], maxItems: number, turn: number): readonly Item[] {
 	const first = items.length <= maxItems ? 0 : (turn * maxItems) % items.length;
 	return [...items, ...items].slice(first, first + Math.min(maxItems, items.length));
 }
--- a/src/base/test/bounded-event-log.test.ts
+++ b/src/base/test/bounded-event-log.test.ts
@@ -19,7 +19,7 @@
 	const log = BoundedEventLog.create(output, () => {
 		droppedLines++;
 	});
-	log.name('node-1');
+	log.setBoxName('node-1');
 	for (let index = 0; index < 5000; index++) {
 		log.write('requestAnswered', {request: `a-${index}`});
 		log.write('requestRefused', {request: `r-${index}`});
--- a/src/boxes/box-directory.ts
+++ b/src/boxes/box-directory.ts
@@ -11,7 +11,7 @@
 export type LeavingSource = 'reclaim-notice' | 'box-list' | 'peer' | 'upstream';
 
 /** A box that is leaving. */
-export type Leaving = {
+export type LeavingBox = {
 	readonly box: BoxId;
 	readonly source: LeavingSource;
 	/** Monotonic milliseconds on this box's clock at which the platform removes the leaving box; `undefined` if unknown. */
@@ -21,7 +21,7 @@
 /** Milliseconds for which a box that is no longer listed is remembered as leaving. */
 const goneRetentionMs = 1_800_000;
 
-type LeavingListener = (leaving: Leaving) => void;
+type LeavingListener = (leaving: LeavingBox) => void;
 
 /** Holds the last listing and all boxes that are marked as leaving. */
 export class BoxDirectory {
@@ -36,7 +36,7 @@
 	}
 
 	private listing: BoxListing = {version: 0, boxes: []};
-	private readonly leaving = new Map<BoxId, Leaving>();
+	private readonly leaving = new Map<BoxId, LeavingBox>();
 	/** Monotonic milliseconds at which boxes disappeared from the list. */
 	private readonly goneAt = new Map<BoxId, number>();
 	private readonly leavingListeners = new Set<LeavingListener>();
@@ -56,7 +56,7 @@
 	}
 
 	/** All boxes marked as leaving that an outdated list may still contain. */
-	get leavingBoxes(): readonly Leaving[] {
+	get leavingBoxes(): readonly LeavingBox[] {
 		const oldest = this.clock.monotonic() - goneRetentionMs;
 		return [...this.leaving.values()].filter(({box}) => (this.goneAt.get(box) ?? Number.POSITIVE_INFINITY) > oldest);
 	}
@@ -81,7 +81,7 @@
 	 *
 	 * @param listing - Listing from the platform.
 	 */
-	takeListing(listing: BoxListing): void {
+	applyListing(listing: BoxListing): void {
 		if (listing.version <= this.listing.version) {
 			return;
 		}
@@ -125,7 +125,7 @@
 			return;
 		}
 
-		const leaving: Leaving = {box, source: known?.source ?? source, endsAt};
+		const leaving: LeavingBox = {box, source: known?.source ?? source, endsAt};
 		this.leaving.set(box, leaving);
 		if (!known) {
 			this.log.write('upstreamLeaving', {upstream: box, source});
@@ -148,7 +148,7 @@
 	 * @param box - Name of the box.
 	 * @returns Source and end if the box is leaving; `undefined` otherwise.
 	 */
-	leavingOf(box: BoxId): Leaving | undefined {
+	leavingOf(box: BoxId): LeavingBox | undefined {
 		return this.leaving.get(box);
 	}
 
@@ -164,7 +164,7 @@
 	 * @param listener - Called for each box that is leaving, and again when its end becomes known or earlier.
 	 * @returns A function that ends the subscription.
 	 */
-	onDidLeave(listener: LeavingListener): () => void {
+	onDidMarkLeaving(listener: LeavingListener): () => void {
 		this.leavingListeners.add(listener);
 		return () => {
 			this.leavingListeners.delete(listener);
--- a/src/boxes/box-watch.ts
+++ b/src/boxes/box-watch.ts
@@ -42,7 +42,7 @@
 			this.isFailing = false;
 			if (listing) {
 				this.logUnreadable(listing.unreadable);
-				this.directory.takeListing(listing);
+				this.directory.applyListing(listing);
 			}
 		}));
 		return Effect.forever(this.delayAfterFailure(poll));
--- a/src/boxes/test/box-directory.test.ts
+++ b/src/boxes/test/box-directory.test.ts
@@ -27,7 +27,7 @@
 			} else {
 				version++;
 				const boxes = new Map(step.map(([id, state]) => [id, box(id, state)]));
-				directory.takeListing({version, boxes: [...boxes.values()]});
+				directory.applyListing({version, boxes: [...boxes.values()]});
 				for (const {id, state} of boxes.values()) {
 					if (state === 'leaving') {
 						leavingIds.add(id);
@@ -43,7 +43,7 @@
 test('the end of a leaving box can only be set or moved to an earlier time', () => {
 	const directory = BoxDirectory.create('self' as BoxId, VirtualClock.create({now: 0}), SilentEventLog.create());
 	const ends: Array<number | undefined> = [];
-	directory.onDidLeave(({endsAt}) => ends.push(endsAt));
+	directory.onDidMarkLeaving(({endsAt}) => ends.push(endsAt));
 	for (const endsAt of [undefined, 5000, undefined, 9000, 3000]) {
 		directory.markLeaving('a' as BoxId, 'peer', endsAt);
 	}
@@ -53,8 +53,8 @@
 
 test('a box that is missing from the list does not mark itself as leaving', () => {
 	const directory = BoxDirectory.create('self' as BoxId, VirtualClock.create({now: 0}), SilentEventLog.create());
-	directory.takeListing({version: 1, boxes: [{...box('self', 'live'), role: 'entry'}, box('a', 'live')]});
-	directory.takeListing({version: 2, boxes: []});
+	directory.applyListing({version: 1, boxes: [{...box('self', 'live'), role: 'entry'}, box('a', 'live')]});
+	directory.applyListing({version: 2, boxes: []});
 	assert.ok(!directory.isLeaving('self' as BoxId));
 	assert.ok(directory.isLeaving('a' as BoxId));
 });
--- a/src/command/reach-platform.ts
+++ b/src/command/create-platform-link.ts
@@ -14,7 +14,7 @@
  * @param settings - Addresses of the platform's services.
  * @returns The clients and formats that a relay uses to talk to the platform.
  */
-export function reachPlatform({store, duties}: Pick<RelaySettings, 'store' | 'duties'>): PlatformLink {
+export function createPlatformLink({store, duties}: Pick<RelaySettings, 'store' | 'duties'>): PlatformLink {
 	return {
 		names: {
 			configurationKind, configurationName, replicaKind, decodeConfiguration, decodeReplica,
--- a/src/command/operator.ts
+++ b/src/command/operator.ts
@@ -10,7 +10,7 @@
 import {HttpBoxList} from '../external/http-box-list.js';
 import {HttpObjectStore} from '../external/http-object-store.js';
 import type {ObjectStore, StoreFailure} from '../external/object-store.js';
-import {collisionsOf, describeChange, differenceOf} from '../table/table-difference.js';
+import {findConflicts, describeChange, differenceOf} from '../table/table-difference.js';
 import {
 	TableEditor, type EditUnsettled, type TableConflict, type TableUnreadable,
 } from '../table/table-editor.js';
@@ -165,7 +165,7 @@
 
 	const theirs = differenceOf(base.table, current.table);
 	const yours = differenceOf(base.table, mine);
-	const collisions = collisionsOf(yours, theirs);
+	const collisions = findConflicts(yours, theirs);
 	return [
 		head,
 		`Changed since version ${base.version}:`,
--- a/src/command/relay-command.ts
+++ b/src/command/relay-command.ts
@@ -9,7 +9,7 @@
 import {RelayNode} from '../node/relay-node.js';
 import {RelayMetrics} from '../relay/relay-metrics.js';
 import {exitCode, type ExitCode} from './exit-code.js';
-import {reachPlatform} from './reach-platform.js';
+import {createPlatformLink} from './create-platform-link.js';
 import {SettingsFile} from './settings-file.js';
 import {onSignal, untilSignal} from './signals.js';
 
@@ -44,9 +44,9 @@
 			yield * Effect.sleep(settingsPollInterval);
 		}
 
-		log.name(settings.current.node);
+		log.setBoxName(settings.current.node);
 		const node = yield * RelayNode.start({
-			settings: () => settings.current!, link: reachPlatform(settings.current), log, metrics,
+			settings: () => settings.current!, link: createPlatformLink(settings.current), log, metrics,
 		});
 		yield * Effect.raceFirst(untilSignal('SIGTERM'), untilSignal('SIGINT'));
 		yield * node.stop();
--- a/src/daemon/entry-box.ts
+++ b/src/daemon/entry-box.ts
@@ -7,7 +7,7 @@
 import {SystemClock, type Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
 import {Metrics} from '../base/metrics.js';
-import {BoxDirectory, type Leaving} from '../boxes/box-directory.js';
+import {BoxDirectory, type LeavingBox} from '../boxes/box-directory.js';
 import {BoxWatch} from '../boxes/box-watch.js';
 import {StoreClaimLedger} from '../claims/store-claim-ledger.js';
 import type {DispatchServices} from '../dispatch/dispatch-services.js';
@@ -15,11 +15,11 @@
 import {RunRegistry} from '../dispatch/run-registry.js';
 import type {UpstreamConnector} from '../dispatch/upstream-connector.js';
 import {UpstreamLinks} from '../dispatch/upstream-links.js';
-import {CallersDoor} from '../door/callers-door.js';
-import {ChatDoor} from '../door/chat-door.js';
-import {openOperatorsDoor, type Readiness} from '../door/operators-door.js';
-import {RequestDoor} from '../door/request-door.js';
-import {ServiceDoor} from '../door/service-door.js';
+import {CallerListener} from '../door/caller-listener.js';
+import {ChatHandler} from '../door/chat-handler.js';
+import {openOperatorsListener, type Readiness} from '../door/operators-listener.js';
+import {RequestStatusHandler} from '../door/request-status-handler.js';
+import {ServiceHandler} from '../door/service-handler.js';
 import {Lease} from '../lease/lease.js';
 import {CeilingOwner, type CeilingFacts} from '../limits/ceiling-owner.js';
 import {Ceilings} from '../limits/ceilings.js';
@@ -87,7 +87,7 @@
 	/** TCP ports that the box listens on. */
 	readonly ports = {callers: 0, peers: 0, operators: 0};
 	private readonly components: Components;
-	private door: CallersDoor | undefined;
+	private door: CallerListener | undefined;
 	private isStopping = false;
 
 	private constructor(
@@ -131,15 +131,15 @@
 	/** @returns Ends after the platform has announced that it reclaims this box, and the requests have been moved to peers. */
 	untilReclaimed(): Effect.Effect<void> {
 		const {directory} = this.components;
-		const reclaimed = Effect.callback<Leaving & {readonly endsAt: number}>(resume => {
-			const check = (leaving: Leaving | undefined) => {
+		const reclaimed = Effect.callback<LeavingBox & {readonly endsAt: number}>(resume => {
+			const check = (leaving: LeavingBox | undefined) => {
 				if (leaving?.box === this.settings.box && leaving.endsAt !== undefined) {
 					resume(Effect.succeed({...leaving, endsAt: leaving.endsAt}));
 				}
 			};
 
 			check(directory.leavingOf(this.settings.box));
-			const stop = directory.onDidLeave(check);
+			const stop = directory.onDidMarkLeaving(check);
 			return Effect.sync(stop);
 		});
 		return reclaimed.pipe(Effect.flatMap(({endsAt}) => this.leaveBy(endsAt)));
@@ -237,17 +237,17 @@
 			const finder = PeerRecordFinder.create(() => this.components.peers.reachable);
 			this.ports.peers = yield * listenForPeers(this.localPeer(), settings.peers.host, settings.peers.port);
 			yield * superviseRoles(this.roles(), log);
-			this.ports.operators = yield * openOperatorsDoor({
+			this.ports.operators = yield * openOperatorsListener({
 				metrics, readiness: () => this.readiness, status: () => this.state(),
 			}, settings.operators.host, settings.operators.port);
-			this.door = yield * CallersDoor.open({
+			this.door = yield * CallerListener.open({
 				settings: settings.callers,
 				table,
 				log,
 				metrics,
-				chat: ChatDoor.create(dispatch, table, finder),
-				plainServices: ServiceDoor.create(dispatch, table),
-				requests: RequestDoor.create(dispatch, finder),
+				chat: ChatHandler.create(dispatch, table, finder),
+				plainServices: ServiceHandler.create(dispatch, table),
+				requests: RequestStatusHandler.create(dispatch, finder),
 			});
 			this.ports.callers = this.door.port;
 			log.write('boxStarted', {...this.ports});
--- a/src/dispatch/chat-attempt.ts
+++ b/src/dispatch/chat-attempt.ts
@@ -143,7 +143,7 @@
 
 			const deadline = setTimeout(check, Math.max(0, this.plan.deadlineAt - clock.monotonic()) + 1);
 			const interval = setInterval(check, checkInterval);
-			const unsubscribe = directory.onDidLeave(({box}) => {
+			const unsubscribe = directory.onDidMarkLeaving(({box}) => {
 				if (box === this.link.state.box.id) {
 					check();
 				}
--- a/src/dispatch/chat-run.ts
+++ b/src/dispatch/chat-run.ts
@@ -9,7 +9,7 @@
 import {rowName, type Row, type Service} from '../table/table.js';
 import type {UpstreamFailure} from '../upstream/upstream-failure.js';
 import {ChatAttempt, type AttemptOutcome} from './chat-attempt.js';
-import {runClaimed} from './claimed-run.js';
+import {runWithClaim} from './claimed-run.js';
 import {
 	backoff, evaluateFailure, passCeiling, refuseWithoutUpstream,
 } from './dispatch-outcome.js';
@@ -109,7 +109,7 @@
 			account, key, fingerprint, attempt: AttemptId(requestId),
 		};
 		const alreadyRan = Refusal.create('claim-held', 'This request has run.', {verdict: 'ran'});
-		return runClaimed(this.services.ledger, claim, this.serve(), () => undefined)
+		return runWithClaim(this.services.ledger, claim, this.serve(), () => undefined)
 			.pipe(Effect.catchTag('KeptAnswerFound', () => Effect.fail(alreadyRan)));
 	}
 
--- a/src/dispatch/claimed-run.ts
+++ b/src/dispatch/claimed-run.ts
@@ -30,7 +30,7 @@
  * @returns The answer of `run`. Fails with `KeptAnswerFound` if an earlier attempt ran and its answer was stored, or with a refusal if the claim
  * is held otherwise or cannot be recorded.
  */
-export function runClaimed<Answer>(
+export function runWithClaim<Answer>(
 	ledger: ClaimLedger,
 	claim: ClaimRequest,
 	run: Effect.Effect<Answer, Refusal>,
--- a/src/dispatch/service-run.ts
+++ b/src/dispatch/service-run.ts
@@ -11,7 +11,7 @@
 import {rowName, type Row, type Service} from '../table/table.js';
 import type {PlainAnswer} from '../upstream/plain-service.js';
 import type {UpstreamFailure} from '../upstream/upstream-failure.js';
-import {runClaimed} from './claimed-run.js';
+import {runWithClaim} from './claimed-run.js';
 import type {DispatchServices} from './dispatch-services.js';
 import {
 	backoff, evaluateFailure, passCeiling, refuseWithoutUpstream,
@@ -82,7 +82,7 @@
 		const claim: ClaimRequest = {
 			account, key, fingerprint, attempt,
 		};
-		return runClaimed(this.services.ledger, claim, this.serve(), toKeptAnswer)
+		return runWithClaim(this.services.ledger, claim, this.serve(), toKeptAnswer)
 			.pipe(Effect.catchTag('KeptAnswerFound', ({answer}) => Effect.succeed(replayedAnswer(answer))));
 	}
 
--- a/src/dispatch/test/dispatch-outcome.test.ts
+++ b/src/dispatch/test/dispatch-outcome.test.ts
@@ -18,7 +18,7 @@
 	gates: {budget: () => ({withdraw: () => true})},
 	log: {write: () => undefined},
 } as unknown as DispatchServices;
-const upstream = {box: {id: 'engine-1'}, noteFailure: () => false} as unknown as UpstreamState;
+const upstream = {box: {id: 'engine-1'}, recordFailure: () => false} as unknown as UpstreamState;
 
 const attempt = (changes: Partial<FailedAttempt>): FailedAttempt => ({
 	failure: new UpstreamFailure({reason: 'cut', verdict: 'may-have-run', detail: 'the connection was cut'}),
--- a/src/dispatch/upstream-links.ts
+++ b/src/dispatch/upstream-links.ts
@@ -80,7 +80,7 @@
 					this.reconcile();
 				}),
 				// An upstream of a subset that is leaving is replaced at once.
-				directory.onDidLeave(() => {
+				directory.onDidMarkLeaving(() => {
 					this.reconcile();
 				}),
 			];
--- a/src/door/callers-door.ts
+++ b/src/door/caller-listener.ts
@@ -19,11 +19,11 @@
 import {authenticate} from './authentication.js';
 import {readBody} from './body-reader.js';
 import type {CallerExchange} from './caller-exchange.js';
-import type {ChatDoor} from './chat-door.js';
+import type {ChatHandler} from './chat-handler.js';
 import {problemOf, sendProblem, writeProblem} from './problem.js';
 import {RefusalLog} from './refusal-log.js';
-import type {RequestDoor} from './request-door.js';
-import type {ServiceDoor} from './service-door.js';
+import type {RequestStatusHandler} from './request-status-handler.js';
+import type {ServiceHandler} from './service-handler.js';
 
 /** Milliseconds between two checks for slow senders. */
 const slowSenderCheckInterval = 1000;
@@ -42,9 +42,9 @@
 	readonly table: TableView;
 	readonly log: EventLog;
 	readonly metrics: Metrics;
-	readonly chat: ChatDoor;
-	readonly plainServices: ServiceDoor;
-	readonly requests: RequestDoor;
+	readonly chat: ChatHandler;
+	readonly plainServices: ServiceHandler;
+	readonly requests: RequestStatusHandler;
 };
 
 /** A method, the paths it applies to, and their handler. */
@@ -55,16 +55,16 @@
 };
 
 /** Listens for callers, authenticates their requests and routes them to handlers. */
-export class CallersDoor {
+export class CallerListener {
 	/**
 	 * Listens until the scope closes.
 	 *
 	 * @param services - The services that the listener depends on.
 	 * @returns The listener, which already listens.
 	 */
-	static open(services: CallerListenerServices): Effect.Effect<CallersDoor, never, Scope.Scope> {
+	static open(services: CallerListenerServices): Effect.Effect<CallerListener, never, Scope.Scope> {
 		const listen = Effect.promise(async () => {
-			const listener = new CallersDoor(services);
+			const listener = new CallerListener(services);
 			listener.server.listen(services.settings.port, services.settings.host);
 			await once(listener.server, 'listening');
 			return listener;
--- a/src/door/chat-door.ts
+++ b/src/door/chat-handler.ts
@@ -35,15 +35,15 @@
 const positionPattern = /^\d{1,9}$/v;
 
 /** Answers chat completions; resumes streams after a disconnect, also streams of other boxes. */
-export class ChatDoor {
+export class ChatHandler {
 	/**
 	 * @param services - The services of this box.
 	 * @param table - The table in force.
 	 * @param finder - Finds records at other boxes.
 	 * @returns The handler.
 	 */
-	static create(services: DispatchServices, table: TableView, finder: RecordFinder): ChatDoor {
-		return new ChatDoor(services, table, finder);
+	static create(services: DispatchServices, table: TableView, finder: RecordFinder): ChatHandler {
+		return new ChatHandler(services, table, finder);
 	}
 
 	private constructor(
--- a/src/door/operators-door.ts
+++ b/src/door/operators-listener.ts
@@ -65,7 +65,7 @@
  * @param port - TCP port; zero for any.
  * @returns The TCP port.
  */
-export function openOperatorsDoor(services: OperatorsListenerServices, host: string, port: number): Effect.Effect<number, never, Scope.Scope> {
+export function openOperatorsListener(services: OperatorsListenerServices, host: string, port: number): Effect.Effect<number, never, Scope.Scope> {
 	const open = Effect.promise(async (): Promise<Server> => {
 		const server = createServer((incoming, response) => {
 			answer(incoming.url ?? '/', response, services);
--- a/src/door/request-door.ts
+++ b/src/door/request-status-handler.ts
@@ -29,14 +29,14 @@
 const isRequestKey = Schema.is(RequestKey);
 
 /** Answers queries for the state of a request. */
-export class RequestDoor {
+export class RequestStatusHandler {
 	/**
 	 * @param services - Provide the records and claims.
 	 * @param finder - Finds records at other boxes.
 	 * @returns The handler.
 	 */
-	static create(services: DispatchServices, finder: RecordFinder): RequestDoor {
-		return new RequestDoor(services, finder);
+	static create(services: DispatchServices, finder: RecordFinder): RequestStatusHandler {
+		return new RequestStatusHandler(services, finder);
 	}
 
 	private constructor(private readonly services: DispatchServices, private readonly finder: RecordFinder) {}
--- a/src/door/service-door.ts
+++ b/src/door/service-handler.ts
@@ -15,14 +15,14 @@
 const pathPattern = /^\/v1\/services\/(?<service>[^\/?]{1,63})(?<rest>\/[^?#]*)?$/v;
 
 /** Answers calls to plain services. */
-export class ServiceDoor {
+export class ServiceHandler {
 	/**
 	 * @param services - The services of this box.
 	 * @param table - The table in force.
 	 * @returns The handler.
 	 */
-	static create(services: DispatchServices, table: TableView): ServiceDoor {
-		return new ServiceDoor(services, table);
+	static create(services: DispatchServices, table: TableView): ServiceHandler {
+		return new ServiceHandler(services, table);
 	}
 
 	private constructor(private readonly services: DispatchServices, private readonly table: TableView) {}
--- a/src/duties/duty-lease.ts
+++ b/src/duties/duty-lease.ts
@@ -155,7 +155,7 @@
 	decide(decide: (record: DutyRecord) => DutyRecord): Effect.Effect<ActPermit, StoreUnavailable | DutyTaken> {
 		return Effect.gen({self: this}, function * () {
 			const {self, clock, store} = this.services;
-			if (this.isRecordStale || this.syncedAt <= clock.lastWake()) {
+			if (this.isRecordStale || this.syncedAt <= clock.lastResumedAt()) {
 				yield * this.read();
 			}
 
--- a/src/external/http-object-store.ts
+++ b/src/external/http-object-store.ts
@@ -69,7 +69,7 @@
 	private call(call: HttpCall, expected: readonly number[]): Effect.Effect<HttpAnswer, StoreFailure> {
 		return this.client.exchange(call).pipe(
 			Effect.mapError((failure: HttpFailure) => new StoreFailure({
-				reason: 'unreachable', mayHaveApplied: failure.maySent, detail: failure.detail,
+				reason: 'unreachable', mayHaveApplied: failure.mayHaveBeenSent, detail: failure.detail,
 			})),
 			Effect.flatMap(answer => expected.includes(answer.status) ? Effect.succeed(answer) : Effect.fail(failureOf(answer))),
 		);
--- a/src/follow/store-availability.ts
+++ b/src/follow/store-availability.ts
@@ -1,7 +1,7 @@
 /**
  * When the store answered this box and others, and when it last came back after an outage in which entries may have lapsed because nobody could write them.
  */
-import {unknownAge, type Clock} from '../base/clock.js';
+import {unknownAgeMs, type Clock} from '../base/clock.js';
 
 /** The availability of the store. */
 export class StoreAvailability {
@@ -41,7 +41,7 @@
 
 	/** @param age - Milliseconds since the store answered another box, as that one says; `unknownAge` says nothing. */
 	notePeerAnswer(age: number): void {
-		if (age < unknownAge) {
+		if (age < unknownAgeMs) {
 			this.noteAnswer(this.clock.monotonic() - age);
 		}
 	}
--- a/src/gossip/gossip-message.ts
+++ b/src/gossip/gossip-message.ts
@@ -1,7 +1,7 @@
 /**
  * What boxes tell each other, one datagram at a time; gossip-codec.ts lays it out.
  */
-import {largestPort} from '../base/port.js';
+import {maxPort} from '../base/port.js';
 import type {CrashLedgerUpdate} from '../quarantine/crash-ledger.js';
 import type {RingRange} from '../replicas/limit-slots.js';
 import type {ReplicaWork} from '../replicas/replica.js';
@@ -24,7 +24,7 @@
  * @returns Whether a datagram can be sent there.
  */
 export function canBeSentTo({host, port}: Pick<MemberAddress, 'host' | 'port'>): boolean {
-	return host !== '' && Number.isInteger(port) && port > 0 && port <= largestPort;
+	return host !== '' && Number.isInteger(port) && port > 0 && port <= maxPort;
 }
 
 /** Work of boxes at one replica. */
--- a/src/gossip/peer-table.ts
+++ b/src/gossip/peer-table.ts
@@ -66,7 +66,7 @@
 
 	private constructor(private readonly self: string, private readonly clock: Clock, private readonly log: EventLog) {
 		this.startedAt = clock.monotonic();
-		this.anchor = {offset: clock.wall() - clock.monotonic(), at: clock.lastWake()};
+		this.anchor = {offset: clock.wall() - clock.monotonic(), at: clock.lastResumedAt()};
 	}
 
 	/** All other boxes that may be there. */
@@ -106,7 +106,7 @@
 	get heard(): readonly Peer[] {
 		const now = this.clock.monotonic();
 		const known = this.heardLately;
-		const wokenAt = this.clock.lastWake();
+		const wokenAt = this.clock.lastResumedAt();
 		if (known?.within === this.heardWithin && now - known.at < viewLifetime && known.at >= wokenAt) {
 			return known.peers;
 		}
@@ -159,7 +159,7 @@
 
 	/** After a suspension, which the steady clock has not counted, the others tell how long it was. */
 	private get ownOffset(): number {
-		const wokenAt = this.clock.lastWake();
+		const wokenAt = this.clock.lastResumedAt();
 		const {heard} = this;
 		if (wokenAt > this.anchor.at && heard.length > 0) {
 			this.anchor = {offset: medianOf(heard.map(({wallOffset}) => wallOffset)), at: wokenAt};
--- a/src/node/exchange-state.ts
+++ b/src/node/exchange-state.ts
@@ -1,7 +1,7 @@
 /**
  * Builds the gossip messages that this box sends, and applies the messages that it receives.
  */
-import {unknownAge, type Clock} from '../base/clock.js';
+import {unknownAgeMs, type Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
 import type {StoreAvailability} from '../follow/store-availability.js';
 import type {ExchangeTopology} from '../gossip/exchange-topology.js';
@@ -69,7 +69,7 @@
 			version: table.version,
 			...(Number.isFinite(table.proofAge) ? {proofAge: Math.ceil(table.proofAge)} : {}),
 			isStopping: isStopping(),
-			storeAge: Math.min(unknownAge, Math.round(availability.ownSilence)),
+			storeAge: Math.min(unknownAgeMs, Math.round(availability.ownSilence)),
 			departed: replicas.departedWithin(topology.isLarge ? recentWindow : undefined),
 			...(replicaRole.listState ? {replicas: replicaRole.listState} : {}),
 			...(ends ? {ends} : {}),
--- a/src/node/limit-stretches.ts
+++ b/src/node/limit-stretches.ts
@@ -3,7 +3,7 @@
  * use the slots on its stretch of the line. The lengths of the stretches are in proportion to the demand at each box where that is known, otherwise equal.
  */
 import type {Clock} from '../base/clock.js';
-import {shareOf} from '../base/rendezvous.js';
+import {hashFraction} from '../base/rendezvous.js';
 import {sumOf} from '../base/sum.js';
 import type {ExchangeTopology} from '../gossip/exchange-topology.js';
 import type {ServiceStretch} from '../gossip/gossip-message.js';
@@ -64,7 +64,7 @@
 		const received = this.received.get(service);
 		return received && clock.monotonic() - received.at < receivedLifetime
 			? received.stretch
-			: {from: shareOf(self), length: 1 / peers.boxes};
+			: {from: hashFraction(self), length: 1 / peers.boxes};
 	}
 
 	/**
--- a/src/node/relay-node.ts
+++ b/src/node/relay-node.ts
@@ -7,7 +7,7 @@
 import type * as Scope from 'effect/Scope';
 import {SystemClock, type Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
-import {shareOf} from '../base/rendezvous.js';
+import {hashFraction} from '../base/rendezvous.js';
 import {superviseRoles, type Role} from '../daemon/role.js';
 import {UsageCounts} from '../duties/usage-counts.js';
 import {StoreAvailability} from '../follow/store-availability.js';
@@ -340,7 +340,7 @@
 		const wall = clock.wall();
 		const [gap, wallGap] = [now - sampledAt.monotonic, wall - sampledAt.wall];
 		if (Math.max(gap, wallGap) > maxSampleGap) {
-			this.parts.log.write('boxStoodStill', {steady: Math.round(gap), wall: Math.round(wallGap), isSuspension: clock.lastWake() > sampledAt.monotonic});
+			this.parts.log.write('boxStoodStill', {steady: Math.round(gap), wall: Math.round(wallGap), isSuspension: clock.lastResumedAt() > sampledAt.monotonic});
 		}
 
 		this.sampledAt = {monotonic: now, wall};
@@ -376,7 +376,7 @@
 }
 
 function fallbackDelayOf(box: string, {least, spread}: {readonly least: number; readonly spread: number}): number {
-	return least + (spread * shareOf(box));
+	return least + (spread * hashFraction(box));
 }
 
 function compressed(document: unknown): ControlResponse | undefined {
--- a/src/node/replica-role.ts
+++ b/src/node/replica-role.ts
@@ -4,7 +4,7 @@
 import * as Effect from 'effect/Effect';
 import * as Result from 'effect/Result';
 import * as Schema from 'effect/Schema';
-import {unknownAge, type Clock} from '../base/clock.js';
+import {unknownAgeMs, type Clock} from '../base/clock.js';
 import type {EventFields, EventLog} from '../base/event-log.js';
 import {createDecoder, describeFaults} from '../base/faults.js';
 import {KindFollower} from '../follow/kind-follower.js';
@@ -145,7 +145,7 @@
 
 	/** Milliseconds since the list was last known to be complete. */
 	private get age(): number {
-		return Math.min(unknownAge, this.services.clock.ageOf(this.provenAt));
+		return Math.min(unknownAgeMs, this.services.clock.ageOf(this.provenAt));
 	}
 
 	/** @returns An effect that follows the list in the store while this box needs to, until interrupted. */
@@ -388,7 +388,7 @@
 		const {clock, log, replicas, availability} = this.services;
 		const now = clock.monotonic();
 		const until = now + Math.min(rewriteTime, left);
-		const storeBackFor = Math.min(unknownAge, Math.round(now - availability.returnedAt));
+		const storeBackFor = Math.min(unknownAgeMs, Math.round(now - availability.returnedAt));
 		log.write('replicaLapsed', {
 			replica: object.name, revision, source, storeBackFor, inUseFor: Math.round(until - now),
 		});
--- a/src/node/test/suspension.test.ts
+++ b/src/node/test/suspension.test.ts
@@ -122,13 +122,13 @@
 	const wall = Date.now;
 	const mocked = mock.method(Date, 'now', () => wall() + ahead);
 	const system = SystemClock.create();
-	assert.equal(system.lastWake(), Number.NEGATIVE_INFINITY);
+	assert.equal(system.lastResumedAt(), Number.NEGATIVE_INFINITY);
 	ahead = -5000;
-	assert.equal(system.lastWake(), Number.NEGATIVE_INFINITY);
+	assert.equal(system.lastResumedAt(), Number.NEGATIVE_INFINITY);
 	const before = system.monotonic();
 	ahead = -4000;
-	const wokenAt = system.lastWake();
+	const wokenAt = system.lastResumedAt();
 	assert.ok(wokenAt >= before);
-	assert.equal(system.lastWake(), wokenAt, 'one suspension is detected once');
+	assert.equal(system.lastResumedAt(), wokenAt, 'one suspension is detected once');
 	mocked.mock.restore();
 });
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -7,7 +7,7 @@
 import type {EventLog} from '../base/event-log.js';
 import type {BoxId} from '../base/identifiers.js';
 import type {Metrics} from '../base/metrics.js';
-import type {BoxDirectory, Leaving} from '../boxes/box-directory.js';
+import type {BoxDirectory, LeavingBox} from '../boxes/box-directory.js';
 import {grantLifetime} from '../limits/ceiling-grant.js';
 import type {CeilingOwner} from '../limits/ceiling-owner.js';
 import type {Ceilings} from '../limits/ceilings.js';
@@ -85,7 +85,7 @@
 			const stopChanges = directory.onDidChange(() => {
 				this.reconcile();
 			});
-			const stopLeaving = directory.onDidLeave(leaving => {
+			const stopLeaving = directory.onDidMarkLeaving(leaving => {
 				this.announce(leaving);
 			});
 			return Effect.sync(() => {
@@ -208,7 +208,7 @@
 	}
 
 	/** Tells all peers at once; those that miss it hear it with the next exchange. */
-	private announce({box, source, endsAt}: Leaving): void {
+	private announce({box, source, endsAt}: LeavingBox): void {
 		if (source === 'peer') {
 			return;
 		}
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -6,7 +6,7 @@
  */
 import type {Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
-import {rankOwners, shareOf} from '../base/rendezvous.js';
+import {rankOwners, hashFraction} from '../base/rendezvous.js';
 import type {Replica} from '../replicas/replica.js';
 import type {ReplicaDirectory} from '../replicas/replica-directory.js';
 import {attributeCrashes, type Attribution, type Suspect} from './crash-attribution.js';
@@ -145,7 +145,7 @@
 		const gap = last - before;
 		// After a shorter gap the last crash was not that of a trial after quarantine.
 		const delay = gap < firstTrialDelay ? firstTrialDelay : gap * trialDelayGrowth;
-		return Math.max(0, last + Math.min(delay * (1 + shareOf(fingerprint)), crashLifetime) - this.services.clock.monotonic());
+		return Math.max(0, last + Math.min(delay * (1 + hashFraction(fingerprint)), crashLifetime) - this.services.clock.monotonic());
 	}
 
 	/**
--- a/src/quota/quota-ledger.ts
+++ b/src/quota/quota-ledger.ts
@@ -158,7 +158,7 @@
 		const bucket = this.bucketOf(clientAccount);
 		this.refill(clientAccount, bucket);
 		bucket.changedAt = this.clock.monotonic();
-		bucket.demandMeter.note(units);
+		bucket.demandMeter.addSample(units);
 		bucket.meanUnits += (units - bucket.meanUnits) * (bucket.meanUnits === 0 ? 1 : meanWeight);
 		if (bucket.level <= 0) {
 			return Math.max(1, -bucket.level / bound.rate * millisecondsPerSecond);
@@ -166,7 +166,7 @@
 
 		bucket.level -= units;
 		bucket.passed += units;
-		bucket.ownMeter.note(units);
+		bucket.ownMeter.addSample(units);
 		return 0;
 	}
 
@@ -182,7 +182,7 @@
 			bucket.changedAt = this.clock.monotonic();
 			bucket.level += units;
 			bucket.passed -= units;
-			bucket.ownMeter.note(-units);
+			bucket.ownMeter.addSample(-units);
 		}
 	}
 
@@ -240,7 +240,7 @@
 				bucket.level = Math.min(bucket.level, level);
 			} else if (meeting !== 'apart') {
 				bucket.level -= passed - before;
-				bucket.othersMeter.note(passed - before);
+				bucket.othersMeter.addSample(passed - before);
 			}
 		}
 
--- a/src/relay/relay-run.ts
+++ b/src/relay/relay-run.ts
@@ -171,7 +171,7 @@
 	 * disconnected.
 	 */
 	private checkSuspension(): Effect.Effect<void, Refusal> {
-		return Effect.suspend(() => this.services.clock.lastWake() > this.request.receivedAt
+		return Effect.suspend(() => this.services.clock.lastResumedAt() > this.request.receivedAt
 			? Effect.fail(this.refuse('no-upstream', 'This box stood still while it held the request.'))
 			: Effect.void);
 	}
--- a/src/relay/stream-forwarder.ts
+++ b/src/relay/stream-forwarder.ts
@@ -91,7 +91,7 @@
 			let isOver = false;
 			const end = (failure?: AttemptFailure) => {
 				isOver = true;
-				this.recordRunEnd(splitter.heldBack);
+				this.recordRunEnd(splitter.incompleteLength);
 				resume(failure ? Effect.fail(failure) : Effect.void);
 			};
 
@@ -115,7 +115,7 @@
 					this.applyBackpressure(answer);
 				}
 
-				if (misfit !== undefined || splitter.isOverfull) {
+				if (misfit !== undefined || splitter.exceedsMaxLength) {
 					answer.abandon();
 					end(this.misfitFailure(misfit ?? 'oversize'));
 				}
@@ -126,8 +126,8 @@
 				}
 
 				// The framing may mark an answer as complete although its last event is incomplete.
-				if (!isWhole || splitter.heldBack > 0) {
-					end(AttemptFailure.mayHaveRun('cut', `the stream was cut after ${this.sequence.acceptedCount} events, ${splitter.heldBack} bytes into the next`));
+				if (!isWhole || splitter.incompleteLength > 0) {
+					end(AttemptFailure.mayHaveRun('cut', `the stream was cut after ${this.sequence.acceptedCount} events, ${splitter.incompleteLength} bytes into the next`));
 					return;
 				}
 
--- a/src/replicas/limit-slots.ts
+++ b/src/replicas/limit-slots.ts
@@ -4,7 +4,7 @@
  *
  * @remarks Source: docs/DESIGN.md, "Limits that replicas name".
  */
-import {shareOf} from '../base/rendezvous.js';
+import {hashFraction} from '../base/rendezvous.js';
 import {sumOf} from '../base/sum.js';
 
 /** Range of a ring of length one that belongs to one box: the box owns each slot whose position lies in the range. */
@@ -59,7 +59,7 @@
 export function ownSlots({start, limit, range}: SlotPlan, after: number, until: number): readonly Slot[] {
 	const requests = Math.ceil(limit / maxSlotsPerSecond);
 	const interval = millisecondsPerSecond / (limit / requests);
-	const phase = shareOf(start);
+	const phase = hashFraction(start);
 	const first = Math.floor((after / interval) - phase) + 1;
 	const count = Math.max(0, Math.floor((until / interval) - phase) - first + 1);
 	const owns = (number: number): boolean => fractionOf(phase + ((number % positionPeriod) * positionStep) - range.from) < range.length;
--- a/src/replicas/replica-connections.ts
+++ b/src/replicas/replica-connections.ts
@@ -155,7 +155,7 @@
 
 	private acquireIdle(needsFresh: boolean): Socket | undefined {
 		const now = this.clock.monotonic();
-		const resumedAt = this.clock.lastWake();
+		const resumedAt = this.clock.lastResumedAt();
 		// While this process was suspended, the replica's keep-alive time went on, so it may have closed the connection.
 		const usable = this.idle.filter(({socket, since, until}) => !socket.destroyed && now < until && since >= resumedAt
 			&& (!needsFresh || now - since < maxFreshIdleTime));
--- a/src/replicas/replica-limits.ts
+++ b/src/replicas/replica-limits.ts
@@ -5,7 +5,7 @@
  */
 import type {Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
-import {rotated} from '../base/rotated.js';
+import {rotatingSlice} from '../base/rotating-slice.js';
 import {
 	ownSlots, slotLifetime, type Slot, type RingRange,
 } from './limit-slots.js';
@@ -243,7 +243,7 @@
 		const eligible = [...this.knownLimits].filter(([, {source, changedAt, limit, at}]) => sources.includes(source) && changedAt >= since
 			&& (limit !== undefined || now - at <= endedLimitRetention));
 		this.rotation++;
-		const selected = rotated(eligible, maxCount, this.rotation);
+		const selected = rotatingSlice(eligible, maxCount, this.rotation);
 		return selected.length > 0 ? selected.map(([start, {limit, at}]) => ({start, limit, age: Math.max(0, Math.round(now - at))})) : undefined;
 	}
 
--- a/src/replicas/replica-statements.ts
+++ b/src/replicas/replica-statements.ts
@@ -3,7 +3,7 @@
  */
 import type {Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
-import {rotated} from '../base/rotated.js';
+import {rotatingSlice} from '../base/rotating-slice.js';
 import type {Replica} from './replica.js';
 import type {ReplicaDirectory} from './replica-directory.js';
 import type {ReplicaLimits} from './replica-limits.js';
@@ -79,7 +79,7 @@
 			start, kind: 'pause', value: length, age,
 		}));
 		this.rotation++;
-		const selected = [...rotated(leaving, maxCount, this.rotation), ...rotated(pauses, maxCount, this.rotation), ...limited];
+		const selected = [...rotatingSlice(leaving, maxCount, this.rotation), ...rotatingSlice(pauses, maxCount, this.rotation), ...limited];
 		return selected.length > 0 ? selected : undefined;
 	}
 
--- a/src/replicas/service-demand.ts
+++ b/src/replicas/service-demand.ts
@@ -106,8 +106,8 @@
 	 * @param goal - Milliseconds within which the response has to begin.
 	 */
 	recordArrival(unreadTokens: number, goal: number): void {
-		this.arrivals.note(1);
-		this.unread.note(unreadTokens);
+		this.arrivals.addSample(1);
+		this.unread.addSample(unreadTokens);
 		this.arrivalSamples++;
 		const weight = Math.max(arrivalWeight, 1 / this.arrivalSamples);
 		this.meanTokens += (unreadTokens - this.meanTokens) * weight;
@@ -117,14 +117,14 @@
 
 	/** Records a request that was rejected without a replica; it counts as demand nevertheless. */
 	recordRejected(): void {
-		this.arrivals.note(1);
-		this.unread.note(this.meanTokens);
-		this.missed.note(1);
+		this.arrivals.addSample(1);
+		this.unread.addSample(this.meanTokens);
+		this.missed.addSample(1);
 	}
 
 	/** @param isInTime - Whether the response to a request began within its goal. */
 	recordOutcome(isInTime: boolean): void {
-		(isInTime ? this.met : this.missed).note(1);
+		(isInTime ? this.met : this.missed).addSample(1);
 	}
 
 	/** @param duration - Milliseconds that a request spent at a replica without queueing. */
--- a/src/settings/relay-settings.ts
+++ b/src/settings/relay-settings.ts
@@ -4,10 +4,10 @@
 import * as Result from 'effect/Result';
 import * as Schema from 'effect/Schema';
 import type {Fault} from '../base/faults.js';
-import {largestPort} from '../base/port.js';
+import {maxPort} from '../base/port.js';
 import {decodeYaml} from '../base/yaml-file.js';
 
-const Port = Schema.Int.check(Schema.isBetween({minimum: 1, maximum: largestPort}, {expected: `a port, 1 to ${largestPort}`}));
+const Port = Schema.Int.check(Schema.isBetween({minimum: 1, maximum: maxPort}, {expected: `a port, 1 to ${maxPort}`}));
 const AddressText = Schema.String
 	.check(Schema.isPattern(
 		/^(?:\d{1,3}\.){3}\d{1,3}:(?:[1-9]\d{0,3}|[1-5]\d{4}|6[0-4]\d{3}|65[0-4]\d{2}|655[0-2]\d|6553[0-5])$/v,
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -7,7 +7,7 @@
 import * as Schema from 'effect/Schema';
 import type {Fault} from '../base/faults.js';
 import {BoxId, DataCentre} from '../base/identifiers.js';
-import {largestPort} from '../base/port.js';
+import {maxPort} from '../base/port.js';
 import {decodeYaml} from '../base/yaml-file.js';
 
 const positiveInteger = (description: string, defaultValue: number) => Schema.Int
@@ -16,7 +16,7 @@
 	.pipe(Schema.withDecodingDefaultKey(Effect.succeed(defaultValue)));
 
 const port = (description: string) => Schema.Int
-	.check(Schema.isBetween({minimum: 0, maximum: largestPort}, {expected: 'a TCP port, 0 to 65535'}))
+	.check(Schema.isBetween({minimum: 0, maximum: maxPort}, {expected: 'a TCP port, 0 to 65535'}))
 	.annotate({description});
 
 const host = (description: string) => Schema.String
--- a/src/table/table-difference.ts
+++ b/src/table/table-difference.ts
@@ -66,7 +66,7 @@
  * @param theirs - Changes of another editor to the same table.
  * @returns Names of the parts that both changed differently.
  */
-export function collisionsOf(mine: readonly TableChange[], theirs: readonly TableChange[]): readonly string[] {
+export function findConflicts(mine: readonly TableChange[], theirs: readonly TableChange[]): readonly string[] {
 	return mine
 		.filter(change => theirs.some(other => other.part === change.part && !isSame(other, change)))
 		.map(({part}) => part);
--- a/src/upstream/event-splitter.ts
+++ b/src/upstream/event-splitter.ts
@@ -29,12 +29,12 @@
 	}
 
 	/** Number of characters received of an incomplete event. */
-	get heldBack(): number {
+	get incompleteLength(): number {
 		return this.buffered.length;
 	}
 
 	/** Whether the incomplete event exceeds the maximum length. */
-	get isOverfull(): boolean {
+	get exceedsMaxLength(): boolean {
 		return this.buffered.length > maxEventLength;
 	}
 
--- a/src/upstream/http-model-engine.ts
+++ b/src/upstream/http-model-engine.ts
@@ -30,8 +30,8 @@
 const decodeImport = createDecoder(Schema.Struct({tokens: Schema.Int}), 'ignore');
 
 const failureOf = (failure: HttpFailure): UpstreamFailure => new UpstreamFailure({
-	reason: failure.maySent ? 'cut' : 'unreachable',
-	verdict: failure.maySent ? 'may-have-run' : 'not-run',
+	reason: failure.mayHaveBeenSent ? 'cut' : 'unreachable',
+	verdict: failure.mayHaveBeenSent ? 'may-have-run' : 'not-run',
 	detail: failure.detail,
 });
 
@@ -143,8 +143,8 @@
 			message.pause();
 		}
 
-		if (splitter.isOverfull) {
-			fault ??= `${splitter.heldBack} characters without the end of an event`;
+		if (splitter.exceedsMaxLength) {
+			fault ??= `${splitter.incompleteLength} characters without the end of an event`;
 		}
 	};
 
--- a/src/upstream/http-plain-service.ts
+++ b/src/upstream/http-plain-service.ts
@@ -10,7 +10,7 @@
 
 const unavailable = 503;
 
-const failureOf = (failure: HttpFailure): UpstreamFailure => failure.maySent
+const failureOf = (failure: HttpFailure): UpstreamFailure => failure.mayHaveBeenSent
 	? new UpstreamFailure({reason: 'cut', verdict: 'may-have-run', detail: failure.detail})
 	: new UpstreamFailure({reason: 'unreachable', verdict: 'not-run', detail: failure.detail});
 
--- a/src/upstream/test/event-splitter.test.ts
+++ b/src/upstream/test/event-splitter.test.ts
@@ -18,7 +18,7 @@
 		const splitter = EventSplitter.create();
 		const received = cutAt(events.join('') + part, positions).flatMap(piece => splitter.split(piece));
 		assert.deepEqual(received, events);
-		assert.equal(splitter.heldBack, part.length);
+		assert.equal(splitter.incompleteLength, part.length);
 	});
 	fc.assert(property, {seed, numRuns: 2000});
 });
@@ -27,7 +27,7 @@
 	const splitter = EventSplitter.create();
 	const events = ['id: 1\ndata: a\n\n', 'x\n\n', ': still there\n\n'];
 	assert.deepEqual([...events.join('')].flatMap(character => splitter.split(character)), events);
-	assert.equal(splitter.heldBack, 0);
+	assert.equal(splitter.incompleteLength, 0);
 });
 
 test('an event without an end is reported when it exceeds the maximum length', () => {
@@ -35,7 +35,7 @@
 	const piece = 'x'.repeat(65_536);
 	const pieces = Array.from({length: 16}, () => piece);
 	assert.deepEqual(pieces.flatMap(part => splitter.split(part)), []);
-	assert.equal(splitter.isOverfull, false);
+	assert.equal(splitter.exceedsMaxLength, false);
 	splitter.split('x');
-	assert.equal(splitter.isOverfull, true);
+	assert.equal(splitter.exceedsMaxLength, true);
 });
