--- a/development/harness/departure-fleet.ts
+++ b/development/harness/departure-fleet.ts
@@ -145,7 +145,7 @@
 		});
 		// Only what the list of replicas needs is there.
 		const parts = {
-			clock, log, peers, topology, availability, configuration, replicaRole: role, isStopping: () => false, stretches: {take: () => undefined}, services: {replicas, table, ...otherServices},
+			clock, log, peers, topology, availability, configuration, replicaRole: role, isStopping: () => false, stretches: {applyReceived: () => undefined}, services: {replicas, table, ...otherServices},
 		} as unknown as ExchangeParts;
 		const fibers = [role.follow(), role.sweep(), configuration.follow(), configuration.prove()].map(effect => Effect.runFork(effect));
 		return {
@@ -260,14 +260,14 @@
 };
 
 const otherServices = {
-	quarantine: {told: () => undefined},
-	statements: {told: () => undefined},
+	quarantine: {collectUpdate: () => undefined},
+	statements: {updates: () => undefined},
 	quota: {
-		counts: [], recentCounts: [], levelsFor: () => [], knows: () => true, takeCounts: () => undefined, adopt: () => undefined,
+		counts: [], recentCounts: [], levelsFor: () => [], knows: () => true, applyCounts: () => undefined, adopt: () => undefined,
 	},
-	usage: {told: [], recent: [], take: () => undefined},
-	demands: {told: []},
-	limits: {services: [], lookForSlots: () => undefined},
+	usage: {ownUsage: [], recentOwnUsage: [], merge: () => undefined},
+	demands: {snapshots: []},
+	limits: {services: [], openDueSlots: () => undefined},
 };
 
 /** A configuration that never changes. */
--- a/development/harness/exchange-fleet.ts
+++ b/development/harness/exchange-fleet.ts
@@ -183,7 +183,7 @@
 		const table = {version: 33, proofAge: 420};
 		const configuration = {fetchFrom: () => undefined};
 		const availability = {ownSilence: 120, notePeerAnswer: () => undefined};
-		const replicaRole = {told: {at: 812, age: 95}, take: () => undefined, changesSince: () => ({at: 812, changes: []})};
+		const replicaRole = {listState: {at: 812, age: 95}, applyPeerUpdate: () => undefined, changesSince: () => ({at: 812, changes: []})};
 		const parts = {
 			clock, log, peers, topology, services: {
 				replicas, quota, demands, usage, table, quarantine, limits, statements,
