--- a/development/bench/bare-relay.ts
+++ b/development/bench/bare-relay.ts
@@ -1,5 +1,6 @@
 /**
- * The floor: a relay of Node's own http and nothing else, without authorisation, routing, limits or records.
+ * Baseline of the relay benchmark: a proxy that uses only Node's `http`, without authorisation, routing, limits or records.
+ * It forwards to the port given as its parameter, prints its own port as JSON, and exits when its standard input ends.
  */
 import process from 'node:process';
 import {Agent, createServer, request} from 'node:http';
--- a/development/bench/capacity.ts
+++ b/development/bench/capacity.ts
@@ -1,6 +1,6 @@
 /**
- * The slopes behind docs/CAPACITY.md: what one more peer, upstream, row, stream or claim costs an entry box
- * and the platform.
+ * Measures the slopes in docs/CAPACITY.md: how much each additional peer, upstream, row, stream or claim costs
+ * an entry box and the platform.
  */
 import process from 'node:process';
 import {randomUUID} from 'node:crypto';
@@ -18,36 +18,41 @@
 import {processorTime, residentMemory} from './process-cost.js';
 import {openIdle} from './stream-client.js';
 
-/** Milliseconds that a quiet installation is watched. */
+/** Milliseconds over which the use of an idle installation is measured. */
 const watchTime = 8000;
-/** Milliseconds until a fresh installation is quiet: compiled, connected, garbage collected. */
+/** Milliseconds until a new installation is idle: its code is compiled, its connections are open, its garbage is collected. */
 const settleTime = 5000;
+// Sizes to measure at: numbers of entry boxes, upstreams, table rows, open streams and claiming callers.
 const peerSizes = [4, 8, 16, 32] as const;
 const upstreamSizes = [8, 32, 128] as const;
 const rowSizes = [10, 100, 400] as const;
 const streamSizes = [100, 300, 600] as const;
 const claimSizes = [4, 16, 64] as const;
+/** Claims that each caller makes, one after another. */
 const claimsEach = 40;
 const picture = 'docs/capacity.svg';
 
-/** What one entry box uses when nothing is asked of it. */
+/** Resource use without requests: per entry box, except for the platform calls. */
 type Quiet = {
-	/** Milliseconds of processor time a second: tenths of a percent of a core. */
+	/** Milliseconds of processor time per second, so 10 is one percent of a core. */
 	readonly processor: number;
-	/** Megabytes. */
+	/** Resident memory in megabytes. */
 	readonly memory: number;
-	/** Kilobytes a second over the network, sent. */
+	/** Kilobytes per second sent over the network. */
 	readonly network: number;
-	/** Calls of all boxes on the platform a second. */
+	/** Reads per second from the platform, of all boxes together. */
 	readonly reads: number;
+	/** Writes per second to the platform, of all boxes together. */
 	readonly writes: number;
 };
 
+/** Size of an installation to measure. */
 type Shape = {readonly entries: number; readonly upstreams: number; readonly rows: number};
 
-/** A slope and where it comes from. */
+/** A fitted line with its measurements. */
 type Slope = {readonly name: string; readonly unit: string; readonly points: readonly Point[]; readonly line: Line};
 
+/** @returns Bytes received over the loopback interface since the machine started; all boxes of the installation use it. */
 const loopbackBytes = (): number => {
 	const line = readFileSync('/proc/net/dev', 'utf8').split('\n').find(text => text.trim().startsWith('lo:'))!;
 	return Number(line.trim().split(/\s+/v)[1]);
@@ -57,7 +62,10 @@
 	return await control(installation.platformPort, 'calls', {}) as {readonly reads: number; readonly writes: number};
 }
 
-/** A table with so many rows. */
+/**
+ * @param rows - Rows to add to those of the test table.
+ * @returns The extended table.
+ */
 function tableOf(rows: number): Table {
 	const table = testTable();
 	const row = table.rows[0]!;
@@ -76,7 +84,7 @@
 		});
 	}
 
-	// A few at a time: dozens of processes that compile at once tell nothing about quiet ones.
+	// Four at a time: dozens of processes that compile at the same time would still be busy when the idle use is measured.
 	for (let index = 0; index < entries; index += 4) {
 		await Promise.all(Array.from({length: Math.min(4, entries - index)}, async (_, turn) => installation.addEntry(`entry-${index + turn}`, {dataCentre: 'dc-1'})));
 	}
@@ -85,6 +93,7 @@
 	return installation;
 }
 
+/** Measures the use of resources of an installation that gets no requests. */
 async function watchQuiet(installation: Installation): Promise<Quiet> {
 	await delay(settleTime);
 	const members = installation.entries;
@@ -116,6 +125,7 @@
 	};
 }
 
+/** Measures an idle installation at each size, and fits a line to each resource. */
 async function sweep(label: string, sizes: readonly number[], shapeOf: (size: number) => Shape, sourcePort: number): Promise<readonly Slope[]> {
 	const quiet: Quiet[] = [];
 	for (const size of sizes) {
@@ -132,7 +142,7 @@
 	];
 }
 
-/** Memory of open streams that stand still. */
+/** Measures the memory of an entry box by its number of open idle streams. */
 async function sweepStreams(sourcePort: number): Promise<readonly Slope[]> {
 	const installation = await start({entries: 1, upstreams: 32, rows: 0}, sourcePort);
 	const [{box, child}] = installation.entries as readonly [Member];
@@ -153,7 +163,7 @@
 	return [slope('memory an open stream', 'MB', streamSizes, values)];
 }
 
-/** Claims: writes of the platform and milliseconds, by how many callers claim at once at four boxes. */
+/** Measures claims and platform writes per second, and latency, by the number of callers that claim concurrently at four boxes. */
 async function sweepClaims(): Promise<readonly Slope[]> {
 	const installation = await Installation.create();
 	await installation.applyTable(testTable());
@@ -184,6 +194,7 @@
 	];
 }
 
+/** @returns Milliseconds of each claimed call that was answered. */
 async function claimTogether(installation: Installation, callers: number): Promise<readonly number[]> {
 	const {entries} = installation;
 	const times = await Promise.all(Array.from({length: callers}, async (_, index) => {
@@ -203,7 +214,7 @@
 	return times.flat();
 }
 
-/** How long a change takes until it is in force on every box. */
+/** @returns Milliseconds from sending a table until it is in force on every box, for ten changes. */
 async function measureInForce(entries: number): Promise<readonly number[]> {
 	const installation = await start({entries, upstreams: 0, rows: 20}, 1);
 	const times: number[] = [];
@@ -229,7 +240,7 @@
 	}
 }
 
-/** Measures all slopes, or those named on the command line; prints them and, where all were measured, draws them. */
+/** Measures and prints all slopes, or those named on the command line; plots them only if all were measured. */
 export async function benchCapacity(): Promise<void> {
 	const source = Child.start('development/bench/token-source.js', []);
 	const {port} = await source.line(line => 'port' in line);
--- a/development/bench/exchange.ts
+++ b/development/bench/exchange.ts
@@ -1,22 +1,25 @@
 /**
- * What an aggregator of a large fleet spends on a message, and what goes over its link: `npm run bench -- exchange`.
+ * Measures the processor time of an aggregator per message, and its network traffic, in large fleets:
+ * `npm run bench -- exchange`.
  */
 import process from 'node:process';
 import {SystemClock} from '../../src/base/clock.js';
 import {sumOf} from '../../src/base/sum.js';
 import {ExchangeFleet} from '../harness/exchange-fleet.js';
 
+/** Numbers of boxes, one measurement each. */
 const sizes = [30, 86, 300, 340] as const;
 const replicas = 84;
 const clientAccounts = 16;
-/** Requests that each box has in progress. */
+/** Requests in progress at each box. */
 const inProgress = 3;
+/** Rounds of messages to warm up, not counted. */
 const roundsBefore = 10;
 const roundsMeasured = 30;
 const millisecondsPerSecond = 1000;
 const microsecondsPerMillisecond = 1000;
 
-/** Prints a row for each size of the fleet. */
+/** Prints a row for each fleet size, without and with limits on all replicas. */
 export async function benchExchange(): Promise<void> {
 	process.stdout.write('| Boxes | Limits | Messages/s | Heard | Sent | Processor time a message | Processor time |\n| --- | --- | --- | --- | --- | --- | --- |\n');
 	for (const {boxes, areLimited} of sizes.flatMap(size => [false, true].map(flag => ({boxes: size, areLimited: flag})))) {
--- a/development/bench/fit.ts
+++ b/development/bench/fit.ts
@@ -1,15 +1,15 @@
 /**
- * Straight lines through measurements.
+ * Fits straight lines to measurements.
  */
 
 /** A measurement: `y` at size `x`. */
 export type Point = {readonly x: number; readonly y: number};
 
-/** A straight line and how far the measurements are from it. */
+/** A straight line and its largest deviation from the measurements. */
 export type Line = {
 	readonly slope: number;
 	readonly intercept: number;
-	/** Largest distance of a measurement from the line. */
+	/** Largest absolute difference in `y` between a measurement and the line. */
 	readonly residual: number;
 };
 
@@ -23,8 +23,8 @@
 };
 
 /**
- * @param points - At least two, of different sizes.
- * @returns The line of least squares.
+ * @param points - At least two measurements with different `x`.
+ * @returns The least-squares line.
  */
 export function fitLine(points: readonly Point[]): Line {
 	const middleX = mean(points.map(({x}) => x));
--- a/development/bench/leaving.ts
+++ b/development/bench/leaving.ts
@@ -1,5 +1,5 @@
 /**
- * Time from a reclaim notice to the last request that the upstream gets, on any of eight boxes under load.
+ * Measures the time from a reclaim notice until the upstream gets its last new request, with eight entry boxes under load.
  */
 import process from 'node:process';
 import {randomUUID} from 'node:crypto';
@@ -11,19 +11,21 @@
 const entries = 8;
 const engines = 6;
 const trials = 4;
-/** Milliseconds that are watched before the notice: an engine without traffic would prove nothing. */
+/** Milliseconds before the notice in which requests are counted, to check that the engine has traffic. */
 const watchedBefore = 500;
-/** Milliseconds that are watched after the notice. */
+/** Milliseconds after the notice in which new requests are looked for. */
 const watched = 3000;
+/** Milliseconds between two queries of the engine's request count. */
 const lookInterval = 5;
 
+/** @returns Requests that the engine with this control port has started. */
 async function started(port: number): Promise<number> {
 	const totals = await control(port, 'totals', {}) as {readonly started: number};
 	return totals.started;
 }
 
 type Trial = {
-	/** Requests that the engine got in the time before the notice. */
+	/** Requests that the engine got in the `watchedBefore` milliseconds before the notice. */
 	readonly earlier: number;
 	/** Milliseconds from the notice until the engine got its last new request. */
 	readonly time: number;
@@ -51,7 +53,7 @@
 	return {earlier, time: lastAt - noticeAt};
 }
 
-/** Measures with a prompt list, then with a list that is late by a minute. */
+/** Measures with an up-to-date box list, then with one that is a minute behind. */
 export async function benchLeaving(): Promise<void> {
 	for (const boxListLag of [0, 60_000]) {
 		const installation = await startInstallation({
--- a/development/bench/limits.ts
+++ b/development/bench/limits.ts
@@ -1,5 +1,5 @@
 /**
- * What limits that replicas have named cost the choice of a replica, which is on the path of each request.
+ * Measures how much the limits that replicas announce add to the time to choose a replica. Every request makes this choice.
  */
 import process from 'node:process';
 import {SystemClock} from '../../src/base/clock.js';
@@ -10,11 +10,13 @@
 
 const replicaCount = 84;
 const boxes = 87;
+/** Choices in a measurement; as many are made before it to warm up. */
 const choices = 20_000;
+/** Numbers of replicas that have announced a limit, one measurement each. */
 const limitedCounts = [0, 1, 8, replicaCount];
 const request = {promptTokens: 1000, sharedParts: [{id: 'a', tokens: 400}, {id: 'b', tokens: 300}]};
 
-/** Prints microseconds a choice, with and without looking at limits. */
+/** Prints the microseconds per choice, with and without the check of limits. */
 export async function benchLimits(): Promise<void> {
 	const clock = SystemClock.create();
 	const replicas = Array.from({length: replicaCount}, (_, index) => Replica.create({
@@ -39,10 +41,14 @@
 		const withLimits = timeOf(() => {
 			choose(replicas.filter(replica => limits.hasRoom(replica)));
 		});
-		process.stdout.write(`${limited} of ${replicaCount} limited: ${plain.toFixed(1)} us a choice without looking at limits, ${withLimits.toFixed(1)} us with\n`);
+		process.stdout.write(`${limited} of ${replicaCount} limited: ${plain.toFixed(1)} us per choice without the check of limits, ${withLimits.toFixed(1)} us with it\n`);
 	}
 }
 
+/**
+ * @param act - The operation to measure.
+ * @returns Microseconds per call, after a warm-up.
+ */
 function timeOf(act: () => void): number {
 	for (let index = 0; index < choices; index++) {
 		act();
--- a/development/bench/main.ts
+++ b/development/bench/main.ts
@@ -1,5 +1,5 @@
 /**
- * Measurements: `npm run bench -- relay`, `capacity`, `leaving`, `exchange`, `streams`, `limits`.
+ * Entry point of the benchmarks: `npm run bench -- NAME`, where `NAME` is one of the keys of `benches`.
  */
 import process from 'node:process';
 import {benchCapacity} from './capacity.js';
@@ -15,7 +15,7 @@
 const name = process.argv[2] ?? '';
 const bench = benches[name];
 if (!bench) {
-	process.stderr.write(`Name a bench: ${Object.keys(benches).join(', ')}\n`);
+	process.stderr.write(`Missing or unknown benchmark name; choose one of: ${Object.keys(benches).join(', ')}\n`);
 	process.exit(2);
 }
 
--- a/development/bench/plot.ts
+++ b/development/bench/plot.ts
@@ -1,17 +1,18 @@
 /**
- * Draws measurements and their lines as a picture.
+ * Plots measurements and their fitted lines as an SVG file.
  */
 import {writeFileSync} from 'node:fs';
 import * as vega from 'vega';
 import type {Line, Point} from './fit.js';
 
-/** One small picture. */
+/** One chart of the plot. */
 export type Panel = {
 	readonly title: string;
 	readonly points: readonly Point[];
 	readonly line: Line;
 };
 
+// Width and height of a chart in pixels.
 const width = 220;
 const height = 130;
 const columns = 4;
@@ -48,10 +49,10 @@
 }
 
 /**
- * Writes a picture.
+ * Writes a plot.
  *
- * @param file - Where to, as SVG.
- * @param panels - Small pictures, side by side.
+ * @param file - Path of the SVG file.
+ * @param panels - Charts, in rows of four.
  */
 export async function writePlot(file: string, panels: readonly Panel[]): Promise<void> {
 	const specification: vega.Spec = {
--- a/development/bench/process-cost.ts
+++ b/development/bench/process-cost.ts
@@ -1,16 +1,19 @@
 /**
- * What a process has used, as the operating system counts it.
+ * Reads the processor time and memory of a process from Linux `/proc`.
  */
 import {readFileSync} from 'node:fs';
 
+/** Clock ticks per second; `/proc/PID/stat` gives processor times in ticks. */
 const ticksPerSecond = 100;
+/** Bytes in a page, the unit of `/proc/PID/statm`. */
 const pageSize = 4096;
+// Indexes of fields of `/proc/PID/stat`, counted from the first field after the command name, which may hold spaces.
 const userTimeField = 11;
 const systemTimeField = 12;
 
 /**
- * @param pid - A process.
- * @returns Milliseconds of processor time.
+ * @param pid - Process ID.
+ * @returns Milliseconds of processor time, user and system, since the process started.
  */
 export function processorTime(pid: number): number {
 	const text = readFileSync(`/proc/${pid}/stat`, 'utf8');
@@ -19,8 +22,8 @@
 }
 
 /**
- * @param pid - A process.
- * @returns Bytes of memory that are resident.
+ * @param pid - Process ID.
+ * @returns Bytes of resident memory.
  */
 export function residentMemory(pid: number): number {
 	const [, resident] = readFileSync(`/proc/${pid}/statm`, 'utf8').split(' ');
--- a/development/bench/relay.ts
+++ b/development/bench/relay.ts
@@ -1,5 +1,5 @@
 /**
- * Cost of one entry box against a bare relay, in the same run, as ratios.
+ * Compares the cost of an entry box with that of a minimal proxy in the same run, and prints the ratios.
  */
 import process from 'node:process';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -11,43 +11,53 @@
 import {processorTime, residentMemory} from './process-cost.js';
 import {closedLoop, openIdle, streamOnce} from './stream-client.js';
 
-/** Upstream entries that all lead to the token source, so that the gate opens wide. */
+/** Upstreams that all have the address of the token source, so that the limit on concurrent requests does not slow the load. */
 const upstreams = 32;
 const concurrency = 32;
-/** Requests before the first that counts: the compiler of the language has to have seen all of the code. */
+/** Requests before those that are measured, so that the JIT compiler has optimised the code. */
 const warmUpRequests = 8000;
 const shortRequests = 5000;
 const longRequests = 300;
 const longTokens = 100;
 const idleStreams = 1000;
+/** Idle streams that are opened concurrently. */
 const idleAtOnce = 20;
 const latencySamples = 1500;
 const rounds = 2;
 
-/** A relay under test. */
+/** A process under test: an entry box or the baseline. */
 type Relay = {readonly name: string; readonly port: number; readonly pid: number};
 
-/** What was measured of a relay. */
+/** Measurements of a relay. */
 type Figures = {
-	/** Microseconds of processor time. */
+	/** Microseconds of processor time for a request without tokens. */
 	readonly perRequest: number;
+	/** Microseconds of processor time for a streamed token. */
 	readonly perToken: number;
 	readonly requestsPerSecond: number;
 	readonly tokensPerSecond: number;
-	/** Milliseconds to the first token, at half of the bare relay's load. */
+	/** Median in milliseconds of the time to the first token, at half of the relay's own maximum rate. */
 	readonly firstTokenP50: number;
+	/** 95th percentile in milliseconds of the same time. */
 	readonly firstTokenP95: number;
-	/** Bytes of memory an open idle stream. */
+	/** Bytes of resident memory per open idle stream. */
 	readonly perIdleStream: number;
 };
 
+/** @returns Milliseconds of processor time and of wall-clock time for a number of requests. */
 async function timed(relay: Relay, count: number, tokens: number): Promise<{readonly processor: number; readonly wall: number}> {
 	const before = processorTime(relay.pid);
 	const wall = await closedLoop(concurrency, count, async () => streamOnce(relay.port, tokens));
 	return {processor: processorTime(relay.pid) - before, wall};
 }
 
-/** Sends at a fixed rate, whether answers come or not. */
+/**
+ * Sends requests at a fixed rate, without waiting for responses.
+ *
+ * @param port - Port of the relay.
+ * @param rate - Requests per second.
+ * @returns Milliseconds to the first token of each request.
+ */
 async function firstTokens(port: number, rate: number): Promise<readonly number[]> {
 	const pending: Array<Promise<number>> = [];
 	const startedAt = performance.now();
@@ -63,12 +73,13 @@
 	return Promise.all(pending);
 }
 
+/** @returns Bytes of resident memory per open idle stream. */
 async function idleMemory(relay: Relay): Promise<number> {
 	const before = residentMemory(relay.pid);
 	const streams = [];
 	while (streams.length < idleStreams) {
 		streams.push(...await Promise.all(Array.from({length: idleAtOnce}, async () => openIdle(relay.port))));
-		// The gate opens step by step, as it would for callers.
+		// The limit on concurrent requests rises step by step, so the streams are opened gradually.
 		await delay(60);
 	}
 
@@ -83,7 +94,7 @@
 }
 
 async function measure(relay: Relay, rate: number | undefined): Promise<Figures> {
-	// Streams that stand still first: a process that has not grown yet shows what they take.
+	// Idle streams come first: a process whose heap has already grown would hold them without using more memory.
 	const perIdleStream = await idleMemory(relay);
 	await timed(relay, warmUpRequests, 1);
 	const short = await timed(relay, shortRequests, 1);
@@ -156,7 +167,7 @@
 	line('memory an open idle stream', figures => figures.perIdleStream / 1024, 'KB', 'goal 40 KB');
 }
 
-/** Runs the comparison and prints it; the last line is JSON. Each relay is a fresh process in each round. */
+/** Runs the comparison and prints it, with JSON in the last line. Each round starts new processes. */
 export async function benchRelay(): Promise<void> {
 	const source = Child.start('development/bench/token-source.js', []);
 	const {port} = await source.line(line => 'port' in line);
@@ -168,7 +179,7 @@
 		bare.push(await measure({name: 'bare', port: started.port as number, pid: child.pid}, undefined));
 		await child.kill();
 		const {installation, relay} = await startEntry(port as number);
-		// Both at the same load: half of what the entry box can take.
+		// Without a given rate, the latency of each relay is measured at half of its own maximum rate.
 		own.push(await measure(relay, undefined));
 		await installation.close();
 	}
--- a/development/bench/stream-client.ts
+++ b/development/bench/stream-client.ts
@@ -1,5 +1,5 @@
 /**
- * Sends streamed chat completions and measures.
+ * Sends streamed chat completions and measures their latency.
  */
 import {Agent, request, type ClientRequest} from 'node:http';
 import {testKeys} from '../harness/small-installation.js';
@@ -7,11 +7,11 @@
 const agent = new Agent({keepAlive: true, maxSockets: Infinity});
 
 /**
- * Sends one request and reads its answer.
+ * Sends one request and reads the complete response.
  *
- * @param port - Where to.
- * @param tokens - Tokens of the answer.
- * @returns Milliseconds to the first token; rejects where the answer is not whole.
+ * @param port - Port of the relay.
+ * @param tokens - Tokens of the response.
+ * @returns Milliseconds to the first token; rejects if the stream ends without `[DONE]`.
  */
 export async function streamOnce(port: number, tokens: number): Promise<number> {
 	const startedAt = performance.now();
@@ -25,17 +25,17 @@
 			if (last.endsWith('[DONE]\n\n')) {
 				resolve(first);
 			} else {
-				reject(new Error(`not whole: ${last.slice(0, 200)}`));
+				reject(new Error(`stream ended without [DONE]; its last chunk: ${last.slice(0, 200)}`));
 			}
 		}).once('error', reject);
 	});
 }
 
 /**
- * Opens a stream that stands still after its first token.
+ * Opens a stream that sends its first token and then stays idle.
  *
- * @param port - Where to.
- * @returns The stream, once the token has come; destroy it to close.
+ * @param port - Port of the relay.
+ * @returns The request, once the first token has arrived; destroy it to close the stream.
  */
 export async function openIdle(port: number): Promise<ClientRequest> {
 	return new Promise((resolve, reject) => {
@@ -69,12 +69,12 @@
 }
 
 /**
- * Keeps a number of requests in progress.
+ * Sends a number of requests with a fixed concurrency.
  *
- * @param concurrency - How many.
- * @param count - Requests in all.
- * @param send - Sends one.
- * @returns Milliseconds for all.
+ * @param concurrency - Requests in progress at a time.
+ * @param count - Requests in total.
+ * @param send - Sends one request and waits for its response.
+ * @returns Milliseconds until all are done.
  */
 export async function closedLoop(concurrency: number, count: number, send: () => Promise<unknown>): Promise<number> {
 	const startedAt = performance.now();
--- a/development/bench/streams.ts
+++ b/development/bench/streams.ts
@@ -1,5 +1,6 @@
 /**
- * What a relay spends on an event of a stream, from the replica's bytes to the client's: `npm run bench -- streams`.
+ * Measures the processor time of a relay per stream event, from the bytes received from the replica to those written to the
+ * client: `npm run bench -- streams`.
  */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
@@ -19,7 +20,7 @@
 const streamsAtOnce = 50;
 const warmUpRounds = 10;
 const rounds = 40;
-/** A usual event: some words of an answer. */
+/** Bytes of data in an event, as many as a few words of a response. */
 const dataBytes = 48;
 const head = {
 	id: undefined, isNotRun: false, isMisdirected: false, isPlain: true, idleLifetime: undefined, statement: emptyStatement,
@@ -27,14 +28,14 @@
 
 const textOf = (event: number): string => `id: ${event}\ndata: ${'w'.repeat(dataBytes)}\n\n`;
 
-/** In what pieces a stream's bytes come. */
+/** Ways to split the bytes of an event into chunks, by name. */
 const shapes: Readonly<Record<string, (bytes: Uint8Array) => readonly Uint8Array[]>> = {
 	'an event a piece': bytes => [bytes],
 	'an event in two pieces': bytes => [bytes.subarray(0, 5), bytes.subarray(5)],
 	'an event byte by byte': bytes => Array.from(bytes, (_, index) => bytes.subarray(index, index + 1)),
 };
 
-/** A client's connection whose bytes nobody reads: what is measured is the relay's own work. */
+/** Response to the client that discards its bytes, so that only the relay's own work is measured. */
 class NobodyReads {
 	headersSent = false;
 	writableNeedDrain = false;
@@ -48,11 +49,11 @@
 	}
 
 	end(): void {
-		// Nothing to end.
+		// No connection to end.
 	}
 }
 
-/** An answer whose bytes are pushed by hand. */
+/** @returns A response with headers only; the benchmark emits its data events. */
 async function openMessage(server: Server): Promise<IncomingMessage> {
 	const outgoing = request({host: '127.0.0.1', port: (server.address() as AddressInfo).port, agent: false});
 	outgoing.end();
@@ -61,6 +62,7 @@
 	return message;
 }
 
+/** @returns Microseconds of processor time to forward the chunks in all streams. */
 async function passStreams(server: Server, pieces: readonly Uint8Array[]): Promise<number> {
 	const metrics = RelayMetrics.create();
 	const messages = await Promise.all(Array.from({length: streamsAtOnce}, async () => openMessage(server)));
@@ -89,13 +91,13 @@
 
 	await Promise.all(passages.map(async ({passing}) => passing));
 	if (passages.some(({passage}) => passage.fields.events !== eventsPerStream)) {
-		throw new Error('not every event was passed on, each once');
+		throw new Error('a stream did not forward each event exactly once');
 	}
 
 	return user + system;
 }
 
-/** Prints a row for each shape. */
+/** Prints a row for each way to split the events. */
 export async function benchStreams(): Promise<void> {
 	const server = createServer((_, response) => {
 		response.writeHead(200).flushHeaders();
--- a/development/bench/token-source.ts
+++ b/development/bench/token-source.ts
@@ -1,11 +1,12 @@
 /**
- * The cheapest upstream that streams: a process that sends tokens at a fixed gap, for measuring relays. It
- * speaks the interface of a model engine, and reports an empty queue.
+ * Minimal streaming upstream for benchmarks of relays: a process that sends tokens at a fixed interval. It
+ * implements the interface of a model engine and always reports an empty queue.
  */
 import process from 'node:process';
 import {createServer, type ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
 
+/** Milliseconds between two tokens of a stream. */
 const gap = 4;
 const chunk = 'data: {"id":"chatcmpl-1","object":"chat.completion.chunk","created":0,"model":"m","choices":[{"index":0,"delta":{"content":" token"},"finish_reason":null}]}\n\n';
 const usage = 'data: {"choices":[],"usage":{"prompt_tokens":8,"completion_tokens":1,"total_tokens":9}}\n\n';
@@ -20,7 +21,7 @@
 	}
 }, gap);
 
-/** An idle stream stands still after its first token. */
+/** Sends the next token, and ends the stream after the last. An idle stream stays open without further tokens after its first. */
 function advance(stream: Stream): void {
 	stream.response.write(chunk);
 	stream.left--;
@@ -46,7 +47,7 @@
 		response.once('close', () => {
 			streams.delete(stream);
 		});
-		// The first token comes at once: what is measured is the way.
+		// The first token is sent immediately, so that the time to it is the latency of the relay.
 		advance(stream);
 		if (stream.left > 0 && !stream.isIdle) {
 			streams.add(stream);
