--- a/development/decisions/day-account.ts
+++ b/development/decisions/day-account.ts
@@ -1,31 +1,35 @@
 /**
- * What was decided in each second of a run, and what came of it: requests by outcome, and the fleet.
+ * Summarises a recorded run per second: requests by outcome, and the state of the fleet.
  */
 import type {DayEvent} from './day-log.js';
 
-/** One second of a run. */
+/** Summary of one second of a run. */
 export type AccountedSecond = {
+	/** Start of the second, in the time of the log, in seconds. */
 	readonly second: number;
+	/** Answered requests, including the late ones. */
 	readonly answered: number;
-	/** Answered after the time that was asked about. */
+	/** Requests whose first byte came later than `lateAfter`. */
 	readonly late: number;
 	/** Refused requests by reason. */
 	readonly refused: ReadonlyMap<string, number>;
+	/** Requests whose client disconnected before the end of the response. */
 	readonly left: number;
-	/** Replicas that may get work at the end of the second, by sort. */
+	/** Replicas that are eligible for requests at the end of the second. */
 	readonly ready: number;
-	/** Replicas that are ordered at its end. */
+	/** Reclaimable replicas in the orders that hold at the end of the second. */
 	readonly reclaimable: number;
+	/** Non-reclaimable replicas in the orders that hold at the end of the second. */
 	readonly kept: number;
-	/** Replicas that the load needed when orders were last weighed; `undefined` before. */
+	/** Replicas that the load required at the last calculation of the fleet size; `undefined` before the first. */
 	readonly needed: number | undefined;
-	/** Orders that were not taken. */
+	/** Orders of replicas that failed. */
 	readonly refusedOrders: number;
-	/** Lines that boxes left out, most of them of requests that were answered. */
+	/** Log lines that boxes omitted, mostly of answered requests. */
 	readonly linesLeftOut: number;
 };
 
-/** Goes through a run. */
+/** Processes the events of a run in order, and adds a row at the end of each second. */
 class Walk {
 	readonly rows: AccountedSecond[] = [];
 	private answered = 0;
@@ -104,16 +108,17 @@
 	}
 }
 
-/** What is asked of an account. */
+/** Options of the summary. */
 export type AccountQuestion = {
-	/** Milliseconds to the first byte after which an answer counts as late. */
+	/** Milliseconds to the first byte above which a response counts as late. */
 	readonly lateAfter: number;
 };
 
 /**
- * @param events - A run, in order.
- * @param question - What is asked.
- * @returns Its seconds. Replicas are those of the services that are ordered, where any are.
+ * @param events - The events of a run, in order of time.
+ * @param question - Options of the summary.
+ * @returns A summary of each second. Ready replicas are counted for the first service whose fleet is sized or ordered,
+ * or for all services if there is none.
  */
 export function accountOf(events: readonly DayEvent[], {lateAfter}: AccountQuestion): readonly AccountedSecond[] {
 	const scaled = events.find(({name}) => name === 'fleetSized' || name === 'replicasOrdered')?.fields.service;
--- a/development/decisions/day-log.ts
+++ b/development/decisions/day-log.ts
@@ -1,26 +1,26 @@
 /**
- * Reads the log lines of a recorded run: each holds one event as JSON, behind its time and box or by itself.
+ * Reads the log of a recorded run. Each line holds one event as JSON, with or without a prefix of time and box.
  */
 
-/** Fields of an event. */
+/** JSON fields of an event, by name. */
 type EventFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
 /** One event of a run. */
 export type DayEvent = {
-	/** Seconds. */
+	/** Time in seconds: from the recorder where the line has a prefix, else since the Unix epoch. */
 	readonly at: number;
 	readonly box: string;
 	readonly name: string;
 	readonly fields: EventFields;
 };
 
-/** Seconds and box before the event, as a recorder of several boxes prints them. */
+/** A line with the prefix that a recorder of several boxes prints: the time in seconds, then the box. */
 const prefixed = /^\s*(?<at>-?\d+(?:\.\d+)?) (?<box>\S+) (?<json>\{.*\})\s*$/v;
 const millisecondsPerSecond = 1000;
 
 /**
  * @param text - The log.
- * @returns Its events in order; lines that are none are passed over.
+ * @returns Its events in order of time; lines without a readable event are skipped.
  */
 export function readDayLog(text: string): readonly DayEvent[] {
 	return text.split('\n').flatMap(line => eventOf(line) ?? []).sort((left, right) => left.at - right.at);
@@ -28,13 +28,13 @@
 
 /**
  * @param text - The log.
- * @returns How many of its lines hold an event that cannot be read: what is counted lacks them.
+ * @returns The number of lines that hold an event but cannot be parsed. The summary does not count these events.
  */
 export function unreadableIn(text: string): number {
 	return text.split('\n').filter(line => line.includes('"eventName"') && !eventOf(line)).length;
 }
 
-/** @returns The event of a line; nothing where there is none, or none whose time is known. */
+/** @returns The event of a line; `undefined` if the line holds no event or no valid time. */
 function eventOf(line: string): DayEvent | undefined {
 	const groups = prefixed.exec(line)?.groups;
 	const fields = parseFields(groups?.json ?? line);
--- a/development/decisions/day-plot.ts
+++ b/development/decisions/day-plot.ts
@@ -1,10 +1,11 @@
 /**
- * Draws a run second by second: the fleet above, requests below.
+ * Plots a run per second: the fleet in the upper chart, requests in the lower.
  */
 import {writeFileSync} from 'node:fs';
 import * as vega from 'vega';
 import type {AccountedSecond} from './day-account.js';
 
+// Width and height of a chart in pixels.
 const width = 640;
 const height = 170;
 
@@ -73,10 +74,10 @@
 }
 
 /**
- * Writes the picture of a run.
+ * Writes the plot of a run.
  *
- * @param file - Where to, as SVG.
- * @param rows - The run.
+ * @param file - Path of the SVG file.
+ * @param rows - Summaries of the seconds of the run.
  */
 export async function writeDayPlot(file: string, rows: readonly AccountedSecond[]): Promise<void> {
 	const specification: vega.Spec = {
--- a/development/decisions/main.ts
+++ b/development/decisions/main.ts
@@ -1,5 +1,5 @@
 /**
- * What was decided in a recorded run, second by second: `npm run decisions -- run.log --plot run.svg`.
+ * Prints and plots a summary of each second of a recorded run: `npm run decisions -- run.log --plot run.svg`.
  */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
@@ -8,6 +8,7 @@
 import {readDayLog, unreadableIn} from './day-log.js';
 import {writeDayPlot} from './day-plot.js';
 
+/** Default of `--late-after` in milliseconds. */
 const usualLateness = 500;
 
 const columns: ReadonlyArray<readonly [title: string, valueOf: (row: AccountedSecond) => number | string]> = [
@@ -26,11 +27,11 @@
 
 const options = await yargs(process.argv.slice(2))
 	.scriptName('npm run decisions --')
-	.usage('$0 LOG\n\nPrints what was decided in each second of a recorded run, from the log lines of its boxes.')
-	.option('late-after', {type: 'number', default: usualLateness, describe: 'Milliseconds to the first byte after which an answer counts as late'})
-	.option('plot', {type: 'string', describe: 'Write a picture too, as SVG'})
-	.example('$0 run.log --plot run.svg', 'A table and a picture of a run')
-	.demandCommand(1, 1, 'Name one log.')
+	.usage('$0 LOG\n\nPrints the requests and the fleet of each second of a recorded run, from the log lines of its boxes.')
+	.option('late-after', {type: 'number', default: usualLateness, describe: 'Milliseconds to the first byte above which a response counts as late'})
+	.option('plot', {type: 'string', describe: 'Also write a plot to this SVG file'})
+	.example('$0 run.log --plot run.svg', 'Print the table of a run and plot it')
+	.demandCommand(1, 1, 'Expected exactly one log file.')
 	.strictOptions()
 	.help()
 	.parse();
@@ -40,7 +41,7 @@
 process.stdout.write(lines.map(cells => `${cells.join('\t')}\n`).join(''));
 const unreadable = unreadableIn(text);
 if (unreadable > 0) {
-	process.stderr.write(`${unreadable} lines that hold an event cannot be read; what is counted lacks them.\n`);
+	process.stderr.write(`${unreadable} lines that hold an event could not be parsed; the table does not count them.\n`);
 }
 
 if (options.plot !== undefined) {
--- a/development/decisions/test/day-account.test.ts
+++ b/development/decisions/test/day-account.test.ts
@@ -5,9 +5,9 @@
 
 const line = (at: number, eventName: string, fields: Readonly<Record<string, unknown>> = {}) => `  ${at.toFixed(4)} box-1 ${JSON.stringify({eventName, ...fields})}`;
 
-test('each second tells its requests by outcome, and the fleet as it stands at its end', () => {
+test('each second has its requests by outcome, and the state of the fleet at its end', () => {
 	const text = [
-		'what a recorder prints besides',
+		'other output of the recorder',
 		line(0.1, 'replicaListed', {replica: 'i-1', service: 'engines'}),
 		line(0.2, 'replicaListed', {replica: 'p-1', service: 'plain'}),
 		line(0.3, 'replicasOrdered', {
@@ -32,23 +32,23 @@
 	assert.deepEqual([...rows[2]!.refused], [['capacity-short', 1]]);
 });
 
-test('lines without a recorder\'s time tell their own', () => {
+test('the time and box of a line without a recorder\'s prefix come from its JSON', () => {
 	const [event] = readDayLog(JSON.stringify({eventName: 'relayStarted', node: 'box-2', time: '2026-01-01T00:00:01.500Z'}));
 	assert.equal(event!.box, 'box-2');
 	assert.equal(event!.at % 60, 1.5);
 });
 
-test('what an account lacks is told: lines that boxes left out, and lines that cannot be read', () => {
+test('lines that boxes omitted, and lines that cannot be parsed, are counted', () => {
 	const text = [
 		line(0.1, 'requestAnswered', {firstByte: 90}),
 		line(0.5, 'logLinesLeftOut', {lines: 40}),
 		line(0.6, 'logLinesLeftOut', {lines: 2}),
 		line(1.1, 'requestAnswered', {firstByte: 90}),
-		// Two boxes that write at once, a line without a time, and the last one while it is written.
+		// Lines of two boxes mixed by concurrent writes, an event without a time, and a last line that is incomplete.
 		`${line(1.2, 'requestAnswered').slice(0, 30)}${line(1.3, 'requestAnswered')}`,
 		JSON.stringify({eventName: 'requestAnswered'}),
 		line(1.4, 'requestAnswered').slice(0, -4),
-		'what a recorder prints besides',
+		'other output of the recorder',
 	].join('\n');
 	const rows = accountOf(readDayLog(text), {lateAfter: 500});
 	assert.deepEqual(rows.map(({second, answered, linesLeftOut}) => [second, answered, linesLeftOut]), [[0, 1, 42], [1, 1, 0]]);
