--- a/development/demo/direct-caller.ts
+++ b/development/demo/direct-caller.ts
@@ -1,15 +1,15 @@
 /**
- * Calls an engine with nothing in between, for comparison in the same run.
+ * Calls an engine directly, as a baseline for requests through Waydrift in the same run.
  */
 import {randomUUID} from 'node:crypto';
 import {request} from 'node:http';
 import type {Timing} from '../harness/caller.js';
 
-/** Calls one engine. */
+/** Client of one engine that measures its responses. */
 export class DirectCaller {
 	/**
-	 * @param port - Of the engine.
-	 * @returns The caller.
+	 * @param port - Port of the engine.
+	 * @returns A caller for this engine.
 	 */
 	static create(port: number): DirectCaller {
 		return new DirectCaller(port);
@@ -18,9 +18,9 @@
 	private constructor(private readonly port: number) {}
 
 	/**
-	 * @param prefix - What the prompt begins with.
-	 * @param tokens - Tokens of the answer.
-	 * @returns What was measured.
+	 * @param prefix - Start of the prompt; a random ID follows it.
+	 * @param tokens - Tokens of the response.
+	 * @returns Milliseconds to the first chunk and between chunks; rejects if the request fails.
 	 */
 	async chat(prefix: string, tokens: number): Promise<Timing> {
 		const body = JSON.stringify({
--- a/development/demo/main.ts
+++ b/development/demo/main.ts
@@ -1,7 +1,8 @@
 /**
- * The main job in one command: an installation of four entry boxes in two data centres under a mixed load,
- * with one upstream reclaimed and one entry box stopped in the middle. Ends by itself with a table, and a
- * line of JSON. Exit 1 where something was lost, run twice or misdelivered.
+ * Demonstrates Waydrift in one command: an installation of four entry boxes in two data centres under a mixed load, in
+ * which one upstream is reclaimed and one entry box is stopped. Prints a table and a line of JSON, then runs the demo of
+ * the relays. Exits with 1 if a request was lost, run twice or misdelivered, if a request refused as not run was run, if
+ * no request was answered, if the stopped box did not exit with 0, or if the demo of the relays fails.
  */
 import process from 'node:process';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -19,16 +20,21 @@
 	sampleKey, sampleKinds, sampleTable, type SampleKind,
 } from './sample-table.js';
 
+/** Milliseconds of load. */
 const loadTime = 16_000;
+/** Milliseconds from the start of the load to the reclaim notice of an engine. */
 const reclaimAt = 5000;
+/** Milliseconds from the notice until the engine is reclaimed. */
 const reclaimNotice = 3000;
+/** Milliseconds from the start of the load until an entry box gets SIGTERM. */
 const stopAt = 9000;
 const dataCentres = ['ahmedabad', 'surat'] as const;
 const enginesPerDataCentre = 2;
+/** Requests per second that are sent to an engine directly. */
 const directRate = 2;
-/** The second engine of each data centre writes its events in pieces, and ends inside some of them. */
+/** The second engine of each data centre splits its events into several writes, and breaks off within some of them. */
 const roughWriting = {seed: 1, mostPieces: 4, broken: 0.002} as const;
-/** Characters of the prefix that requests of a session share. */
+/** Start of the system prompt that all chat requests share. */
 const sharedPrefix = 'You are the assistant of the service. Answer shortly and with the figures you were given. '.repeat(20);
 
 type Outcome = {readonly kind: SampleKind; readonly key: string; readonly result: Result};
@@ -50,7 +56,7 @@
 	return installation;
 }
 
-/** The balancer's view: boxes that said they are ready when it last looked. */
+/** Stands in for a load balancer: polls the readiness of the entry boxes and keeps the ports of those that are ready. */
 class Balancer {
 	ports: readonly number[] = [];
 	private isOpen = true;
@@ -95,7 +101,7 @@
 	return {kind, key, result};
 }
 
-/** Sends one kind at its rate, whether answers come or not. */
+/** Sends requests of one kind at its mean rate, without waiting for responses. */
 async function load(kind: SampleKind, ports: () => readonly number[], outcomes: Array<Promise<Outcome>>): Promise<void> {
 	const caller = Caller.create(sampleKey(kind.account), ports);
 	const endsAt = performance.now() + loadTime;
@@ -121,7 +127,7 @@
 	installation.members.get(`entry-${dataCentres[1]}-1`)!.child.signal('SIGTERM');
 }
 
-/** How often each key was executed, over all plain services. */
+/** @returns The number of executions of each request key, over all plain services. */
 async function readExecutions(installation: Installation): Promise<ReadonlyMap<string, number>> {
 	const services = [...installation.members.values()].filter(({box}) => box.role === 'plain-service');
 	const counts = await Promise.all(services.map(async ({box}) => control(box.port, 'executions', {}) as Promise<Readonly<Record<string, number>>>));
@@ -133,7 +139,7 @@
 	return executions;
 }
 
-/** Calls that may not be repeated, and how often each was executed. */
+/** @returns The result and the number of executions of each call that must not run twice. */
 function executionsOfOnce(outcomes: readonly Outcome[], executions: ReadonlyMap<string, number>) {
 	return outcomes
 		.filter(({kind}) => kind.type === 'plain' && !kind.repeatable)
@@ -238,7 +244,7 @@
 	}
 }
 
-process.stdout.write(`Starting the stand-ins and four entry boxes; the load takes ${loadTime / 1000} s.\n`);
+process.stdout.write(`Starting the simulated upstreams and four entry boxes; the load takes ${loadTime / 1000} s.\n`);
 const installation = await build();
 try {
 	process.exitCode = await run(installation);
--- a/development/demo/relay-demo.ts
+++ b/development/demo/relay-demo.ts
@@ -1,6 +1,7 @@
 /**
- * The demo of the relays: a small deployment of the users' platform on stand-ins, with one relay killed, a replica
- * drained, streams that come in drawn pieces and break off inside events, and the store out for a while, under load. Prints what clients saw and ends with 0 if nothing was wrong.
+ * Demonstrates the relays under load, with simulated replicas and a simulated store of the users' platform. One relay
+ * ends, a replica is drained, streams arrive in random pieces and break off within events, and the store is busy for a
+ * while. Prints the outcomes that the clients saw.
  */
 import process from 'node:process';
 import {setTimeout as pause} from 'node:timers/promises';
@@ -14,8 +15,9 @@
 const loadTime = 6000;
 /** Milliseconds between two rounds of requests. */
 const roundPause = 40;
+/** Events of a complete stream. */
 const events = 12;
-/** Draws the pieces of streams, and where they break off. */
+/** Seed of the random sizes of the pieces of streams, and of the positions at which they break off. */
 const seed = 12;
 
 type Seen = {
@@ -80,14 +82,14 @@
 		process.stdout.write(`${name.padEnd(20)}${value}\n`);
 	}
 
-	// A demo in which nothing was answered, or no stream broke, shows nothing.
+	// A run without answers, or without a stream that moved to another replica, does not show that the relays work.
 	const isEmpty = counts.answered === 0 || counts['gone on elsewhere'] === 0;
 	return counts.misdelivered + counts['run twice'] + counts['refused but ran'] + (isEmpty ? 1 : 0);
 }
 
-/** @returns The exit code: zero if nothing was wrong. */
+/** @returns The exit code: 0 if no request was misdelivered, run twice, or run although refused, and the run is conclusive. */
 export async function runRelayDemo(): Promise<number> {
-	process.stdout.write(`\nRelays on the users' platform: three of them, three replicas, ${loadTime / 1000} s of load.\n`);
+	process.stdout.write(`\nStarting three relays and three replicas on the simulated platform; the load takes ${loadTime / 1000} s.\n`);
 	const installation = await RelayInstallation.start({relays: 3, replicas: ['i-1', 'i-2', 'i-3']});
 	for (const replica of installation.replicas.values()) {
 		replica.behave({events: 0, delay: 20});
--- a/development/demo/sample-table.ts
+++ b/development/demo/sample-table.ts
@@ -1,10 +1,10 @@
 /**
- * A table such as the two users might have: five client accounts, a few of them large.
+ * Sample table of the demo: five client accounts of the two organisations that use Waydrift.
  */
 import {createHash} from 'node:crypto';
 import type {Table} from '../../src/table/table.js';
 
-/** A kind of request that the demo asks for. */
+/** A kind of request that the demo sends. */
 export type SampleKind = {
 	readonly account: string;
 	readonly service: string;
@@ -14,9 +14,9 @@
 	readonly ceiling: number;
 	readonly priority: number;
 	readonly repeatable: boolean;
-	/** Requests a second that the demo sends. */
+	/** Requests per second, on average. */
 	readonly rate: number;
-	/** Tokens of an answer. */
+	/** Tokens of a response; zero for a plain service. */
 	readonly tokens: number;
 	readonly isStreamed: boolean;
 };
@@ -29,7 +29,7 @@
 	account, service: 'orders', kind, type: 'plain', share: 1, ceiling: 500, priority: 1, repeatable, rate, tokens: 0, isStreamed: false,
 });
 
-/** What both users' callers ask for. */
+/** The kinds of request of all client accounts. */
 export const sampleKinds: readonly SampleKind[] = [
 	chat('control-rooms', 'bulletin', {
 		priority: 1, rate: 1, tokens: 600, isStreamed: true,
@@ -58,12 +58,12 @@
 ];
 
 /**
- * @param account - A client account of the sample.
- * @returns Its API key: no secret, for it only ever opens a demo.
+ * @param account - A client account of the sample table.
+ * @returns Its API key. It is not secret, since only the demo accepts it.
  */
 export const sampleKey = (account: string): string => `demo-key-of-${account}`;
 
-/** @returns The sample as a table. */
+/** @returns The sample table, with services, client accounts and a row for each kind of request. */
 export function sampleTable(): Table {
 	const accounts = [...new Set(sampleKinds.map(({account}) => account))];
 	return {
