--- a/development/decisions/day-account.ts
+++ b/development/decisions/day-account.ts
@@ -1,10 +1,10 @@
 /**
  * Summarises a recorded run per second: requests by outcome, and the state of the fleet.
  */
-import type {DayEvent} from './day-log.js';
+import type {RunEvent} from './day-log.js';
 
 /** Summary of one second of a run. */
-export type AccountedSecond = {
+export type SecondSummary = {
 	/** Start of the second, in the time of the log, in seconds. */
 	readonly second: number;
 	/** Answered requests, including the late ones. */
@@ -30,8 +30,8 @@
 };
 
 /** Processes the events of a run in order, and adds a row at the end of each second. */
-class Walk {
-	readonly rows: AccountedSecond[] = [];
+class RunSummary {
+	readonly rows: SecondSummary[] = [];
 	private answered = 0;
 	private late = 0;
 	private left = 0;
@@ -42,9 +42,9 @@
 	private readonly ready = new Set<string>();
 	private readonly ordered = new Map<string, {readonly count: number; readonly isReclaimable: boolean}>();
 
-	constructor(private readonly lateAfter: number, private readonly scaled: string | undefined) {}
+	constructor(private readonly lateAfter: number, private readonly scaledService: string | undefined) {}
 
-	take({name, fields}: DayEvent): void {
+	addEvent({name, fields}: RunEvent): void {
 		const handlers: Readonly<Record<string, () => void>> = {
 			requestAnswered: () => {
 				this.answered++;
@@ -61,7 +61,7 @@
 				this.left++;
 			},
 			replicaListed: () => {
-				if (fields.isDraining !== true && (this.scaled === undefined || fields.service === this.scaled)) {
+				if (fields.isDraining !== true && (this.scaledService === undefined || fields.service === this.scaledService)) {
 					this.ready.add(String(fields.replica));
 				}
 			},
@@ -83,7 +83,7 @@
 		handlers[name]?.();
 	}
 
-	close(second: number): void {
+	closeSecond(second: number): void {
 		const orders = [...this.ordered.values()];
 		const sum = (isReclaimable: boolean) => {
 			let total = 0;
@@ -109,33 +109,33 @@
 }
 
 /** Options of the summary. */
-export type AccountQuestion = {
+export type SummaryOptions = {
 	/** Milliseconds to the first byte above which a response counts as late. */
 	readonly lateAfter: number;
 };
 
 /**
  * @param events - The events of a run, in order of time.
- * @param question - Options of the summary.
+ * @param options - Options of the summary.
  * @returns A summary of each second. Ready replicas are counted for the first service whose fleet is sized or ordered,
  * or for all services if there is none.
  */
-export function accountOf(events: readonly DayEvent[], {lateAfter}: AccountQuestion): readonly AccountedSecond[] {
-	const scaled = events.find(({name}) => name === 'fleetSized' || name === 'replicasOrdered')?.fields.service;
-	const walk = new Walk(lateAfter, typeof scaled === 'string' ? scaled : undefined);
+export function summariseRun(events: readonly RunEvent[], {lateAfter}: SummaryOptions): readonly SecondSummary[] {
+	const scaledService = events.find(({name}) => name === 'fleetSized' || name === 'replicasOrdered')?.fields.service;
+	const summary = new RunSummary(lateAfter, typeof scaledService === 'string' ? scaledService : undefined);
 	let second = Math.floor(events[0]?.at ?? 0);
 	for (const event of events) {
 		while (event.at >= second + 1) {
-			walk.close(second);
+			summary.closeSecond(second);
 			second++;
 		}
 
-		walk.take(event);
+		summary.addEvent(event);
 	}
 
 	if (events.length > 0) {
-		walk.close(second);
+		summary.closeSecond(second);
 	}
 
-	return walk.rows;
+	return summary.rows;
 }
--- a/development/decisions/day-log.ts
+++ b/development/decisions/day-log.ts
@@ -6,7 +6,7 @@
 type EventFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
 /** One event of a run. */
-export type DayEvent = {
+export type RunEvent = {
 	/** Time in seconds: from the recorder where the line has a prefix, else since the Unix epoch. */
 	readonly at: number;
 	readonly box: string;
@@ -15,14 +15,14 @@
 };
 
 /** A line with the prefix that a recorder of several boxes prints: the time in seconds, then the box. */
-const prefixed = /^\s*(?<at>-?\d+(?:\.\d+)?) (?<box>\S+) (?<json>\{.*\})\s*$/v;
+const prefixedLine = /^\s*(?<at>-?\d+(?:\.\d+)?) (?<box>\S+) (?<json>\{.*\})\s*$/v;
 const millisecondsPerSecond = 1000;
 
 /**
  * @param text - The log.
  * @returns Its events in order of time; lines without a readable event are skipped.
  */
-export function readDayLog(text: string): readonly DayEvent[] {
+export function readRunLog(text: string): readonly RunEvent[] {
 	return text.split('\n').flatMap(line => eventOf(line) ?? []).sort((left, right) => left.at - right.at);
 }
 
@@ -30,13 +30,13 @@
  * @param text - The log.
  * @returns The number of lines that hold an event but cannot be parsed. The summary does not count these events.
  */
-export function unreadableIn(text: string): number {
+export function countUnreadableLines(text: string): number {
 	return text.split('\n').filter(line => line.includes('"eventName"') && !eventOf(line)).length;
 }
 
 /** @returns The event of a line; `undefined` if the line holds no event or no valid time. */
-function eventOf(line: string): DayEvent | undefined {
-	const groups = prefixed.exec(line)?.groups;
+function eventOf(line: string): RunEvent | undefined {
+	const groups = prefixedLine.exec(line)?.groups;
 	const fields = parseFields(groups?.json ?? line);
 	if (!fields || typeof fields.eventName !== 'string') {
 		return undefined;
--- a/development/decisions/day-plot.ts
+++ b/development/decisions/day-plot.ts
@@ -3,15 +3,15 @@
  */
 import {writeFileSync} from 'node:fs';
 import * as vega from 'vega';
-import type {AccountedSecond} from './day-account.js';
+import type {SecondSummary} from './day-account.js';
 
 // Width and height of a chart in pixels.
 const width = 640;
 const height = 170;
 
-type Curve = {readonly name: string; readonly valueOf: (row: AccountedSecond) => number | undefined};
+type Curve = {readonly name: string; readonly valueOf: (row: SecondSummary) => number | undefined};
 
-const refusedOf = ({refused}: AccountedSecond): number => [...refused.values()].reduce((total, count) => total + count, 0);
+const countRefused = ({refused}: SecondSummary): number => [...refused.values()].reduce((total, count) => total + count, 0);
 
 const panels: ReadonlyArray<{readonly title: string; readonly curves: readonly Curve[]}> = [
 	{
@@ -28,12 +28,12 @@
 		curves: [
 			{name: 'answered', valueOf: ({answered}) => answered},
 			{name: 'late', valueOf: ({late}) => late},
-			{name: 'refused', valueOf: refusedOf},
+			{name: 'refused', valueOf: countRefused},
 		],
 	},
 ];
 
-function panelOf(rows: readonly AccountedSecond[], {title, curves}: (typeof panels)[number], index: number): vega.GroupMark {
+function panelOf(rows: readonly SecondSummary[], {title, curves}: (typeof panels)[number], index: number): vega.GroupMark {
 	const values = curves.flatMap(({name, valueOf}) => rows.flatMap(row => {
 		const value = valueOf(row);
 		return value === undefined ? [] : [{name, second: row.second, value}];
@@ -79,7 +79,7 @@
  * @param file - Path of the SVG file.
  * @param rows - Summaries of the seconds of the run.
  */
-export async function writeDayPlot(file: string, rows: readonly AccountedSecond[]): Promise<void> {
+export async function writeRunPlot(file: string, rows: readonly SecondSummary[]): Promise<void> {
 	const specification: vega.Spec = {
 		$schema: 'https://vega.github.io/schema/vega/v5.json',
 		padding: 10,
--- a/development/decisions/test/day-account.test.ts
+++ b/development/decisions/test/day-account.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {accountOf} from '../day-account.js';
-import {readDayLog, unreadableIn} from '../day-log.js';
+import {summariseRun} from '../day-account.js';
+import {readRunLog, countUnreadableLines} from '../day-log.js';
 
 const line = (at: number, eventName: string, fields: Readonly<Record<string, unknown>> = {}) => `  ${at.toFixed(4)} box-1 ${JSON.stringify({eventName, ...fields})}`;
 
@@ -23,7 +23,7 @@
 		line(2.4, 'replicaLeaving', {replica: 'i-1'}),
 		line(2.5, 'fleetSized', {service: 'engines', needed: 4.2}),
 	].join('\n');
-	const rows = accountOf(readDayLog(text), {lateAfter: 500});
+	const rows = summariseRun(readRunLog(text), {lateAfter: 500});
 	assert.deepEqual(rows.map(({second, answered, late, ready, reclaimable, kept, needed, refusedOrders}) => [second, answered, late, ready, reclaimable, kept, needed, refusedOrders]), [
 		[0, 2, 1, 1, 3, 0, undefined, 0],
 		[1, 0, 0, 1, 3, 0, undefined, 0],
@@ -33,7 +33,7 @@
 });
 
 test('the time and box of a line without a recorder\'s prefix come from its JSON', () => {
-	const [event] = readDayLog(JSON.stringify({eventName: 'relayStarted', node: 'box-2', time: '2026-01-01T00:00:01.500Z'}));
+	const [event] = readRunLog(JSON.stringify({eventName: 'relayStarted', node: 'box-2', time: '2026-01-01T00:00:01.500Z'}));
 	assert.equal(event!.box, 'box-2');
 	assert.equal(event!.at % 60, 1.5);
 });
@@ -50,7 +50,7 @@
 		line(1.4, 'requestAnswered').slice(0, -4),
 		'other output of the recorder',
 	].join('\n');
-	const rows = accountOf(readDayLog(text), {lateAfter: 500});
+	const rows = summariseRun(readRunLog(text), {lateAfter: 500});
 	assert.deepEqual(rows.map(({second, answered, linesLeftOut}) => [second, answered, linesLeftOut]), [[0, 1, 42], [1, 1, 0]]);
-	assert.equal(unreadableIn(text), 3);
+	assert.equal(countUnreadableLines(text), 3);
 });
