--- a/development/bench/capacity.ts
+++ b/development/bench/capacity.ts
@@ -19,7 +19,7 @@
 import {openIdle} from './stream-client.js';
 
 /** Milliseconds over which the use of an idle installation is measured. */
-const watchTime = 8000;
+const measureTime = 8000;
 /** Milliseconds until a new installation is idle: its code is compiled, its connections are open, its garbage is collected. */
 const settleTime = 5000;
 // Sizes to measure at: numbers of entry boxes, upstreams, table rows, open streams and claiming callers.
@@ -29,11 +29,11 @@
 const streamSizes = [100, 300, 600] as const;
 const claimSizes = [4, 16, 64] as const;
 /** Claims that each caller makes, one after another. */
-const claimsEach = 40;
-const picture = 'docs/capacity.svg';
+const claimsPerCaller = 40;
+const plotFile = 'docs/capacity.svg';
 
 /** Resource use without requests: per entry box, except for the platform calls. */
-type Quiet = {
+type IdleUsage = {
 	/** Milliseconds of processor time per second, so 10 is one percent of a core. */
 	readonly processor: number;
 	/** Resident memory in megabytes. */
@@ -47,7 +47,7 @@
 };
 
 /** Size of an installation to measure. */
-type Shape = {readonly entries: number; readonly upstreams: number; readonly rows: number};
+type InstallationSize = {readonly entries: number; readonly upstreams: number; readonly rows: number};
 
 /** A fitted line with its measurements. */
 type Slope = {readonly name: string; readonly unit: string; readonly points: readonly Point[]; readonly line: Line};
@@ -75,7 +75,7 @@
 	} as unknown as Table;
 }
 
-async function start({entries, upstreams, rows}: Shape, sourcePort: number): Promise<Installation> {
+async function start({entries, upstreams, rows}: InstallationSize, sourcePort: number): Promise<Installation> {
 	const installation = await Installation.create();
 	await installation.applyTable(tableOf(rows));
 	for (let index = 0; index < upstreams; index++) {
@@ -94,14 +94,14 @@
 }
 
 /** Measures the use of resources of an installation that gets no requests. */
-async function watchQuiet(installation: Installation): Promise<Quiet> {
+async function measureIdle(installation: Installation): Promise<IdleUsage> {
 	await delay(settleTime);
 	const members = installation.entries;
 	const used = () => members.map(({child}) => processorTime(child.pid));
 	const [before, bytes, calls] = [used(), loopbackBytes(), await platformCalls(installation)];
-	await delay(watchTime);
+	await delay(measureTime);
 	const [after, bytesAfter, callsAfter] = [used(), loopbackBytes(), await platformCalls(installation)];
-	const seconds = watchTime / 1000;
+	const seconds = measureTime / 1000;
 	return {
 		processor: percentile(after.map((time, index) => (time - before[index]!) / seconds), 0.5),
 		memory: percentile(members.map(({child}) => residentMemory(child.pid) / 1_048_576), 0.5),
@@ -111,11 +111,11 @@
 	};
 }
 
-async function quietAt(shape: Shape, sourcePort: number): Promise<Quiet> {
-	const installation = await start(shape, sourcePort);
-	const quiet = await watchQuiet(installation);
+async function measureIdleAt(size: InstallationSize, sourcePort: number): Promise<IdleUsage> {
+	const installation = await start(size, sourcePort);
+	const usage = await measureIdle(installation);
 	await installation.close();
-	return quiet;
+	return usage;
 }
 
 function slope(name: string, unit: string, sizes: readonly number[], values: readonly number[]): Slope {
@@ -126,19 +126,19 @@
 }
 
 /** Measures an idle installation at each size, and fits a line to each resource. */
-async function sweep(label: string, sizes: readonly number[], shapeOf: (size: number) => Shape, sourcePort: number): Promise<readonly Slope[]> {
-	const quiet: Quiet[] = [];
+async function sweep(label: string, sizes: readonly number[], installationSizeOf: (size: number) => InstallationSize, sourcePort: number): Promise<readonly Slope[]> {
+	const usages: IdleUsage[] = [];
 	for (const size of sizes) {
 		process.stderr.write(`${label} ${size}\n`);
-		quiet.push(await quietAt(shapeOf(size), sourcePort));
+		usages.push(await measureIdleAt(installationSizeOf(size), sourcePort));
 	}
 
 	return [
-		slope(`processor time a ${label}`, 'ms/s', sizes, quiet.map(({processor}) => processor)),
-		slope(`memory a ${label}`, 'MB', sizes, quiet.map(({memory}) => memory)),
-		slope(`network a ${label}`, 'KB/s', sizes, quiet.map(({network}) => network)),
-		slope(`platform reads a ${label}`, '1/s', sizes, quiet.map(({reads}) => reads)),
-		slope(`platform writes a ${label}`, '1/s', sizes, quiet.map(({writes}) => writes)),
+		slope(`processor time a ${label}`, 'ms/s', sizes, usages.map(({processor}) => processor)),
+		slope(`memory a ${label}`, 'MB', sizes, usages.map(({memory}) => memory)),
+		slope(`network a ${label}`, 'KB/s', sizes, usages.map(({network}) => network)),
+		slope(`platform reads a ${label}`, '1/s', sizes, usages.map(({reads}) => reads)),
+		slope(`platform writes a ${label}`, '1/s', sizes, usages.map(({writes}) => writes)),
 	];
 }
 
@@ -177,7 +177,7 @@
 		process.stderr.write(`claims ${size}\n`);
 		const before = await platformCalls(installation);
 		const startedAt = performance.now();
-		const times = await claimTogether(installation, size);
+		const times = await claimConcurrently(installation, size);
 		const seconds = (performance.now() - startedAt) / 1000;
 		const {writes: after} = await platformCalls(installation);
 		writes.push((after - before.writes) / seconds);
@@ -195,21 +195,21 @@
 }
 
 /** @returns Milliseconds of each claimed call that was answered. */
-async function claimTogether(installation: Installation, callers: number): Promise<readonly number[]> {
+async function claimConcurrently(installation: Installation, callers: number): Promise<readonly number[]> {
 	const {entries} = installation;
 	const times = await Promise.all(Array.from({length: callers}, async (_, index) => {
 		const caller = callerAt([entries[index % entries.length]!]);
-		const own: number[] = [];
-		for (let turn = 0; turn < claimsEach; turn++) {
+		const latencies: number[] = [];
+		for (let turn = 0; turn < claimsPerCaller; turn++) {
 			const {judgement, timing} = await caller.call({
 				service: 'orders', path: '/release', key: randomUUID(), body: 'x',
 			});
 			if (judgement.kind === 'answered') {
-				own.push(timing.firstToken);
+				latencies.push(timing.firstToken);
 			}
 		}
 
-		return own;
+		return latencies;
 	}));
 	return times.flat();
 }
@@ -270,5 +270,5 @@
 		process.stdout.write(`\nAccepted to in force on ${entries} boxes: p50 ${percentile(times, 0.5).toFixed(0)} ms, maximum ${Math.max(...times).toFixed(0)} ms, of ${times.length} changes.\n`);
 	}
 
-	await writePlot(picture, slopes.map(({name, unit, points, line}): Panel => ({title: `${name} (${unit})`, points, line})));
+	await writePlot(plotFile, slopes.map(({name, unit, points, line}): Panel => ({title: `${name} (${unit})`, points, line})));
 }
--- a/development/bench/exchange.ts
+++ b/development/bench/exchange.ts
@@ -14,8 +14,8 @@
 /** Requests in progress at each box. */
 const inProgress = 3;
 /** Rounds of messages to warm up, not counted. */
-const roundsBefore = 10;
-const roundsMeasured = 30;
+const warmUpRounds = 10;
+const measuredRounds = 30;
 const millisecondsPerSecond = 1000;
 const microsecondsPerMillisecond = 1000;
 
@@ -30,14 +30,14 @@
 			fleet.limitReplicas();
 		}
 
-		for (let round = 0; round < roundsBefore; round++) {
+		for (let round = 0; round < warmUpRounds; round++) {
 			fleet.round();
 		}
 
 		const before = fleet.spent;
-		const rounds = Array.from({length: roundsMeasured}, () => fleet.round());
+		const rounds = Array.from({length: measuredRounds}, () => fleet.round());
 		const total = (key: 'messages' | 'heard' | 'sent') => sumOf(rounds.map(round => round[key]));
-		const seconds = roundsMeasured * fleet.interval / millisecondsPerSecond;
+		const seconds = measuredRounds * fleet.interval / millisecondsPerSecond;
 		const spent = fleet.spent - before;
 		const cells = [
 			boxes,
--- a/development/bench/fit.ts
+++ b/development/bench/fit.ts
@@ -27,10 +27,10 @@
  * @returns The least-squares line.
  */
 export function fitLine(points: readonly Point[]): Line {
-	const middleX = mean(points.map(({x}) => x));
-	const middleY = mean(points.map(({y}) => y));
-	const slope = mean(points.map(({x, y}) => (x - middleX) * (y - middleY))) / mean(points.map(({x}) => (x - middleX) ** 2));
-	const intercept = middleY - (slope * middleX);
+	const meanX = mean(points.map(({x}) => x));
+	const meanY = mean(points.map(({y}) => y));
+	const slope = mean(points.map(({x, y}) => (x - meanX) * (y - meanY))) / mean(points.map(({x}) => (x - meanX) ** 2));
+	const intercept = meanY - (slope * meanX);
 	const residual = Math.max(...points.map(({x, y}) => Math.abs(y - (intercept + (slope * x)))));
 	return {slope, intercept, residual};
 }
--- a/development/bench/leaving.ts
+++ b/development/bench/leaving.ts
@@ -12,45 +12,45 @@
 const engines = 6;
 const trials = 4;
 /** Milliseconds before the notice in which requests are counted, to check that the engine has traffic. */
-const watchedBefore = 500;
+const timeBeforeNotice = 500;
 /** Milliseconds after the notice in which new requests are looked for. */
-const watched = 3000;
+const timeAfterNotice = 3000;
 /** Milliseconds between two queries of the engine's request count. */
-const lookInterval = 5;
+const pollInterval = 5;
 
 /** @returns Requests that the engine with this control port has started. */
-async function started(port: number): Promise<number> {
+async function countStartedRequests(port: number): Promise<number> {
 	const totals = await control(port, 'totals', {}) as {readonly started: number};
 	return totals.started;
 }
 
 type Trial = {
-	/** Requests that the engine got in the `watchedBefore` milliseconds before the notice. */
-	readonly earlier: number;
+	/** Requests that the engine got in the `timeBeforeNotice` milliseconds before the notice. */
+	readonly requestsBefore: number;
 	/** Milliseconds from the notice until the engine got its last new request. */
 	readonly time: number;
 };
 
-async function measureOne(installation: Installation, engine: string): Promise<Trial> {
+async function measureNotice(installation: Installation, engine: string): Promise<Trial> {
 	const {port} = installation.members.get(engine)!.box;
-	const first = await started(port);
-	await delay(watchedBefore);
-	const earlier = await started(port) - first;
+	const initialCount = await countStartedRequests(port);
+	await delay(timeBeforeNotice);
+	const requestsBefore = await countStartedRequests(port) - initialCount;
 	const noticeAt = performance.now();
 	await control(installation.platformPort, 'reclaim', {box: engine, notice: 600_000});
-	let last = first + earlier;
+	let lastCount = initialCount + requestsBefore;
 	let lastAt = noticeAt;
-	while (performance.now() - noticeAt < watched) {
-		const now = await started(port);
-		if (now > last) {
-			last = now;
+	while (performance.now() - noticeAt < timeAfterNotice) {
+		const count = await countStartedRequests(port);
+		if (count > lastCount) {
+			lastCount = count;
 			lastAt = performance.now();
 		}
 
-		await delay(lookInterval);
+		await delay(pollInterval);
 	}
 
-	return {earlier, time: lastAt - noticeAt};
+	return {requestsBefore, time: lastAt - noticeAt};
 }
 
 /** Measures with an up-to-date box list, then with one that is a minute behind. */
@@ -72,19 +72,19 @@
 		await delay(1000);
 		const measured: Trial[] = [];
 		for (let trial = 1; trial <= trials; trial++) {
-			measured.push(await measureOne(installation, `engine-${trial}`));
+			measured.push(await measureNotice(installation, `engine-${trial}`));
 		}
 
 		load.isOpen = false;
 		await Promise.all(callers);
 		await installation.close();
 		const times = measured.map(({time}) => time);
-		const traffic = Math.min(...measured.map(({earlier}) => earlier));
-		const [middle, worst] = [percentile(times, 0.5), Math.max(...times)].map(time => time.toFixed(0));
+		const traffic = Math.min(...measured.map(({requestsBefore}) => requestsBefore));
+		const [median, worst] = [percentile(times, 0.5), Math.max(...times)].map(time => time.toFixed(0));
 		process.stdout.write([
 			`box list late by ${boxListLag} ms, ${entries} boxes:`,
-			`from notice to the last new request p50 ${middle} ms, maximum ${worst} ms, of ${times.length} notices;`,
-			`at least ${traffic} requests in the ${watchedBefore} ms before\n`,
+			`from notice to the last new request p50 ${median} ms, maximum ${worst} ms, of ${times.length} notices;`,
+			`at least ${traffic} requests in the ${timeBeforeNotice} ms before\n`,
 		].join(' '));
 	}
 }
--- a/development/bench/limits.ts
+++ b/development/bench/limits.ts
@@ -9,7 +9,7 @@
 import {ReplicaLimits} from '../../src/replicas/replica-limits.js';
 
 const replicaCount = 84;
-const boxes = 87;
+const boxCount = 87;
 /** Choices in a measurement; as many are made before it to warm up. */
 const choices = 20_000;
 /** Numbers of replicas that have announced a limit, one measurement each. */
@@ -25,7 +25,8 @@
 	const choice = LeastWaitChoice.create({dataCentre: 'a', now: () => clock.monotonic()});
 	for (const limited of limitedCounts) {
 		const limits = ReplicaLimits.create({
-			clock, log: SilentEventLog.create(), commonTime: () => clock.wall(), slotRange: () => ({from: 0.3, length: 1 / boxes}), listed: start => replicas.find(replica => replica.start === start),
+			clock, log: SilentEventLog.create(), commonTime: () => clock.wall(), slotRange: () => ({from: 0.3, length: 1 / boxCount}),
+			listed: start => replicas.find(replica => replica.start === start),
 		});
 		for (const replica of replicas.slice(0, limited)) {
 			limits.recordResponse(replica, 5, clock.monotonic());
@@ -35,29 +36,29 @@
 			choice.choose(candidates.length === 0 ? replicas : candidates, request);
 		};
 
-		const plain = timeOf(() => {
+		const withoutLimits = microsecondsPerCall(() => {
 			choose(replicas);
 		});
-		const withLimits = timeOf(() => {
+		const withLimits = microsecondsPerCall(() => {
 			choose(replicas.filter(replica => limits.hasRoom(replica)));
 		});
-		process.stdout.write(`${limited} of ${replicaCount} limited: ${plain.toFixed(1)} us per choice without the check of limits, ${withLimits.toFixed(1)} us with it\n`);
+		process.stdout.write(`${limited} of ${replicaCount} limited: ${withoutLimits.toFixed(1)} us per choice without the check of limits, ${withLimits.toFixed(1)} us with it\n`);
 	}
 }
 
 /**
- * @param act - The operation to measure.
+ * @param operation - The operation to measure.
  * @returns Microseconds per call, after a warm-up.
  */
-function timeOf(act: () => void): number {
+function microsecondsPerCall(operation: () => void): number {
 	for (let index = 0; index < choices; index++) {
-		act();
+		operation();
 	}
 
-	const beganAt = performance.now();
+	const startedAt = performance.now();
 	for (let index = 0; index < choices; index++) {
-		act();
+		operation();
 	}
 
-	return (performance.now() - beganAt) * 1000 / choices;
+	return (performance.now() - startedAt) * 1000 / choices;
 }
--- a/development/bench/relay.ts
+++ b/development/bench/relay.ts
@@ -21,7 +21,7 @@
 const longTokens = 100;
 const idleStreams = 1000;
 /** Idle streams that are opened concurrently. */
-const idleAtOnce = 20;
+const idleStreamsPerBatch = 20;
 const latencySamples = 1500;
 const rounds = 2;
 
@@ -45,7 +45,7 @@
 };
 
 /** @returns Milliseconds of processor time and of wall-clock time for a number of requests. */
-async function timed(relay: Relay, count: number, tokens: number): Promise<{readonly processor: number; readonly wall: number}> {
+async function measureLoad(relay: Relay, count: number, tokens: number): Promise<{readonly processor: number; readonly wall: number}> {
 	const before = processorTime(relay.pid);
 	const wall = await closedLoop(concurrency, count, async () => streamOnce(relay.port, tokens));
 	return {processor: processorTime(relay.pid) - before, wall};
@@ -58,7 +58,7 @@
  * @param rate - Requests per second.
  * @returns Milliseconds to the first token of each request.
  */
-async function firstTokens(port: number, rate: number): Promise<readonly number[]> {
+async function measureFirstTokens(port: number, rate: number): Promise<readonly number[]> {
 	const pending: Array<Promise<number>> = [];
 	const startedAt = performance.now();
 	while (pending.length < latencySamples) {
@@ -74,11 +74,11 @@
 }
 
 /** @returns Bytes of resident memory per open idle stream. */
-async function idleMemory(relay: Relay): Promise<number> {
+async function measureIdleMemory(relay: Relay): Promise<number> {
 	const before = residentMemory(relay.pid);
 	const streams = [];
 	while (streams.length < idleStreams) {
-		streams.push(...await Promise.all(Array.from({length: idleAtOnce}, async () => openIdle(relay.port))));
+		streams.push(...await Promise.all(Array.from({length: idleStreamsPerBatch}, async () => openIdle(relay.port))));
 		// The limit on concurrent requests rises step by step, so the streams are opened gradually.
 		await delay(60);
 	}
@@ -95,15 +95,15 @@
 
 async function measure(relay: Relay, rate: number | undefined): Promise<Figures> {
 	// Idle streams come first: a process whose heap has already grown would hold them without using more memory.
-	const perIdleStream = await idleMemory(relay);
-	await timed(relay, warmUpRequests, 1);
-	const short = await timed(relay, shortRequests, 1);
-	const long = await timed(relay, longRequests, longTokens);
+	const perIdleStream = await measureIdleMemory(relay);
+	await measureLoad(relay, warmUpRequests, 1);
+	const short = await measureLoad(relay, shortRequests, 1);
+	const long = await measureLoad(relay, longRequests, longTokens);
 	const perLongRequest = long.processor / longRequests;
 	const perShortRequest = short.processor / shortRequests;
 	const perToken = (perLongRequest - perShortRequest) / (longTokens - 1);
 	const requestsPerSecond = shortRequests / short.wall * 1000;
-	const first = await firstTokens(relay.port, rate ?? requestsPerSecond / 2);
+	const first = await measureFirstTokens(relay.port, rate ?? requestsPerSecond / 2);
 	return {
 		perRequest: (perShortRequest - perToken) * 1000,
 		perToken: perToken * 1000,
@@ -139,22 +139,22 @@
 const median = (values: readonly number[]) => percentile(values, 0.5);
 
 function combine(all: readonly Figures[]): Figures {
-	const of = (pick: (figures: Figures) => number) => median(all.map(figures => pick(figures)));
+	const medianOf = (pick: (figures: Figures) => number) => median(all.map(figures => pick(figures)));
 	return {
-		perRequest: of(figures => figures.perRequest),
-		perToken: of(figures => figures.perToken),
-		requestsPerSecond: of(figures => figures.requestsPerSecond),
-		tokensPerSecond: of(figures => figures.tokensPerSecond),
-		firstTokenP50: of(figures => figures.firstTokenP50),
-		firstTokenP95: of(figures => figures.firstTokenP95),
-		perIdleStream: of(figures => figures.perIdleStream),
+		perRequest: medianOf(figures => figures.perRequest),
+		perToken: medianOf(figures => figures.perToken),
+		requestsPerSecond: medianOf(figures => figures.requestsPerSecond),
+		tokensPerSecond: medianOf(figures => figures.tokensPerSecond),
+		firstTokenP50: medianOf(figures => figures.firstTokenP50),
+		firstTokenP95: medianOf(figures => figures.firstTokenP95),
+		perIdleStream: medianOf(figures => figures.perIdleStream),
 	};
 }
 
-function print(bare: Figures, own: Figures): void {
+function print(bare: Figures, waydrift: Figures): void {
 	const line = (name: string, pick: (figures: Figures) => number, unit: string, goal: string) => {
-		const [floor, ours] = [pick(bare), pick(own)];
-		process.stdout.write(`${name.padEnd(34)}${floor.toFixed(2).padStart(10)}${ours.toFixed(2).padStart(10)} ${unit.padEnd(6)} ratio ${(ours / floor).toFixed(2)}  ${goal}\n`);
+		const [baseline, measured] = [pick(bare), pick(waydrift)];
+		process.stdout.write(`${name.padEnd(34)}${baseline.toFixed(2).padStart(10)}${measured.toFixed(2).padStart(10)} ${unit.padEnd(6)} ratio ${(measured / baseline).toFixed(2)}  ${goal}\n`);
 	};
 
 	process.stdout.write(`${''.padEnd(34)}${'bare'.padStart(10)}${'waydrift'.padStart(10)}\n`);
@@ -162,8 +162,8 @@
 	line('processor time a streamed token', figures => figures.perToken, 'us', 'goal 1.2');
 	line('requests a second', figures => figures.requestsPerSecond, '', '');
 	line('tokens a second', figures => figures.tokensPerSecond, '', '');
-	line('first token, p50 at half load', figures => figures.firstTokenP50, 'ms', `added ${(own.firstTokenP50 - bare.firstTokenP50).toFixed(2)} ms`);
-	line('first token, p95 at half load', figures => figures.firstTokenP95, 'ms', `added ${(own.firstTokenP95 - bare.firstTokenP95).toFixed(2)} ms, goal 1.0`);
+	line('first token, p50 at half load', figures => figures.firstTokenP50, 'ms', `added ${(waydrift.firstTokenP50 - bare.firstTokenP50).toFixed(2)} ms`);
+	line('first token, p95 at half load', figures => figures.firstTokenP95, 'ms', `added ${(waydrift.firstTokenP95 - bare.firstTokenP95).toFixed(2)} ms, goal 1.0`);
 	line('memory an open idle stream', figures => figures.perIdleStream / 1024, 'KB', 'goal 40 KB');
 }
 
@@ -172,7 +172,7 @@
 	const source = Child.start('development/bench/token-source.js', []);
 	const {port} = await source.line(line => 'port' in line);
 	const bare: Figures[] = [];
-	const own: Figures[] = [];
+	const waydrift: Figures[] = [];
 	for (let round = 0; round < rounds; round++) {
 		const child = Child.start('development/bench/bare-relay.js', [String(port)]);
 		const started = await child.line(line => 'port' in line);
@@ -180,12 +180,12 @@
 		await child.kill();
 		const {installation, relay} = await startEntry(port as number);
 		// Without a given rate, the latency of each relay is measured at half of its own maximum rate.
-		own.push(await measure(relay, undefined));
+		waydrift.push(await measure(relay, undefined));
 		await installation.close();
 	}
 
 	await source.kill();
-	const [floor, ours] = [combine(bare), combine(own)];
-	print(floor, ours);
-	process.stdout.write(`${JSON.stringify({bare: floor, waydrift: ours})}\n`);
+	const [bareMedians, waydriftMedians] = [combine(bare), combine(waydrift)];
+	print(bareMedians, waydriftMedians);
+	process.stdout.write(`${JSON.stringify({bare: bareMedians, waydrift: waydriftMedians})}\n`);
 }
--- a/development/bench/stream-client.ts
+++ b/development/bench/stream-client.ts
@@ -79,13 +79,13 @@
 export async function closedLoop(concurrency: number, count: number, send: () => Promise<unknown>): Promise<number> {
 	const startedAt = performance.now();
 	let left = count;
-	const work = async (): Promise<void> => {
+	const worker = async (): Promise<void> => {
 		while (left > 0) {
 			left--;
 			await send();
 		}
 	};
 
-	await Promise.all(Array.from({length: concurrency}, async () => work()));
+	await Promise.all(Array.from({length: concurrency}, async () => worker()));
 	return performance.now() - startedAt;
 }
--- a/development/bench/streams.ts
+++ b/development/bench/streams.ts
@@ -17,7 +17,7 @@
 import {emptyStatement} from '../../src/replicas/replica-statement.js';
 
 const eventsPerStream = 64;
-const streamsAtOnce = 50;
+const concurrentStreams = 50;
 const warmUpRounds = 10;
 const rounds = 40;
 /** Bytes of data in an event, as many as a few words of a response. */
@@ -26,17 +26,17 @@
 	id: undefined, isNotRun: false, isMisdirected: false, isPlain: true, idleLifetime: undefined, statement: emptyStatement,
 };
 
-const textOf = (event: number): string => `id: ${event}\ndata: ${'w'.repeat(dataBytes)}\n\n`;
+const eventText = (event: number): string => `id: ${event}\ndata: ${'w'.repeat(dataBytes)}\n\n`;
 
 /** Ways to split the bytes of an event into chunks, by name. */
-const shapes: Readonly<Record<string, (bytes: Uint8Array) => readonly Uint8Array[]>> = {
+const splits: Readonly<Record<string, (bytes: Uint8Array) => readonly Uint8Array[]>> = {
 	'an event a piece': bytes => [bytes],
 	'an event in two pieces': bytes => [bytes.subarray(0, 5), bytes.subarray(5)],
 	'an event byte by byte': bytes => Array.from(bytes, (_, index) => bytes.subarray(index, index + 1)),
 };
 
 /** Response to the client that discards its bytes, so that only the relay's own work is measured. */
-class NobodyReads {
+class DiscardingResponse {
 	headersSent = false;
 	writableNeedDrain = false;
 
@@ -63,19 +63,19 @@
 }
 
 /** @returns Microseconds of processor time to forward the chunks in all streams. */
-async function passStreams(server: Server, pieces: readonly Uint8Array[]): Promise<number> {
+async function forwardStreams(server: Server, chunks: readonly Uint8Array[]): Promise<number> {
 	const metrics = RelayMetrics.create();
-	const messages = await Promise.all(Array.from({length: streamsAtOnce}, async () => openMessage(server)));
-	const passages = messages.map(message => {
-		const passage = StreamForwarder.create({
-			client: ClientAnswer.create(new NobodyReads() as never, () => false), format: PlatformRelayFormat.create(), metrics, lastEventId: undefined,
+	const messages = await Promise.all(Array.from({length: concurrentStreams}, async () => openMessage(server)));
+	const forwarders = messages.map(message => {
+		const forwarder = StreamForwarder.create({
+			client: ClientAnswer.create(new DiscardingResponse() as never, () => false), format: PlatformRelayFormat.create(), metrics, lastEventId: undefined,
 		});
 		const answer = {
 			message, status: 200, isWhole: () => true, head, abandon: () => undefined,
 		};
-		return {passage, passing: Effect.runPromise(passage.forward(answer, {onFirstEvent: () => undefined, onBytes: () => undefined}))};
+		return {forwarder, forwarding: Effect.runPromise(forwarder.forward(answer, {onFirstEvent: () => undefined, onBytes: () => undefined}))};
 	});
-	const texts = pieces.map(piece => Buffer.from(piece).toString('latin1'));
+	const texts = chunks.map(chunk => Buffer.from(chunk).toString('latin1'));
 	const before = process.cpuUsage();
 	for (const message of messages) {
 		for (const text of texts) {
@@ -89,8 +89,8 @@
 		message.destroy();
 	}
 
-	await Promise.all(passages.map(async ({passing}) => passing));
-	if (passages.some(({passage}) => passage.fields.events !== eventsPerStream)) {
+	await Promise.all(forwarders.map(async ({forwarding}) => forwarding));
+	if (forwarders.some(({forwarder}) => forwarder.fields.events !== eventsPerStream)) {
 		throw new Error('a stream did not forward each event exactly once');
 	}
 
@@ -105,15 +105,15 @@
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
 	process.stdout.write('| Pieces | Processor time an event |\n| --- | --- |\n');
-	for (const [name, shape] of Object.entries(shapes)) {
-		const pieces = Array.from({length: eventsPerStream}, (_, index) => shape(Buffer.from(textOf(index + 1)))).flat();
-		let spent = 0;
+	for (const [name, split] of Object.entries(splits)) {
+		const chunks = Array.from({length: eventsPerStream}, (_, index) => split(Buffer.from(eventText(index + 1)))).flat();
+		let total = 0;
 		for (let round = 0; round < warmUpRounds + rounds; round++) {
-			const took = await passStreams(server, pieces);
-			spent += round < warmUpRounds ? 0 : took;
+			const used = await forwardStreams(server, chunks);
+			total += round < warmUpRounds ? 0 : used;
 		}
 
-		process.stdout.write(`| ${name} | ${(spent / rounds / streamsAtOnce / eventsPerStream).toFixed(2)} µs |\n`);
+		process.stdout.write(`| ${name} | ${(total / rounds / concurrentStreams / eventsPerStream).toFixed(2)} µs |\n`);
 	}
 
 	server.closeAllConnections();
--- a/development/bench/token-source.ts
+++ b/development/bench/token-source.ts
@@ -7,7 +7,7 @@
 import type {AddressInfo} from 'node:net';
 
 /** Milliseconds between two tokens of a stream. */
-const gap = 4;
+const tokenInterval = 4;
 const chunk = 'data: {"id":"chatcmpl-1","object":"chat.completion.chunk","created":0,"model":"m","choices":[{"index":0,"delta":{"content":" token"},"finish_reason":null}]}\n\n';
 const usage = 'data: {"choices":[],"usage":{"prompt_tokens":8,"completion_tokens":1,"total_tokens":9}}\n\n';
 
@@ -19,7 +19,7 @@
 	for (const stream of streams) {
 		advance(stream);
 	}
-}, gap);
+}, tokenInterval);
 
 /** Sends the next token, and ends the stream after the last. An idle stream stays open without further tokens after its first. */
 function advance(stream: Stream): void {
