--- a/development/demo/main.ts
+++ b/development/demo/main.ts
@@ -33,7 +33,7 @@
 /** Requests per second that are sent to an engine directly. */
 const directRate = 2;
 /** The second engine of each data centre splits its events into several writes, and breaks off within some of them. */
-const roughWriting = {seed: 1, mostPieces: 4, broken: 0.002} as const;
+const fragmentedWriting = {seed: 1, mostPieces: 4, broken: 0.002} as const;
 /** Start of the system prompt that all chat requests share. */
 const sharedPrefix = 'You are the assistant of the service. Answer shortly and with the figures you were given. '.repeat(20);
 
@@ -45,7 +45,7 @@
 	const upstreams = dataCentres.flatMap(dataCentre => [
 		...Array.from({length: enginesPerDataCentre}, async (_, index) =>
 			installation.addEngine(`engine-${dataCentre}-${index + 1}`, {
-				dataCentre, pool: 'engines', price: 10, traits: index === 0 ? {} : {writing: roughWriting},
+				dataCentre, pool: 'engines', price: 10, traits: index === 0 ? {} : {writing: fragmentedWriting},
 			})),
 		installation.addService(`orders-${dataCentre}`, {dataCentre, pool: 'orders', price: 1}),
 	]);
@@ -63,7 +63,7 @@
 
 	constructor(private readonly installation: Installation) {}
 
-	async follow(): Promise<void> {
+	async pollReadiness(): Promise<void> {
 		while (this.isOpen) {
 			const ready = await Promise.all(this.installation.entries.map(async member => await isReady(member) ? [member.box.port] : []));
 			this.ports = ready.flat();
@@ -120,7 +120,7 @@
 	}
 }
 
-async function disturb(installation: Installation): Promise<void> {
+async function injectFaults(installation: Installation): Promise<void> {
 	await delay(reclaimAt);
 	await installation.reclaim(`engine-${dataCentres[0]}-1`, reclaimNotice);
 	await delay(stopAt - reclaimAt);
@@ -140,7 +140,7 @@
 }
 
 /** @returns The result and the number of executions of each call that must not run twice. */
-function executionsOfOnce(outcomes: readonly Outcome[], executions: ReadonlyMap<string, number>) {
+function executionsOfNonRepeatable(outcomes: readonly Outcome[], executions: ReadonlyMap<string, number>) {
 	return outcomes
 		.filter(({kind}) => kind.type === 'plain' && !kind.repeatable)
 		.map(({key, result: {judgement}}) => ({judgement, count: executions.get(key) ?? 0}));
@@ -182,24 +182,24 @@
 async function run(installation: Installation): Promise<number> {
 	const startedAt = performance.now();
 	const balancer = new Balancer(installation);
-	const following = balancer.follow();
+	const polling = balancer.pollReadiness();
 	const pending: Array<Promise<Outcome>> = [];
 	const direct: Array<Promise<Timing>> = [];
-	const steady = installation.members.get(`engine-${dataCentres[1]}-1`)!;
+	const undisturbedEngine = installation.members.get(`engine-${dataCentres[1]}-1`)!;
 	await delay(300);
 	await Promise.all([
 		...sampleKinds.map(async kind => load(kind, () => balancer.ports, pending)),
-		probeDirectly(steady, direct),
-		disturb(installation),
+		probeDirectly(undisturbedEngine, direct),
+		injectFaults(installation),
 	]);
 	const outcomes = await Promise.all(pending);
 	const directTimings = await Promise.all(direct);
 	const stopped = installation.members.get(`entry-${dataCentres[1]}-1`)!.child;
-	const exitOfStopped = await stopped.exited;
+	const stoppedExitCode = await stopped.exited;
 	balancer.close();
-	await following;
+	await polling;
 
-	const once = executionsOfOnce(outcomes, await readExecutions(installation));
+	const nonRepeatable = executionsOfNonRepeatable(outcomes, await readExecutions(installation));
 	const count = (kind: Result['judgement']['kind']) => outcomes.filter(({result}) => result.judgement.kind === kind).length;
 	const streamed = outcomes.filter(({kind}) => kind.isStreamed).map(({result}) => result.timing);
 	const hours = (performance.now() - startedAt) / 3_600_000;
@@ -213,15 +213,15 @@
 		answered: count('answered'),
 		refused: countRefusals(outcomes),
 		lost: count('lost'),
-		duplicated: once.filter(({count}) => count > 1).length,
-		toldNotRunButRan: once.filter(({judgement, count}) => judgement.kind === 'refused' && judgement.verdict === 'not-run' && count > 0).length,
+		duplicated: nonRepeatable.filter(({count}) => count > 1).length,
+		toldNotRunButRan: nonRepeatable.filter(({judgement, count}) => judgement.kind === 'refused' && judgement.verdict === 'not-run' && count > 0).length,
 		misdelivered: count('misdelivered'),
 		recomputedTokens: await sumMetric(installation, 'waydrift_recomputed_tokens_total{cause="leaving"}')
 			+ await sumMetric(installation, 'waydrift_recomputed_tokens_total{cause="failure"}'),
 		streamsMoved: await sumMetric(installation, 'waydrift_streams_moved_total{cause="leaving"}'),
 		streamsCut: await sumMetric(installation, 'waydrift_streams_moved_total{cause="failure"}'),
 		cost: Math.round(price * hours * 10_000) / 10_000,
-		stoppedBoxExit: exitOfStopped ?? -1,
+		stoppedBoxExit: stoppedExitCode ?? -1,
 		throughWaydrift: summarise(streamed),
 		direct: summarise(directTimings),
 	};
@@ -232,7 +232,7 @@
 
 	process.stdout.write(`${JSON.stringify(report)}\n`);
 	const faults = report.lost + report.duplicated + report.toldNotRunButRan + report.misdelivered;
-	return faults === 0 && exitOfStopped === 0 && report.answered > 0 ? 0 : 1;
+	return faults === 0 && stoppedExitCode === 0 && report.answered > 0 ? 0 : 1;
 }
 
 function printReport(report: Readonly<Record<string, unknown>>): void {
--- a/development/demo/relay-demo.ts
+++ b/development/demo/relay-demo.ts
@@ -1,6 +1,6 @@
 /**
  * Demonstrates the relays under load, with simulated replicas and a simulated store of the users' platform. One relay
- * ends, a replica is drained, streams arrive in random pieces and break off within events, and the store is busy for a
+ * is killed, a replica is drained, streams arrive in random pieces and break off within events, and the store is busy for a
  * while. Prints the outcomes that the clients saw.
  */
 import process from 'node:process';
@@ -20,17 +20,17 @@
 /** Seed of the random sizes of the pieces of streams, and of the positions at which they break off. */
 const seed = 12;
 
-type Seen = {
+type SentRequest = {
 	readonly id: string;
 	readonly kind: SoakRequestKind;
 	readonly view: ClientView;
 };
 
-async function disturb(installation: RelayInstallation): Promise<void> {
+async function injectFaults(installation: RelayInstallation): Promise<void> {
 	await pause(loadTime / 4);
-	const [, victim] = installation.relays;
+	const [, killedRelay] = installation.relays;
 	installation.relays.splice(1, 1);
-	await victim!.end();
+	await killedRelay!.end();
 	await pause(loadTime / 8);
 	installation.list('i-2', {state: 'draining', seq: 2});
 	await pause(loadTime / 8);
@@ -40,10 +40,10 @@
 	await installation.addRelay('relay-4');
 }
 
-async function load(installation: RelayInstallation): Promise<readonly Seen[]> {
-	const pending: Array<Promise<Seen>> = [];
+async function load(installation: RelayInstallation): Promise<readonly SentRequest[]> {
+	const pending: Array<Promise<SentRequest>> = [];
 	const end = performance.now() + loadTime;
-	const ask = async (index: number, kind: SoakRequestKind): Promise<Seen> => {
+	const send = async (index: number, kind: SoakRequestKind): Promise<SentRequest> => {
 		const path = `/${kind}/x`;
 		const id = `demo-${kind}-${index}`;
 		const relay = installation.relays[index % installation.relays.length]!;
@@ -54,37 +54,37 @@
 	};
 
 	for (let index = 0; performance.now() < end; index++) {
-		pending.push(ask(index, 'calls'), ask(index, 'once'), ask(index, 'stream'));
+		pending.push(send(index, 'calls'), send(index, 'once'), send(index, 'stream'));
 		await pause(roundPause);
 	}
 
 	return Promise.all(pending);
 }
 
-function report(seen: readonly Seen[], replicas: readonly ReplicaStandin[]): number {
-	const runnersOf = (id: string): readonly string[] => replicas.flatMap(replica => replica.runs.filter(run => run.id === id).map(() => replica.id));
-	const good = seen.filter(({view}) => view.status === 200 && view.isWhole);
+function report(requests: readonly SentRequest[], replicas: readonly ReplicaStandin[]): number {
+	const replicasThatRan = (id: string): readonly string[] => replicas.flatMap(replica => replica.runs.filter(run => run.id === id).map(() => replica.id));
+	const complete = requests.filter(({view}) => view.status === 200 && view.isWhole);
 	const counts = {
-		requests: seen.length,
-		answered: good.length,
-		refused: seen.filter(({view}) => view.status === 429 || view.status === 503).length,
-		'cut or 502': seen.filter(({view}) => view.status === 0 || view.status === 502 || (view.status === 200 && !view.isWhole)).length,
-		'gone on elsewhere': good.filter(({id, kind}) => kind === 'stream' && runnersOf(id).length > 1).length,
-		misdelivered: seen.filter(({id, kind, view}) => view.status === 200 && faultOfAnswer({
+		requests: requests.length,
+		answered: complete.length,
+		refused: requests.filter(({view}) => view.status === 429 || view.status === 503).length,
+		'cut or 502': requests.filter(({view}) => view.status === 0 || view.status === 502 || (view.status === 200 && !view.isWhole)).length,
+		'gone on elsewhere': complete.filter(({id, kind}) => kind === 'stream' && replicasThatRan(id).length > 1).length,
+		misdelivered: requests.filter(({id, kind, view}) => view.status === 200 && faultOfAnswer({
 			attempt: {
 				...view, id, kind, after: 0,
-			}, runners: runnersOf(id), streamEvents: events,
+			}, runners: replicasThatRan(id), streamEvents: events,
 		}) !== undefined).length,
-		'run twice': seen.filter(({id, kind}) => kind === 'once' && runnersOf(id).length > 1).length,
-		'refused but ran': seen.filter(({id, view}) => (view.status === 429 || view.status === 503) && runnersOf(id).length > 0).length,
+		'run twice': requests.filter(({id, kind}) => kind === 'once' && replicasThatRan(id).length > 1).length,
+		'refused but ran': requests.filter(({id, view}) => (view.status === 429 || view.status === 503) && replicasThatRan(id).length > 0).length,
 	};
 	for (const [name, value] of Object.entries(counts)) {
 		process.stdout.write(`${name.padEnd(20)}${value}\n`);
 	}
 
 	// A run without answers, or without a stream that moved to another replica, does not show that the relays work.
-	const isEmpty = counts.answered === 0 || counts['gone on elsewhere'] === 0;
-	return counts.misdelivered + counts['run twice'] + counts['refused but ran'] + (isEmpty ? 1 : 0);
+	const isInconclusive = counts.answered === 0 || counts['gone on elsewhere'] === 0;
+	return counts.misdelivered + counts['run twice'] + counts['refused but ran'] + (isInconclusive ? 1 : 0);
 }
 
 /** @returns The exit code: 0 if no request was misdelivered, run twice, or run although refused, and the run is conclusive. */
@@ -103,8 +103,8 @@
 
 	streams.faults.set('i-2', 'stream-breaks');
 
-	const [seen] = await Promise.all([load(installation), disturb(installation)]);
-	const faults = report(seen, [...installation.replicas.values()]);
+	const [requests] = await Promise.all([load(installation), injectFaults(installation)]);
+	const faults = report(requests, [...installation.replicas.values()]);
 	await installation.close();
 	return faults === 0 ? 0 : 1;
 }
