--- a/development/bench/limits.ts
+++ b/development/bench/limits.ts
@@ -1,5 +1,5 @@
 /**
- * What limits that replicas have named cost the choice of a replica, which is on the path of each request.
+ * Measures how much the limits that replicas announce add to the time to choose a replica. Every request makes this choice.
  */
 import process from 'node:process';
 import {SystemClock} from '../../src/base/clock.js';
@@ -9,12 +9,14 @@
 import {ReplicaLimits} from '../../src/replicas/replica-limits.js';
 
 const replicaCount = 84;
-const boxes = 87;
+const boxCount = 87;
+/** Choices in a measurement; as many are made before it to warm up. */
 const choices = 20_000;
+/** Numbers of replicas that have announced a limit, one measurement each. */
 const limitedCounts = [0, 1, 8, replicaCount];
 const request = {promptTokens: 1000, sharedParts: [{id: 'a', tokens: 400}, {id: 'b', tokens: 300}]};
 
-/** Prints microseconds a choice, with and without looking at limits. */
+/** Prints the microseconds per choice, with and without the check of limits. */
 export async function benchLimits(): Promise<void> {
 	const clock = SystemClock.create();
 	const replicas = Array.from({length: replicaCount}, (_, index) => Replica.create({
@@ -23,7 +25,8 @@
 	const choice = LeastWaitChoice.create({dataCentre: 'a', now: () => clock.monotonic()});
 	for (const limited of limitedCounts) {
 		const limits = ReplicaLimits.create({
-			clock, log: SilentEventLog.create(), commonTime: () => clock.wall(), slotRange: () => ({from: 0.3, length: 1 / boxes}), listed: start => replicas.find(replica => replica.start === start),
+			clock, log: SilentEventLog.create(), commonTime: () => clock.wall(), slotRange: () => ({from: 0.3, length: 1 / boxCount}),
+			listed: start => replicas.find(replica => replica.start === start),
 		});
 		for (const replica of replicas.slice(0, limited)) {
 			limits.recordResponse(replica, 5, clock.monotonic());
@@ -33,25 +36,29 @@
 			choice.choose(candidates.length === 0 ? replicas : candidates, request);
 		};
 
-		const plain = timeOf(() => {
+		const withoutLimits = microsecondsPerCall(() => {
 			choose(replicas);
 		});
-		const withLimits = timeOf(() => {
+		const withLimits = microsecondsPerCall(() => {
 			choose(replicas.filter(replica => limits.hasRoom(replica)));
 		});
-		process.stdout.write(`${limited} of ${replicaCount} limited: ${plain.toFixed(1)} us a choice without looking at limits, ${withLimits.toFixed(1)} us with\n`);
+		process.stdout.write(`${limited} of ${replicaCount} limited: ${withoutLimits.toFixed(1)} us per choice without the check of limits, ${withLimits.toFixed(1)} us with it\n`);
 	}
 }
 
-function timeOf(act: () => void): number {
+/**
+ * @param operation - The operation to measure.
+ * @returns Microseconds per call, after a warm-up.
+ */
+function microsecondsPerCall(operation: () => void): number {
 	for (let index = 0; index < choices; index++) {
-		act();
+		operation();
 	}
 
-	const beganAt = performance.now();
+	const startedAt = performance.now();
 	for (let index = 0; index < choices; index++) {
-		act();
+		operation();
 	}
 
-	return (performance.now() - beganAt) * 1000 / choices;
+	return (performance.now() - startedAt) * 1000 / choices;
 }
--- a/development/bench/streams.ts
+++ b/development/bench/streams.ts
@@ -1,5 +1,6 @@
 /**
- * What a relay spends on an event of a stream, from the replica's bytes to the client's: `npm run bench -- streams`.
+ * Measures the processor time of a relay per stream event, from the bytes received from the replica to those written to the
+ * client: `npm run bench -- streams`.
  */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
@@ -16,26 +17,26 @@
 import {emptyStatement} from '../../src/replicas/replica-statement.js';
 
 const eventsPerStream = 64;
-const streamsAtOnce = 50;
+const concurrentStreams = 50;
 const warmUpRounds = 10;
 const rounds = 40;
-/** A usual event: some words of an answer. */
+/** Bytes of data in an event, as many as a few words of a response. */
 const dataBytes = 48;
 const head = {
 	id: undefined, isNotRun: false, isMisdirected: false, isPlain: true, idleLifetime: undefined, statement: emptyStatement,
 };
 
-const textOf = (event: number): string => `id: ${event}\ndata: ${'w'.repeat(dataBytes)}\n\n`;
+const eventText = (event: number): string => `id: ${event}\ndata: ${'w'.repeat(dataBytes)}\n\n`;
 
-/** In what pieces a stream's bytes come. */
-const shapes: Readonly<Record<string, (bytes: Uint8Array) => readonly Uint8Array[]>> = {
+/** Ways to split the bytes of an event into chunks, by name. */
+const splits: Readonly<Record<string, (bytes: Uint8Array) => readonly Uint8Array[]>> = {
 	'an event a piece': bytes => [bytes],
 	'an event in two pieces': bytes => [bytes.subarray(0, 5), bytes.subarray(5)],
 	'an event byte by byte': bytes => Array.from(bytes, (_, index) => bytes.subarray(index, index + 1)),
 };
 
-/** A client's connection whose bytes nobody reads: what is measured is the relay's own work. */
-class NobodyReads {
+/** Response to the client that discards its bytes, so that only the relay's own work is measured. */
+class DiscardingResponse {
 	headersSent = false;
 	writableNeedDrain = false;
 
@@ -48,11 +49,11 @@
 	}
 
 	end(): void {
-		// Nothing to end.
+		// No connection to end.
 	}
 }
 
-/** An answer whose bytes are pushed by hand. */
+/** @returns A response with headers only; the benchmark emits its data events. */
 async function openMessage(server: Server): Promise<IncomingMessage> {
 	const outgoing = request({host: '127.0.0.1', port: (server.address() as AddressInfo).port, agent: false});
 	outgoing.end();
@@ -61,19 +62,20 @@
 	return message;
 }
 
-async function passStreams(server: Server, pieces: readonly Uint8Array[]): Promise<number> {
+/** @returns Microseconds of processor time to forward the chunks in all streams. */
+async function forwardStreams(server: Server, chunks: readonly Uint8Array[]): Promise<number> {
 	const metrics = RelayMetrics.create();
-	const messages = await Promise.all(Array.from({length: streamsAtOnce}, async () => openMessage(server)));
-	const passages = messages.map(message => {
-		const passage = StreamForwarder.create({
-			client: ClientAnswer.create(new NobodyReads() as never, () => false), format: PlatformRelayFormat.create(), metrics, lastEventId: undefined,
+	const messages = await Promise.all(Array.from({length: concurrentStreams}, async () => openMessage(server)));
+	const forwarders = messages.map(message => {
+		const forwarder = StreamForwarder.create({
+			client: ClientAnswer.create(new DiscardingResponse() as never, () => false), format: PlatformRelayFormat.create(), metrics, lastEventId: undefined,
 		});
 		const answer = {
 			message, status: 200, isWhole: () => true, head, abandon: () => undefined,
 		};
-		return {passage, passing: Effect.runPromise(passage.forward(answer, {onFirstEvent: () => undefined, onBytes: () => undefined}))};
+		return {forwarder, forwarding: Effect.runPromise(forwarder.forward(answer, {onFirstEvent: () => undefined, onBytes: () => undefined}))};
 	});
-	const texts = pieces.map(piece => Buffer.from(piece).toString('latin1'));
+	const texts = chunks.map(chunk => Buffer.from(chunk).toString('latin1'));
 	const before = process.cpuUsage();
 	for (const message of messages) {
 		for (const text of texts) {
@@ -87,15 +89,15 @@
 		message.destroy();
 	}
 
-	await Promise.all(passages.map(async ({passing}) => passing));
-	if (passages.some(({passage}) => passage.fields.events !== eventsPerStream)) {
-		throw new Error('not every event was passed on, each once');
+	await Promise.all(forwarders.map(async ({forwarding}) => forwarding));
+	if (forwarders.some(({forwarder}) => forwarder.fields.events !== eventsPerStream)) {
+		throw new Error('a stream did not forward each event exactly once');
 	}
 
 	return user + system;
 }
 
-/** Prints a row for each shape. */
+/** Prints a row for each way to split the events. */
 export async function benchStreams(): Promise<void> {
 	const server = createServer((_, response) => {
 		response.writeHead(200).flushHeaders();
@@ -103,15 +105,15 @@
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
 	process.stdout.write('| Pieces | Processor time an event |\n| --- | --- |\n');
-	for (const [name, shape] of Object.entries(shapes)) {
-		const pieces = Array.from({length: eventsPerStream}, (_, index) => shape(Buffer.from(textOf(index + 1)))).flat();
-		let spent = 0;
+	for (const [name, split] of Object.entries(splits)) {
+		const chunks = Array.from({length: eventsPerStream}, (_, index) => split(Buffer.from(eventText(index + 1)))).flat();
+		let total = 0;
 		for (let round = 0; round < warmUpRounds + rounds; round++) {
-			const took = await passStreams(server, pieces);
-			spent += round < warmUpRounds ? 0 : took;
+			const used = await forwardStreams(server, chunks);
+			total += round < warmUpRounds ? 0 : used;
 		}
 
-		process.stdout.write(`| ${name} | ${(spent / rounds / streamsAtOnce / eventsPerStream).toFixed(2)} µs |\n`);
+		process.stdout.write(`| ${name} | ${(total / rounds / concurrentStreams / eventsPerStream).toFixed(2)} µs |\n`);
 	}
 
 	server.closeAllConnections();
--- a/development/decisions/day-account.ts
+++ b/development/decisions/day-account.ts
@@ -1,33 +1,37 @@
 /**
- * What was decided in each second of a run, and what came of it: requests by outcome, and the fleet.
+ * Summarises a recorded run per second: requests by outcome, and the state of the fleet.
  */
-import type {DayEvent} from './day-log.js';
+import type {RunEvent} from './day-log.js';
 
-/** One second of a run. */
-export type AccountedSecond = {
+/** Summary of one second of a run. */
+export type SecondSummary = {
+	/** Start of the second, in the time of the log, in seconds. */
 	readonly second: number;
+	/** Answered requests, including the late ones. */
 	readonly answered: number;
-	/** Answered after the time that was asked about. */
+	/** Requests whose first byte came later than `lateAfter`. */
 	readonly late: number;
 	/** Refused requests by reason. */
 	readonly refused: ReadonlyMap<string, number>;
+	/** Requests whose client disconnected before the end of the response. */
 	readonly left: number;
-	/** Replicas that may get work at the end of the second, by sort. */
+	/** Replicas that are eligible for requests at the end of the second. */
 	readonly ready: number;
-	/** Replicas that are ordered at its end. */
+	/** Reclaimable replicas in the orders that hold at the end of the second. */
 	readonly reclaimable: number;
+	/** Non-reclaimable replicas in the orders that hold at the end of the second. */
 	readonly kept: number;
-	/** Replicas that the load needed when orders were last weighed; `undefined` before. */
+	/** Replicas that the load required at the last calculation of the fleet size; `undefined` before the first. */
 	readonly needed: number | undefined;
-	/** Orders that were not taken. */
+	/** Orders of replicas that failed. */
 	readonly refusedOrders: number;
-	/** Lines that boxes left out, most of them of requests that were answered. */
+	/** Log lines that boxes omitted, mostly of answered requests. */
 	readonly linesLeftOut: number;
 };
 
-/** Goes through a run. */
-class Walk {
-	readonly rows: AccountedSecond[] = [];
+/** Processes the events of a run in order, and adds a row at the end of each second. */
+class RunSummary {
+	readonly rows: SecondSummary[] = [];
 	private answered = 0;
 	private late = 0;
 	private left = 0;
@@ -38,9 +42,9 @@
 	private readonly ready = new Set<string>();
 	private readonly ordered = new Map<string, {readonly count: number; readonly isReclaimable: boolean}>();
 
-	constructor(private readonly lateAfter: number, private readonly scaled: string | undefined) {}
+	constructor(private readonly lateAfter: number, private readonly scaledService: string | undefined) {}
 
-	take({name, fields}: DayEvent): void {
+	addEvent({name, fields}: RunEvent): void {
 		const handlers: Readonly<Record<string, () => void>> = {
 			requestAnswered: () => {
 				this.answered++;
@@ -57,7 +61,7 @@
 				this.left++;
 			},
 			replicaListed: () => {
-				if (fields.isDraining !== true && (this.scaled === undefined || fields.service === this.scaled)) {
+				if (fields.isDraining !== true && (this.scaledService === undefined || fields.service === this.scaledService)) {
 					this.ready.add(String(fields.replica));
 				}
 			},
@@ -79,7 +83,7 @@
 		handlers[name]?.();
 	}
 
-	close(second: number): void {
+	closeSecond(second: number): void {
 		const orders = [...this.ordered.values()];
 		const sum = (isReclaimable: boolean) => {
 			let total = 0;
@@ -104,33 +108,34 @@
 	}
 }
 
-/** What is asked of an account. */
-export type AccountQuestion = {
-	/** Milliseconds to the first byte after which an answer counts as late. */
+/** Options of the summary. */
+export type SummaryOptions = {
+	/** Milliseconds to the first byte above which a response counts as late. */
 	readonly lateAfter: number;
 };
 
 /**
- * @param events - A run, in order.
- * @param question - What is asked.
- * @returns Its seconds. Replicas are those of the services that are ordered, where any are.
+ * @param events - The events of a run, in order of time.
+ * @param options - Options of the summary.
+ * @returns A summary of each second. Ready replicas are counted for the first service whose fleet is sized or ordered,
+ * or for all services if there is none.
  */
-export function accountOf(events: readonly DayEvent[], {lateAfter}: AccountQuestion): readonly AccountedSecond[] {
-	const scaled = events.find(({name}) => name === 'fleetSized' || name === 'replicasOrdered')?.fields.service;
-	const walk = new Walk(lateAfter, typeof scaled === 'string' ? scaled : undefined);
+export function summariseRun(events: readonly RunEvent[], {lateAfter}: SummaryOptions): readonly SecondSummary[] {
+	const scaledService = events.find(({name}) => name === 'fleetSized' || name === 'replicasOrdered')?.fields.service;
+	const summary = new RunSummary(lateAfter, typeof scaledService === 'string' ? scaledService : undefined);
 	let second = Math.floor(events[0]?.at ?? 0);
 	for (const event of events) {
 		while (event.at >= second + 1) {
-			walk.close(second);
+			summary.closeSecond(second);
 			second++;
 		}
 
-		walk.take(event);
+		summary.addEvent(event);
 	}
 
 	if (events.length > 0) {
-		walk.close(second);
+		summary.closeSecond(second);
 	}
 
-	return walk.rows;
+	return summary.rows;
 }
--- a/development/demo/main.ts
+++ b/development/demo/main.ts
@@ -1,7 +1,8 @@
 /**
- * The main job in one command: an installation of four entry boxes in two data centres under a mixed load,
- * with one upstream reclaimed and one entry box stopped in the middle. Ends by itself with a table, and a
- * line of JSON. Exit 1 where something was lost, run twice or misdelivered.
+ * Demonstrates Waydrift in one command: an installation of four entry boxes in two data centres under a mixed load, in
+ * which one upstream is reclaimed and one entry box is stopped. Prints a table and a line of JSON, then runs the demo of
+ * the relays. Exits with 1 if a request was lost, run twice or misdelivered, if a request refused as not run was run, if
+ * no request was answered, if the stopped box did not exit with 0, or if the demo of the relays fails.
  */
 import process from 'node:process';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -19,16 +20,21 @@
 	sampleKey, sampleKinds, sampleTable, type SampleKind,
 } from './sample-table.js';
 
+/** Milliseconds of load. */
 const loadTime = 16_000;
+/** Milliseconds from the start of the load to the reclaim notice of an engine. */
 const reclaimAt = 5000;
+/** Milliseconds from the notice until the engine is reclaimed. */
 const reclaimNotice = 3000;
+/** Milliseconds from the start of the load until an entry box gets SIGTERM. */
 const stopAt = 9000;
 const dataCentres = ['ahmedabad', 'surat'] as const;
 const enginesPerDataCentre = 2;
+/** Requests per second that are sent to an engine directly. */
 const directRate = 2;
-/** The second engine of each data centre writes its events in pieces, and ends inside some of them. */
-const roughWriting = {seed: 1, mostPieces: 4, broken: 0.002} as const;
-/** Characters of the prefix that requests of a session share. */
+/** The second engine of each data centre splits its events into several writes, and breaks off within some of them. */
+const fragmentedWriting = {seed: 1, mostPieces: 4, broken: 0.002} as const;
+/** Start of the system prompt that all chat requests share. */
 const sharedPrefix = 'You are the assistant of the service. Answer shortly and with the figures you were given. '.repeat(20);
 
 type Outcome = {readonly kind: SampleKind; readonly key: string; readonly result: Result};
@@ -39,7 +45,7 @@
 	const upstreams = dataCentres.flatMap(dataCentre => [
 		...Array.from({length: enginesPerDataCentre}, async (_, index) =>
 			installation.addEngine(`engine-${dataCentre}-${index + 1}`, {
-				dataCentre, pool: 'engines', price: 10, traits: index === 0 ? {} : {writing: roughWriting},
+				dataCentre, pool: 'engines', price: 10, traits: index === 0 ? {} : {writing: fragmentedWriting},
 			})),
 		installation.addService(`orders-${dataCentre}`, {dataCentre, pool: 'orders', price: 1}),
 	]);
@@ -50,14 +56,14 @@
 	return installation;
 }
 
-/** The balancer's view: boxes that said they are ready when it last looked. */
+/** Stands in for a load balancer: polls the readiness of the entry boxes and keeps the ports of those that are ready. */
 class Balancer {
 	ports: readonly number[] = [];
 	private isOpen = true;
 
 	constructor(private readonly installation: Installation) {}
 
-	async follow(): Promise<void> {
+	async pollReadiness(): Promise<void> {
 		while (this.isOpen) {
 			const ready = await Promise.all(this.installation.entries.map(async member => await isReady(member) ? [member.box.port] : []));
 			this.ports = ready.flat();
@@ -95,7 +101,7 @@
 	return {kind, key, result};
 }
 
-/** Sends one kind at its rate, whether answers come or not. */
+/** Sends requests of one kind at its mean rate, without waiting for responses. */
 async function load(kind: SampleKind, ports: () => readonly number[], outcomes: Array<Promise<Outcome>>): Promise<void> {
 	const caller = Caller.create(sampleKey(kind.account), ports);
 	const endsAt = performance.now() + loadTime;
@@ -114,14 +120,14 @@
 	}
 }
 
-async function disturb(installation: Installation): Promise<void> {
+async function injectFaults(installation: Installation): Promise<void> {
 	await delay(reclaimAt);
 	await installation.reclaim(`engine-${dataCentres[0]}-1`, reclaimNotice);
 	await delay(stopAt - reclaimAt);
 	installation.members.get(`entry-${dataCentres[1]}-1`)!.child.signal('SIGTERM');
 }
 
-/** How often each key was executed, over all plain services. */
+/** @returns The number of executions of each request key, over all plain services. */
 async function readExecutions(installation: Installation): Promise<ReadonlyMap<string, number>> {
 	const services = [...installation.members.values()].filter(({box}) => box.role === 'plain-service');
 	const counts = await Promise.all(services.map(async ({box}) => control(box.port, 'executions', {}) as Promise<Readonly<Record<string, number>>>));
@@ -133,8 +139,8 @@
 	return executions;
 }
 
-/** Calls that may not be repeated, and how often each was executed. */
-function executionsOfOnce(outcomes: readonly Outcome[], executions: ReadonlyMap<string, number>) {
+/** @returns The result and the number of executions of each call that must not run twice. */
+function executionsOfNonRepeatable(outcomes: readonly Outcome[], executions: ReadonlyMap<string, number>) {
 	return outcomes
 		.filter(({kind}) => kind.type === 'plain' && !kind.repeatable)
 		.map(({key, result: {judgement}}) => ({judgement, count: executions.get(key) ?? 0}));
@@ -176,24 +182,24 @@
 async function run(installation: Installation): Promise<number> {
 	const startedAt = performance.now();
 	const balancer = new Balancer(installation);
-	const following = balancer.follow();
+	const polling = balancer.pollReadiness();
 	const pending: Array<Promise<Outcome>> = [];
 	const direct: Array<Promise<Timing>> = [];
-	const steady = installation.members.get(`engine-${dataCentres[1]}-1`)!;
+	const undisturbedEngine = installation.members.get(`engine-${dataCentres[1]}-1`)!;
 	await delay(300);
 	await Promise.all([
 		...sampleKinds.map(async kind => load(kind, () => balancer.ports, pending)),
-		probeDirectly(steady, direct),
-		disturb(installation),
+		probeDirectly(undisturbedEngine, direct),
+		injectFaults(installation),
 	]);
 	const outcomes = await Promise.all(pending);
 	const directTimings = await Promise.all(direct);
 	const stopped = installation.members.get(`entry-${dataCentres[1]}-1`)!.child;
-	const exitOfStopped = await stopped.exited;
+	const stoppedExitCode = await stopped.exited;
 	balancer.close();
-	await following;
+	await polling;
 
-	const once = executionsOfOnce(outcomes, await readExecutions(installation));
+	const nonRepeatable = executionsOfNonRepeatable(outcomes, await readExecutions(installation));
 	const count = (kind: Result['judgement']['kind']) => outcomes.filter(({result}) => result.judgement.kind === kind).length;
 	const streamed = outcomes.filter(({kind}) => kind.isStreamed).map(({result}) => result.timing);
 	const hours = (performance.now() - startedAt) / 3_600_000;
@@ -207,15 +213,15 @@
 		answered: count('answered'),
 		refused: countRefusals(outcomes),
 		lost: count('lost'),
-		duplicated: once.filter(({count}) => count > 1).length,
-		toldNotRunButRan: once.filter(({judgement, count}) => judgement.kind === 'refused' && judgement.verdict === 'not-run' && count > 0).length,
+		duplicated: nonRepeatable.filter(({count}) => count > 1).length,
+		toldNotRunButRan: nonRepeatable.filter(({judgement, count}) => judgement.kind === 'refused' && judgement.verdict === 'not-run' && count > 0).length,
 		misdelivered: count('misdelivered'),
 		recomputedTokens: await sumMetric(installation, 'waydrift_recomputed_tokens_total{cause="leaving"}')
 			+ await sumMetric(installation, 'waydrift_recomputed_tokens_total{cause="failure"}'),
 		streamsMoved: await sumMetric(installation, 'waydrift_streams_moved_total{cause="leaving"}'),
 		streamsCut: await sumMetric(installation, 'waydrift_streams_moved_total{cause="failure"}'),
 		cost: Math.round(price * hours * 10_000) / 10_000,
-		stoppedBoxExit: exitOfStopped ?? -1,
+		stoppedBoxExit: stoppedExitCode ?? -1,
 		throughWaydrift: summarise(streamed),
 		direct: summarise(directTimings),
 	};
@@ -226,7 +232,7 @@
 
 	process.stdout.write(`${JSON.stringify(report)}\n`);
 	const faults = report.lost + report.duplicated + report.toldNotRunButRan + report.misdelivered;
-	return faults === 0 && exitOfStopped === 0 && report.answered > 0 ? 0 : 1;
+	return faults === 0 && stoppedExitCode === 0 && report.answered > 0 ? 0 : 1;
 }
 
 function printReport(report: Readonly<Record<string, unknown>>): void {
@@ -238,7 +244,7 @@
 	}
 }
 
-process.stdout.write(`Starting the stand-ins and four entry boxes; the load takes ${loadTime / 1000} s.\n`);
+process.stdout.write(`Starting the simulated upstreams and four entry boxes; the load takes ${loadTime / 1000} s.\n`);
 const installation = await build();
 try {
 	process.exitCode = await run(installation);
