--- a/development/decisions/main.ts
+++ b/development/decisions/main.ts
@@ -4,9 +4,9 @@
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
 import yargs from 'yargs';
-import {summariseRun, type SecondSummary} from './day-account.js';
-import {readRunLog, countUnreadableLines} from './day-log.js';
-import {writeRunPlot} from './day-plot.js';
+import {summariseRun, type SecondSummary} from './run-summary.js';
+import {readRunLog, countUnreadableLines} from './run-log.js';
+import {writeRunPlot} from './run-plot.js';
 
 /** Default of `--late-after` in milliseconds. */
 const defaultLateAfter = 500;
--- a/development/decisions/day-plot.ts
+++ b/development/decisions/run-plot.ts
@@ -3,7 +3,7 @@
  */
 import {writeFileSync} from 'node:fs';
 import * as vega from 'vega';
-import type {SecondSummary} from './day-account.js';
+import type {SecondSummary} from './run-summary.js';
 
 // Width and height of a chart in pixels.
 const width = 640;
--- a/development/decisions/day-account.ts
+++ b/development/decisions/run-summary.ts
@@ -1,7 +1,7 @@
 /**
  * Summarises a recorded run per second: requests by outcome, and the state of the fleet.
  */
-import type {RunEvent} from './day-log.js';
+import type {RunEvent} from './run-log.js';
 
 /** Summary of one second of a run. */
 export type SecondSummary = {
--- a/development/decisions/test/day-account.test.ts
+++ b/development/decisions/test/run-summary.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {summariseRun} from '../day-account.js';
-import {readRunLog, countUnreadableLines} from '../day-log.js';
+import {summariseRun} from '../run-summary.js';
+import {readRunLog, countUnreadableLines} from '../run-log.js';
 
 const line = (at: number, eventName: string, fields: Readonly<Record<string, unknown>> = {}) => `  ${at.toFixed(4)} box-1 ${JSON.stringify({eventName, ...fields})}`;
 
