--- a/xo.config.js
+++ b/xo.config.js
@@ -14,7 +14,7 @@
 					message: `${folder} stands below ${upper}: imports go downwards only (docs/DESIGN.md, "Layers").`,
 				})),
 				{group: ['**/development/**'], message: 'The product does not import development programs.'},
-				...(folder === 'command' ? [] : [{group: ['**/platform/*.js'], message: 'Only src/command/relay-command.ts wires the adapter.'}]),
+				...(folder === 'command' ? [] : [{group: ['**/platform/*.js'], message: 'Only src/command/create-platform-link.ts wires the adapter.'}]),
 				{regex: '^effect$', message: 'Import effect by module (effect/Effect): the whole library costs 20 MB.'},
 			],
 		}],
