--- a/src/gossip/aggregator-capacity.ts
+++ b/src/gossip/aggregator-capacity.ts
@@ -1,20 +1,20 @@
 /**
- * How well a box would bear an aggregator's work. Where boxes differ, those that bear it easily are aggregators first: on one
- * that bears it hardly, all that is summed over boxes is late, and so are the requests that it serves itself.
+ * Ranks boxes by their capacity for an aggregator's work. Boxes with more capacity become aggregators first: on an overloaded
+ * aggregator, the sums over all boxes are late, and so are the requests that it serves itself.
  */
 import type {BoxLimits} from '../settings/relay-settings.js';
 
-/** Cores that an aggregator of some hundred boxes uses (docs/CAPACITY.md, "The exchange"). */
+/** CPU cores that an aggregator of about a hundred boxes uses (docs/CAPACITY.md, "The exchange"). */
 const aggregatorProcessor = 0.08;
-/** Megabits a second that it sends, or hears. */
+/** Megabits per second that it sends; it receives about as much. */
 const aggregatorLink = 3;
-/** Beyond this many doublings more makes no difference. */
+/** Maximum result, in doublings of an aggregator's work; capacity beyond it makes no difference. */
 const mostDoublings = 3;
 
 /**
- * @param limits - What the platform gives the box.
- * @returns How many times an aggregator's work could double before the box bears it no more: a whole number, alike for boxes
- * that hardly differ; zero where nothing is known.
+ * @param limits - CPU and network limits that the platform sets for the box.
+ * @returns How many times an aggregator's work could double before it exceeds the limits of the box: a whole number, so that
+ * boxes with similar limits get the same value; zero where no limit is known.
  */
 export function aggregatorCapacity({processor, link}: BoxLimits): number {
 	const times = [
--- a/src/gossip/exchange-topology.ts
+++ b/src/gossip/exchange-topology.ts
@@ -1,6 +1,6 @@
 /**
- * Who tells whom: in a small fleet each box tells all others; in a large one each tells a few aggregators, which answer
- * with a digest of what all boxes told them.
+ * Decides which boxes exchange messages: in a small fleet each box sends to all others; in a large one each sends to a few
+ * aggregators, which answer with a digest of the state received from all boxes.
  *
  * @remarks Source: docs/DESIGN.md, "The exchange".
  */
@@ -9,36 +9,39 @@
 import type {MemberAddress} from './gossip-message.js';
 import type {Peer, PeerTable} from './peer-table.js';
 
-/** Boxes up to which each tells all others. */
+/** Maximum number of boxes in a fleet in which each box sends to all others. */
 const largestSmallFleet = 12;
-/** Aggregators of a large fleet: two may go at once without a gap. */
+/** Aggregators of a large fleet: two may fail at once without a gap. */
 export const aggregatorCount = 3;
 /**
- * Boxes, first in order, that are named in a digest: those that lose their aggregators must go on to the same ones, or
- * each would hear a few boxes alone.
+ * Boxes named in a digest from the start of the aggregator order: boxes that lose their aggregators must fail over to the same
+ * successors. With different ones, each would receive the state of a few boxes only.
  */
 const successorsTold = 15;
-/** By how much of its length a pause between two rounds varies. */
+/** Jitter of the pause between two rounds, as a fraction of the interval. */
 const pauseSpread = 0.5;
-/** Milliseconds between two rounds. */
+/** Milliseconds between two rounds, in a small and in a large fleet. */
 const smallInterval = 200;
 const largeInterval = 400;
-/** Boxes from which rounds of a large fleet grow longer, so that an aggregator's work does not grow with the fleet. */
+/** Number of boxes above which the interval of a large fleet grows, so that an aggregator's work does not grow with the fleet. */
 const boxesAtLargeInterval = 100;
-/** Messages without an answer after which an aggregator is passed over. */
+/** Consecutive messages without an answer after which an aggregator is skipped. */
 const mostUnanswered = 5;
-/** Hashes of names are below this. */
+/** Exclusive upper bound of the hashes of names. */
 const hashRange = 2 ** 32;
-/** Rounds after which one that was passed over is asked again. */
+/** Rounds between two messages to a skipped box, which detect that it answers again. */
 const roundsBetweenTrials = 5;
-/** Rounds without a message after which a box counts as silent. */
+/** Rounds without a message after which a box counts as silent, and the minimum of that time in milliseconds. */
 const roundsHeardWithin = 5;
 const leastHeardWithin = 1000;
 
-/** A peer and its place in the order; lower ones come first. */
+/** A peer and its rank in the aggregator order; lower ranks come first. */
 type Ranked = {readonly peer: Peer; readonly rank: number};
 
-/** The topology, as one box sees it. No box is set aside: the order follows from the names of those that answer. */
+/**
+ * The topology from the view of one box. Aggregators are not configured: the order follows from the names and capacities of the
+ * boxes that answer.
+ */
 export class ExchangeTopology {
 	/**
 	 * @param self - This box.
@@ -51,7 +54,7 @@
 
 	private readonly name: string;
 	private readonly ownRank: number;
-	/** The order is asked for with each message and each request; a hash of a name never changes. */
+	/** Hashes of names, cached because the order is needed for each message and each request. */
 	private readonly ranks = new Map<string, number>();
 	private order: {readonly ranked: readonly Ranked[]; readonly isFirst: boolean; readonly changes: number} | undefined;
 
@@ -60,24 +63,25 @@
 		this.ownRank = this.rankOf(self);
 	}
 
-	/** Whether digests of aggregators take the place of each box's own word. */
+	/** Whether boxes receive digests from aggregators instead of messages from every other box. */
 	get isLarge(): boolean {
 		return this.peers.boxes > largestSmallFleet;
 	}
 
-	/** Whether this box is told by all others and follows the store. */
+	/** Whether this box receives messages from all others and watches the store. */
 	get isAggregator(): boolean {
 		return !this.isLarge || this.orderNow().isFirst;
 	}
 
-	/** The other boxes that are told by all; in a small fleet all others. */
+	/** The other boxes that receive messages from all boxes; in a small fleet all others. */
 	get aggregators(): readonly Peer[] {
 		return this.isLarge ? this.ranked().slice(0, aggregatorCount).map(({peer}) => peer) : this.peers.all;
 	}
 
 	/**
-	 * @param name - Name of something that one box alone is to do.
-	 * @returns Whether that is this box: the same on all boxes that hear the same ones, in a large fleet an aggregator.
+	 * @param name - Name of a task that only one box should do.
+	 * @returns Whether this box should do it: all boxes that receive messages from the same boxes agree on the owner, which is
+	 * an aggregator in a large fleet.
 	 */
 	owns(name: string): boolean {
 		const others = (this.isLarge ? this.aggregators : this.peers.heard).map(({address}) => address.name);
@@ -90,8 +94,9 @@
 	}
 
 	/**
-	 * Boxes that start together would tell an aggregator all at once, and its answers would fill the queue of its link: those
-	 * to the last boxes would be lost in each round. The pauses differ, so that rounds drift apart.
+	 * Adds jitter, so that the rounds of different boxes drift apart. Boxes that start together would otherwise send to an
+	 * aggregator at the same moment; its answers would overflow the queue of its link, and the last ones would be lost in each
+	 * round.
 	 *
 	 * @param random - A number from 0 to 1.
 	 * @returns Milliseconds until the next round.
@@ -100,14 +105,14 @@
 		return this.interval * (1 + (pauseSpread * (random - 0.5)));
 	}
 
-	/** Milliseconds within which a box that tells this one has been heard. */
+	/** Milliseconds within which a message is expected from each box that sends to this one. */
 	get heardWithin(): number {
 		return Math.max(leastHeardWithin, this.interval * roundsHeardWithin);
 	}
 
 	/**
 	 * @param round - Number of the round.
-	 * @returns The boxes to tell in it.
+	 * @returns The boxes to send to in this round.
 	 */
 	targets(round: number): readonly Peer[] {
 		const {aggregators} = this;
@@ -123,10 +128,10 @@
 	}
 
 	/**
-	 * @param count - Boxes to name.
-	 * @param round - Number of the round: others are named in the next one.
-	 * @param isSuccession - Whether the aggregators and those that would follow them are named too, first.
-	 * @returns Boxes to name to others.
+	 * @param count - Number of boxes to name.
+	 * @param round - Number of the round; the names rotate from round to round.
+	 * @param isSuccession - Whether to add the aggregators and their successors, at the front.
+	 * @returns Boxes to list as members in a message.
 	 */
 	namesToTell(count: number, round: number, isSuccession = true): readonly Peer[] {
 		const {heard} = this.peers;
@@ -137,7 +142,7 @@
 		return [...new Set([...first, ...others])];
 	}
 
-	/** Those that answer as far as is known, in the order that all boxes agree on. */
+	/** Peers that are believed to answer, in the order that all boxes agree on. */
 	private ranked(): readonly Ranked[] {
 		return this.orderNow().ranked;
 	}
@@ -156,7 +161,7 @@
 		return this.order;
 	}
 
-	/** Boxes that bear the work better come first, and among their like the hash of the name decides. */
+	/** Boxes with more capacity come first; the hash of the name orders boxes of equal capacity. */
 	private rankOf({name, capacity = 0}: Pick<MemberAddress, 'name' | 'capacity'>): number {
 		return getOrCreate(this.ranks, name, () => hashText(`aggregator\n${name}`)) - (capacity * hashRange);
 	}
--- a/src/gossip/exchange-traffic.ts
+++ b/src/gossip/exchange-traffic.ts
@@ -1,24 +1,24 @@
 /**
- * Measures the datagrams of the exchange, so that a box whose link they fill can be told from one that hears nobody.
+ * Measures the datagrams of the exchange, to distinguish a box with a saturated link from one that receives nothing.
  */
 import type {Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
 
-/** Milliseconds between two lines of the log. */
+/** Milliseconds between two log records. */
 const tellInterval = 5000;
 const millisecondsPerSecond = 1000;
 
-/** Which way a datagram went. */
+/** Direction of a datagram; `heard` means received. */
 export type TrafficDirection = 'sent' | 'heard';
 
-/** Counts the datagrams and their bytes elsewhere too. */
+/** Called with the direction and the size of each datagram, for example to update metrics. */
 export type TrafficListener = (direction: TrafficDirection, bytes: number) => void;
 
-/** What is told beside the traffic itself. */
+/** Context that is logged with the traffic rates. */
 export type TrafficSurroundings = {
-	/** Boxes that there are, as far as is known. */
+	/** Estimated number of boxes in the fleet. */
 	readonly boxes: number;
-	/** Other boxes that were heard lately. */
+	/** Other boxes from which a message was received recently, see `PeerTable.heard`. */
 	readonly heard: number;
 	readonly isAggregator: boolean;
 };
@@ -30,10 +30,10 @@
 /** The traffic of one box. */
 export class ExchangeTraffic {
 	/**
-	 * @param clock - For rates.
-	 * @param log - Where the rates are told.
-	 * @param listener - Is told of each datagram.
-	 * @returns Traffic of which nothing was seen.
+	 * @param clock - Measures the time between two log records.
+	 * @param log - Receives the rates.
+	 * @param listener - Called for each datagram.
+	 * @returns Counters at zero.
 	 */
 	static create(clock: Clock, log: EventLog, listener: TrafficListener = ignore): ExchangeTraffic {
 		return new ExchangeTraffic(clock, log, listener);
@@ -47,7 +47,9 @@
 	}
 
 	/**
-	 * @param direction - Which way a datagram went.
+	 * Counts a datagram.
+	 *
+	 * @param direction - Whether it was sent or received.
 	 * @param bytes - Its length.
 	 */
 	note(direction: TrafficDirection, bytes: number): void {
@@ -56,7 +58,11 @@
 		this.listener(direction, bytes);
 	}
 
-	/** @param surroundings - What is told beside the rates, which are told every few seconds. */
+	/**
+	 * Logs the rates if the log interval has passed.
+	 *
+	 * @param surroundings - Context to log with the rates.
+	 */
 	tell(surroundings: TrafficSurroundings): void {
 		const now = this.clock.monotonic();
 		const elapsed = now - this.toldAt;
--- a/src/gossip/gossip-codec.ts
+++ b/src/gossip/gossip-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Lays messages out for their datagrams, and reads them: lists of like things as rows without names, since an aggregator
- * of a large fleet sends and hears hundreds of them a second over a small link.
+ * Encodes and decodes gossip datagrams. Lists are encoded as rows without field names, to save bytes: an aggregator of a large
+ * fleet sends and receives hundreds of datagrams per second over a slow link.
  */
 import {Buffer} from 'node:buffer';
 import * as Result from 'effect/Result';
@@ -15,26 +15,26 @@
 const MemberRow = Schema.Tuple([Schema.String, Schema.String, Schema.Number, Schema.Number]);
 /** Replica, requests, unread tokens. */
 const WorkRow = Schema.Tuple([Schema.String, Schema.Number, Schema.Number]);
-/** Client account, passed, level, asked. */
+/** Client account, units passed, bucket level, units per second asked for. */
 const CountRow = Schema.Tuple([Schema.String, Schema.Number, Schema.Number, Schema.Number]);
-/** Client account, level, refill rate, pass rate, ask rate, counted. */
+/** Client account, bucket level, refill rate, pass rate, ask rate, counted units; see {@link QuotaLevel}. */
 const LevelRow = Schema.Tuple([Schema.String, Schema.Number, Schema.Number, Schema.Number, Schema.Number, Schema.NullOr(Schema.Number)]);
 /** Service, requests, reading, read rate, goal, mean tokens, mean square, met, missed. */
 const DemandRow = Schema.Tuple([
 	Schema.String, Schema.Number, Schema.Number, Schema.Number, Schema.Number, Schema.Number, Schema.Number, Schema.Number, Schema.Number,
 ]);
-/** Window; client account and requests in turn. */
+/** Window; pairs of a client account and its requests. */
 const UsageRow = Schema.Tuple([Schema.Number, Schema.Array(Schema.Tuple([Schema.String, Schema.Number]))]);
 
-/** Start, service, software, age; requests and how long each was there. */
+/** A crash: replica start, service, software, age; fingerprints of requests and the milliseconds that each had run. */
 const EndRow = Schema.Tuple([Schema.String, Schema.String, Schema.String, Schema.Number, Schema.Array(Schema.Tuple([Schema.String, Schema.Number]))]);
-/** Request, age. */
+/** Fingerprint of a request, age. */
 const CompletionRow = Schema.Tuple([Schema.String, Schema.Number]);
 
-/** Start, value, age. */
+/** Replica start, value, age. */
 const StatementRow = Schema.Tuple([Schema.String, Schema.NullOr(Schema.Number), Schema.Number]);
 const StatementRows = Schema.Array(StatementRow);
-/** Service, from, length. */
+/** Service, start of the ring range, its length. */
 const StretchRow = Schema.Tuple([Schema.String, Schema.Number, Schema.Number]);
 
 const ReplicaChange = Schema.Struct({
@@ -69,7 +69,7 @@
 	asksDigest: Schema.optionalKey(Schema.Boolean),
 	digest: Schema.optionalKey(DigestLayout),
 	ends: Schema.optionalKey(Schema.Tuple([Schema.Array(EndRow), Schema.Array(CompletionRow)])),
-	/** By kind, in the order of `statementKinds`. */
+	/** One list for each kind, in the order of `statementKinds`. */
 	statements: Schema.optionalKey(Schema.Tuple([StatementRows, StatementRows, StatementRows])),
 	departed: Schema.Array(Schema.Struct({id: Schema.String, revision: Schema.Number, start: Schema.optionalKey(Schema.String)})),
 	usage: Schema.Array(UsageRow),
@@ -77,7 +77,7 @@
 });
 type Layout = typeof MessageLayout.Type;
 
-/** What a newer program adds is skipped. */
+/** Ignores unknown fields, which a newer version of the program may send. */
 const decodeLayout = createDecoder(MessageLayout, 'ignore');
 
 const rowOf = ({name, host, port, capacity = 0}: MemberAddress) => [name, host, port, capacity] as const;
@@ -89,7 +89,7 @@
 
 /**
  * @param message - A message.
- * @returns Its datagram.
+ * @returns The payload of its datagram.
  */
 export function encodeGossip(message: GossipMessage): Uint8Array {
 	const {sender, quota, work, demand, digest, usage, members, ends, statements, ...plain} = message;
@@ -109,8 +109,8 @@
 }
 
 /**
- * @param data - A datagram.
- * @returns The message; `undefined` where it is none.
+ * @param data - The payload of a datagram.
+ * @returns The message; `undefined` where the payload is malformed.
  */
 export function decodeGossip(data: Uint8Array): GossipMessage | undefined {
 	try {
@@ -157,7 +157,7 @@
 	return [rowsOf(limits), rowsOf(leaving), rowsOf(pauses)];
 }
 
-/** @returns The statement; none where its value is below zero. */
+/** @returns The statement; an empty list where its value is negative. */
 function statementOf(kind: StatementUpdate['kind'], [start, value, age]: typeof StatementRow.Type): readonly StatementUpdate[] {
 	return value === null || value >= 0
 		? [{
@@ -195,7 +195,7 @@
 	};
 }
 
-/** Digits of a place on the line that tell any two boxes apart. */
+/** Decimal precision of a position on the ring that is fine enough to distinguish any two boxes. */
 const placePrecision = 1e5;
 const roundedPlace = (place: number): number => Math.round(place * placePrecision) / placePrecision;
 
--- a/src/gossip/gossip-message.ts
+++ b/src/gossip/gossip-message.ts
@@ -1,5 +1,5 @@
 /**
- * What boxes tell each other, one datagram at a time; gossip-codec.ts lays it out.
+ * Messages that boxes exchange, one per datagram; gossip-codec.ts encodes them.
  */
 import {maxPort} from '../base/port.js';
 import type {CrashLedgerUpdate} from '../quarantine/crash-ledger.js';
@@ -10,115 +10,118 @@
 import type {Demand} from '../replicas/service-demand.js';
 import type {Changes} from '../follow/metadata-store.js';
 
-/** Where a box hears the others. */
+/** Name and address of a box that takes part in the exchange. */
 export type MemberAddress = {
 	readonly name: string;
 	readonly host: string;
 	readonly port: number;
-	/** See `aggregatorCapacity`; absent where nothing is known. */
+	/** See `aggregatorCapacity`; absent where it is not known. */
 	readonly capacity?: number;
 };
 
 /**
- * @param address - Where a box is said to hear the others; it may come from anybody.
+ * @param address - Claimed address of a box, from an untrusted source.
  * @returns Whether a datagram can be sent there.
  */
 export function canBeSentTo({host, port}: Pick<MemberAddress, 'host' | 'port'>): boolean {
 	return host !== '' && Number.isInteger(port) && port > 0 && port <= maxPort;
 }
 
-/** Work of boxes at one replica. */
+/** Work that boxes have in progress at one replica. */
 export type ReplicaLoad = ReplicaWork & {readonly replica: string};
 
-/** The receiver's part of the slots at replicas of a service that have named limits. */
+/** The receiver's share of the slots at replicas of a service that have announced a concurrency limit. */
 export type ServiceStretch = RingRange & {readonly service: string};
 
-/** What is asked of one service at the sender. */
+/** Demand for one service at the sender. */
 export type ServiceLoad = Demand & {readonly service: string};
 
-/** Requests of client accounts that began in one window. */
+/** Number of requests of each client account that began in one window. */
 export type WindowUsage = {
 	readonly window: number;
 	readonly counts: ReadonlyArray<readonly [clientAccount: string, requests: number]>;
 };
 
-/** What a box tells of a client account: units let pass since it started, and how full its copy of the bucket is. */
+/** Quota counter of a client account at one box: units admitted since the box started, and the level of its copy of the bucket. */
 export type QuotaCount = {
 	readonly clientAccount: string;
 	readonly passed: number;
 	readonly level: number;
-	/** Units a second that are asked for, passed or not. */
+	/** Units per second that were requested, admitted or not. */
 	readonly asked: number;
 };
 
-/** How full a bucket is, as a box that hears all counters tells another. */
+/** Level of a quota bucket, from an aggregator that receives the counters of all boxes. */
 export type QuotaLevel = {
 	readonly clientAccount: string;
 	readonly level: number;
-	/** Units a second that the bucket is refilled with: what is left to boxes that are not heard is not in it. */
+	/** Units per second that refill the bucket, without the share of boxes from which no message is received. */
 	readonly refillRate: number;
-	/** Units a second that all boxes let pass lately. */
+	/** Units per second that all boxes admitted recently. */
 	readonly passRate: number;
-	/** Units a second that are asked for at all boxes. */
+	/** Units per second that are requested at all boxes. */
 	readonly askRate: number;
-	/** What the receiver let pass since its start, as far as the level holds it; `undefined` where it has not told that yet. */
+	/** Units admitted by the receiver since its start that the level accounts for; `undefined` where the receiver has not sent its counter yet. */
 	readonly counted: number | undefined;
 };
 
-/** What an aggregator knows of all boxes, told to one of them. */
+/** State of all boxes that an aggregator sends to one of them. */
 export type FleetDigest = {
-	/** Boxes that the sender knows of, itself too. */
+	/** Number of boxes that the sender knows, including itself. */
 	readonly boxes: number;
-	/** How full the buckets of client accounts are; absent where the receiver did not ask. */
+	/** Levels of the quota buckets of client accounts; absent where the receiver did not ask for a digest. */
 	readonly quota?: readonly QuotaLevel[];
-	/** Work of all boxes but the receiver; absent where the receiver did not ask. */
+	/** Work of all boxes except the receiver; absent where the receiver did not ask for a digest. */
 	readonly work?: readonly ReplicaLoad[];
-	/** For services that have limited replicas; absent where there are none. */
+	/** The receiver's shares, for services that have replicas with a limit; absent where there are none. */
 	readonly stretches?: readonly ServiceStretch[];
-	/** Changes of the list of replicas that the receiver does not have yet; absent where the sender cannot tell them. */
+	/** Changes of the replica list that the receiver does not have yet; absent where the sender does not have them. */
 	readonly changes?: Changes;
 };
 
-/** One box's state, as it tells it. */
+/** State of one box, as sent to other boxes. */
 export type GossipMessage = {
 	readonly sender: MemberAddress;
-	/** Names one start of the box's process. */
+	/** Identifies one start of the box's process. */
 	readonly incarnation: string;
 	readonly sequence: number;
 	/** Milliseconds since the process started. */
 	readonly uptime: number;
-	/** The box's time of day. */
+	/** The box's wall-clock time in milliseconds since the epoch. */
 	readonly wall: number;
-	/** The newest message of the receiver that the sender has, and the milliseconds since it came. */
+	/** The newest message that the sender received from the receiver of this one, and the milliseconds since then. */
 	readonly echo?: {readonly incarnation: string; readonly sequence: number; readonly age: number};
-	/** Version of the configuration in force. */
+	/** Version of the active configuration. */
 	readonly version: number;
-	/** Milliseconds since that version is known to have been the newest; absent where it never was. */
+	/** Milliseconds since the last moment at which that version is known to have been the newest; absent where there is none. */
 	readonly proofAge?: number;
 	readonly isStopping: boolean;
 	/** Milliseconds since the store last answered the sender. */
 	readonly storeAge: number;
-	/** What the sender let pass of the client accounts that it served: of all, or of those that it served lately. */
+	/** Quota counters of the client accounts that the sender served: all of them, or only those that changed recently. */
 	readonly quota: readonly QuotaCount[];
-	/** Whether the counters that are not told stand at zero. */
+	/** Whether `quota` is complete, so that each counter missing from it is zero. */
 	readonly isWhole: boolean;
-	/** Work of the sender at replicas. */
+	/** Work of the sender in progress at replicas. */
 	readonly work: readonly ReplicaLoad[];
-	/** What is asked of services at the sender. */
+	/** Demand for services at the sender. */
 	readonly demand?: readonly ServiceLoad[];
-	/** Revision up to which the sender knows the list of replicas, and the milliseconds since it was known to be whole. */
+	/** Store position up to which the sender knows the replica list, and the milliseconds since the list was known to be complete. */
 	readonly replicas?: {readonly at: number; readonly age: number};
-	/** Whether the sender asks for all that an aggregator knows of the other boxes. */
+	/** Whether the sender asks for a full digest of the other boxes. */
 	readonly asksDigest?: boolean;
-	/** Present in the answer of an aggregator, which then tells nothing of its own counters. */
+	/** Present in the answer of an aggregator, which then omits its own counters. */
 	readonly digest?: FleetDigest;
-	/** Replicas that began to leave lately. */
+	/** Replicas that began to leave recently. */
 	readonly departed: readonly Departure[];
-	/** Replicas that ended under requests, and such requests that were served since; absent where there are none. */
+	/** Replicas that crashed while they ran requests, and those requests that have completed since; absent where there are none. */
 	readonly ends?: CrashLedgerUpdate;
-	/** What replicas said of themselves in answers to the sender, in an answer of an aggregator to any box; absent where there is nothing. */
+	/**
+	 * Statements that replicas made about themselves in responses to the sender; in an aggregator's answer, in responses to any
+	 * box. Absent where there are none.
+	 */
 	readonly statements?: readonly StatementUpdate[];
 	readonly usage: readonly WindowUsage[];
-	/** Some of the boxes that the sender knows. */
+	/** A sample of the boxes that the sender knows. */
 	readonly members: readonly MemberAddress[];
 };
--- a/src/gossip/gossip.ts
+++ b/src/gossip/gossip.ts
@@ -1,5 +1,5 @@
 /**
- * The exchange between boxes: each tells its state to others by datagrams, several times a second.
+ * The gossip exchange between boxes: each sends its state to others in UDP datagrams, several times a second.
  *
  * @remarks Source: docs/DESIGN.md, "The exchange".
  */
@@ -16,67 +16,67 @@
 import {ListenerBook} from './listener-book.js';
 import type {Meeting, Peer, PeerTable} from './peer-table.js';
 
-/** Boxes named in one message, besides the aggregators. */
+/** Members listed in one message, besides the aggregators. */
 export const membersNamed = 6;
-/** The same in an answer to a box that did not ask. */
+/** Members listed in an answer to a box that did not ask for a digest. */
 export const membersAcknowledged = 2;
-/** Milliseconds for which the moment of sending a message is kept, to date what others prove. */
+/** Milliseconds for which the send time of a message is kept; it dates proofs in the answers of other boxes. */
 const sentMemory = 15_000;
-/** Rounds of a large fleet after which a box tells all its counters, not those alone that changed lately. */
+/** Rounds of a large fleet after which a box sends all its counters instead of those that changed recently. */
 export const roundsBetweenWholeStates = 8;
-/** Rounds after which the seeds are told again, whoever is heard. */
+/** Rounds between two messages to the seeds, sent also while other boxes are heard. */
 const roundsBetweenSeeds = 25;
 
-/** What every message holds besides what the exchange itself adds. */
+/** Fields that this box supplies for every message; the exchange adds the others. */
 export type LocalNews = Pick<GossipMessage, 'version' | 'proofAge' | 'isStopping' | 'storeAge' | 'departed' | 'replicas' | 'ends' | 'statements'>;
 
-/** What a box tells of its own work. */
+/** State of this box, including its own counters and work. */
 export type LocalState = LocalNews & Pick<GossipMessage, 'quota' | 'isWhole' | 'work' | 'demand' | 'usage'>;
 
-/** What the exchange needs. */
+/** Dependencies of the exchange. */
 export type GossipServices = {
 	readonly self: MemberAddress;
-	/** Names this start of the process. */
+	/** Identifies this start of the process. */
 	readonly incarnation: string;
 	readonly clock: Clock;
 	readonly peers: PeerTable;
 	readonly topology: ExchangeTopology;
 	readonly traffic: ExchangeTraffic;
-	/** @returns What to tell in any message: all that others must know, or only what is new. */
+	/** @returns Fields for every message: all current updates, or only the new ones. */
 	readonly news: (isWhole: boolean) => LocalNews;
-	/** @returns What to tell of this box's own work, too: all its counters, or those that changed lately. */
+	/** @returns The same with this box's own counters and work: all counters, or only those that changed recently. */
 	readonly state: (isWhole: boolean) => LocalState;
-	/** @returns What to tell one box of all others: all that is known, or only what is new. */
+	/** @returns The digest of all other boxes for one box: complete, or only what is new. */
 	readonly digest: (peer: Peer, isWhole: boolean) => FleetDigest;
-	/** Takes what a box tells of itself. */
+	/** Applies the state that a box sent of itself. */
 	readonly take: (message: GossipMessage, meeting: Meeting) => void;
-	/** Takes what an aggregator tells of all boxes. */
+	/** Applies the digest of all boxes that an aggregator sent. */
 	readonly takeDigest: (message: GossipMessage, digest: FleetDigest) => void;
-	/** Takes the moment at which a version is known to have been the newest, by this box's monotonic clock. */
+	/** Records a moment, on this box's monotonic clock, at which a configuration version is known to have been the newest. */
 	readonly prove: (version: number, at: number) => void;
-	/** Addresses at which boxes may be, before any is known. */
+	/** Addresses to contact before any other box is known. */
 	readonly seeds: () => ReadonlyArray<Omit<MemberAddress, 'name'>>;
 };
 
 /** The exchange. */
 export class Gossip {
 	/**
-	 * @param services - What it needs.
-	 * @returns The exchange, silent until it is run.
+	 * @param services - Its dependencies.
+	 * @returns The exchange; it sends and receives nothing until it is run.
 	 */
 	static create(services: GossipServices): Gossip {
 		return new Gossip(services);
 	}
 
 	private sequence = 0;
-	/** Counted from anywhere: what is done every few rounds is done by boxes in turn. */
+	/** Starts at a random number, so that boxes do the periodic work of some rounds at different times. */
 	private rounds = Math.floor(Math.random() * roundsBetweenSeeds);
 	private readonly sentAt = new Map<number, number>();
 	private readonly listeners = ListenerBook.create();
 
 	private constructor(private readonly services: GossipServices) {}
 
-	/** @returns Tells and hears until interrupted. */
+	/** @returns An effect that sends and receives messages until it is interrupted. */
 	run(): Effect.Effect<never> {
 		const rounds = Effect.gen({self: this}, function * () {
 			const socket = yield * this.open();
@@ -92,7 +92,7 @@
 		const {self} = this.services;
 		return Effect.acquireRelease(Effect.sync(() => {
 			const socket = createSocket('udp4');
-			// A datagram that cannot be sent is one that is lost.
+			// A datagram that cannot be sent is treated like a lost one.
 			socket.on('error', ignore);
 			socket.on('message', data => {
 				this.services.traffic.note('heard', data.length);
@@ -134,7 +134,7 @@
 		}
 	}
 
-	/** Aggregators of a large fleet know the same: one of them is asked for it, each in turn. */
+	/** Aggregators of a large fleet have the same state, so this asks one of them for it, in rotation. */
 	private askedFor(targets: readonly Peer[]): readonly Peer[] {
 		const {peers, topology} = this.services;
 		if (peers.heard.length === 0) {
@@ -144,7 +144,7 @@
 		return topology.isLarge ? targets.slice(this.rounds % Math.max(1, targets.length)).slice(0, 1) : [];
 	}
 
-	/** What every message begins with; it has a number of its own. */
+	/** Builds the fields common to all messages, with the next sequence number. */
 	private head(named: number, isSuccession = false): Pick<GossipMessage, 'sender' | 'incarnation' | 'sequence' | 'uptime' | 'wall' | 'members'> {
 		const {self, incarnation, peers, clock, topology} = this.services;
 		return {
@@ -213,8 +213,8 @@
 	}
 
 	/**
-	 * The answer comes at once, so that it is as new as can be and needs no list of whom to tell. Who does not ask for all
-	 * that is known is told how large the fleet is and what is new, so that it knows that this box hears it.
+	 * Answers at once, so that the answer is as recent as possible and no list of recipients is needed. A box that does not ask
+	 * for a digest receives the fleet size and new updates, which also show it that this box receives its messages.
 	 */
 	private answer(socket: Socket, name: string, isWhole: boolean): void {
 		const {peers, news, digest, clock} = this.services;
@@ -226,7 +226,7 @@
 		this.tell(socket, peer.address, {
 			...this.head(isWhole ? membersNamed : membersAcknowledged, isWhole),
 			...news(isWhole),
-			// The middle of many clocks: a box that hears few others cannot tell which of them is off.
+			// The median of many clocks: a box that hears few others cannot tell which of their clocks is wrong.
 			wall: Math.round(peers.commonTime),
 			quota: [], isWhole: false, work: [], usage: [],
 			...this.echoOf(peer),
@@ -235,8 +235,8 @@
 	}
 
 	/**
-	 * Dates a proof by this box's own clock, though the datagram may have waited anywhere: the sender had this
-	 * box's message some time before it sent, and this box knows when that message left.
+	 * Dates a proof on this box's own clock, however long the datagram was delayed: the echo says how long before sending the
+	 * sender received a message of this box, and this box knows when it sent that message.
 	 */
 	private noteProof({echo, proofAge, version}: GossipMessage, incarnation: string): void {
 		if (!echo || proofAge === undefined || echo.incarnation !== incarnation) {
--- a/src/gossip/listener-book.ts
+++ b/src/gossip/listener-book.ts
@@ -1,21 +1,21 @@
 /**
- * Whom this box tells its state, and how often it has: one that has only begun to listen knows none of its counters, and
- * must not take those that are told later for new.
+ * Tracks how often this box has sent its state to each recipient. A new recipient has none of its counters yet, and must not
+ * count their later values as new usage.
  */
 import type {Peer} from './peer-table.js';
 
-/** Messages with all counters that a new listener gets: some may be lost. */
+/** Messages with all counters that a new recipient gets; more than one, since datagrams may be lost. */
 const wholeStates = 3;
 
 type Listener = {
-	/** The start of its process that was told; `undefined` where it was never heard. */
+	/** The start of its process that was sent to; `undefined` where no message was received from it. */
 	readonly incarnation: string | undefined;
 	readonly times: number;
 };
 
-/** The book. */
+/** Recipients of this box's state in the latest round. */
 export class ListenerBook {
-	/** @returns A book of a box that has told nobody. */
+	/** @returns A registry without recipients. */
 	static create(): ListenerBook {
 		return new ListenerBook();
 	}
@@ -27,10 +27,10 @@
 	}
 
 	/**
-	 * Notes a round.
+	 * Records the recipients of a round.
 	 *
-	 * @param targets - Whom this box tells in it.
-	 * @returns Those that were told less than a few times in the rounds right before it.
+	 * @param targets - The boxes that this box sends to in the round.
+	 * @returns Those that received fewer than {@link wholeStates} messages in consecutive rounds up to now.
 	 */
 	strangersAmong(targets: readonly Peer[]): ReadonlySet<Peer> {
 		const before = this.listeners;
--- a/src/gossip/peer-table.ts
+++ b/src/gossip/peer-table.ts
@@ -1,23 +1,23 @@
 /**
- * The other boxes: which there are, and what was heard of each.
+ * The other boxes of the fleet, with the newest message received from each.
  */
 import type {Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
 import {medianOf} from '../base/median.js';
 import {canBeSentTo, type GossipMessage, type MemberAddress} from './gossip-message.js';
 
-/** Milliseconds after which a box of which nothing is heard no longer counts as one of the system's. */
+/** Milliseconds without a message after which a box no longer counts as a member of the fleet. */
 const memberLifetime = 20_000;
 
-/** Milliseconds for which the boxes heard lately are not looked through anew, unless one is heard or told. */
+/** Milliseconds for which the list of recently heard boxes is cached, unless a message is sent or received. */
 const viewLifetime = 20;
 
-/** Milliseconds for which the size of the fleet counts that others told. */
+/** Milliseconds for which a fleet size received from another box is valid. */
 const toldSizeLifetime = 20_000;
-/** Milliseconds since its start up to which a box of a large fleet is taken to have told nobody else before. */
+/** Milliseconds since its start for which a box of a large fleet is assumed to have sent its counters to no other box yet. */
 const newcomerUptime = 2500;
 
-/** How a message's sender is met; see `QuotaLedger.takeCounts`. */
+/** Classification of a message's sender, which decides how its quota counters are applied; see `QuotaLedger.applyCounts`. */
 export type Meeting = 'known' | 'younger' | 'other' | 'apart';
 
 /** Another box. */
@@ -25,12 +25,12 @@
 	readonly address: MemberAddress;
 	/** The newest message; `undefined` before the first. */
 	readonly last: GossipMessage | undefined;
-	/** Monotonic milliseconds of this box. */
+	/** When the newest message was received, in monotonic milliseconds of this box; `listedAt` is when the box became known. */
 	readonly heardAt: number;
 	readonly listedAt: number;
-	/** Its time of day, less this box's monotonic clock. */
+	/** Its wall clock minus this box's monotonic clock, in milliseconds. */
 	readonly wallOffset: number;
-	/** Messages that were sent to it since it was last heard. */
+	/** Messages sent to it since the last one was received from it. */
 	readonly unanswered: number;
 };
 
@@ -38,30 +38,30 @@
 export class PeerTable {
 	/**
 	 * @param self - Name of this box.
-	 * @param clock - For ages.
-	 * @param log - Where gains and losses are told.
-	 * @returns A table that knows of none.
+	 * @param clock - Measures ages.
+	 * @param log - Receives a record when a box is found or lost.
+	 * @returns An empty table.
 	 */
 	static create(self: string, clock: Clock, log: EventLog): PeerTable {
 		return new PeerTable(self, clock, log);
 	}
 
-	/** Milliseconds within which a box that is heard of has been heard. */
+	/** Milliseconds since its last message for which a box counts as heard. */
 	heardWithin = 1000;
-	/** Whether the fleet is so large that a box hears only some of the others. */
+	/** Whether the fleet is so large that a box receives messages only from some of the others. */
 	isLarge = false;
-	/** Rises with each change of what is known of a box. */
+	/** Increases with each change of an entry, so that callers can cache derived lists. */
 	changes = 0;
 	private readonly peers = new Map<string, Peer>();
-	/** Lists that are asked for many times between two messages; dropped with each change. */
+	/** Cached lists, which are read many times between two messages; invalidated by each change. */
 	private listed: readonly Peer[] | undefined;
 	private heardLately: {readonly peers: readonly Peer[]; readonly at: number; readonly within: number} | undefined;
-	/** When each box was last heard, also those that count as gone. */
+	/** When the last message of each box was received, including boxes that were removed since. */
 	private readonly heardLast = new Map<string, number>();
 	private readonly lost = new Set<string>();
 	private toldSize = {boxes: 0, at: Number.NEGATIVE_INFINITY};
 	private readonly startedAt: number;
-	/** Time less the monotonic clock, and the wake after which it was found. */
+	/** Wall clock minus monotonic clock, and the time of the last resume from a suspension when it was determined. */
 	private anchor: {readonly offset: number; readonly at: number};
 
 	private constructor(private readonly self: string, private readonly clock: Clock, private readonly log: EventLog) {
@@ -69,7 +69,7 @@
 		this.anchor = {offset: clock.wall() - clock.monotonic(), at: clock.lastResumedAt()};
 	}
 
-	/** All other boxes that may be there. */
+	/** All other known boxes, also those not heard recently. */
 	get all(): readonly Peer[] {
 		this.listed ??= [...this.peers.values()];
 		return this.listed;
@@ -77,7 +77,7 @@
 
 	/**
 	 * @param name - Name of a box.
-	 * @returns What is known of it; `undefined` where it is not known.
+	 * @returns Its entry; `undefined` where the box is not known.
 	 */
 	named(name: string): Peer | undefined {
 		return this.peers.get(name);
@@ -86,7 +86,7 @@
 	/**
 	 * @param name - Name of a box.
 	 * @param within - Milliseconds.
-	 * @returns Whether it was heard in that time.
+	 * @returns Whether a message of the box was received in that time.
 	 */
 	wasHeardWithin(name: string, within: number): boolean {
 		const at = this.heardLast.get(name) ?? Number.NEGATIVE_INFINITY;
@@ -95,14 +95,14 @@
 
 	/**
 	 * @param within - Milliseconds.
-	 * @returns Whether every other box was heard in that time.
+	 * @returns Whether a message of every other box was received in that time.
 	 */
 	hasHeardAllWithin(within: number): boolean {
 		const since = this.clock.monotonic() - within;
 		return this.knownBoxes >= this.boxes && this.all.every(({heardAt}) => heardAt >= since);
 	}
 
-	/** Those that were heard lately. */
+	/** Boxes from which a message was received within `heardWithin`, and since this box last resumed from a suspension. */
 	get heard(): readonly Peer[] {
 		const now = this.clock.monotonic();
 		const known = this.heardLately;
@@ -117,18 +117,18 @@
 		return peers;
 	}
 
-	/** Part of all boxes that are heard of, this one too; above 0, at most 1. */
+	/** Fraction of all boxes that are heard, including this one; above 0, at most 1. */
 	get heardPart(): number {
 		return (this.heard.length + 1) / this.boxes;
 	}
 
-	/** How many boxes there are, this one too. */
+	/** Estimated number of boxes in the fleet, including this one. */
 	get boxes(): number {
 		const isTold = this.clock.monotonic() - this.toldSize.at < toldSizeLifetime;
 		return Math.max(this.knownBoxes, isTold ? this.toldSize.boxes : 0);
 	}
 
-	/** How many boxes this one knows of itself, this one too. */
+	/** Number of boxes in this table, including this one. */
 	get knownBoxes(): number {
 		return this.peers.size + 1;
 	}
@@ -138,26 +138,26 @@
 		return this.clock.monotonic() - this.startedAt;
 	}
 
-	/** True time less this box's monotonic clock: the middle of all clocks, since some may be off. */
+	/** Common time minus this box's monotonic clock, in milliseconds: the median of all clocks, since some may be wrong. */
 	get wallOffset(): number {
 		return medianOf([this.ownOffset, ...this.heard.map(({wallOffset}) => wallOffset)]);
 	}
 
-	/** True time in milliseconds since the epoch, the same on all boxes that hear each other. */
+	/** Common time in milliseconds since the epoch, the same on all boxes that receive each other's messages. */
 	get commonTime(): number {
 		return this.clock.monotonic() + this.wallOffset;
 	}
 
 	/**
-	 * Time as this box tells it, in milliseconds since the epoch: its wall clock as it stood at the start, carried on by the steady one. A
-	 * wall clock that is set later, on whichever part of the boxes, moves nothing: while all were set at once, six usage windows of five
-	 * seconds were off by 36 to 85 in 100, and none is since (one recorded day each).
+	 * Time that this box sends, in milliseconds since the epoch: its wall clock at the start, advanced by the monotonic clock. A wall
+	 * clock that is set later has no effect. With the wall clock read at each use, setting the clocks of all boxes at once made six
+	 * five-second usage windows wrong by 36 to 85 %.
 	 */
 	get ownTime(): number {
 		return this.clock.monotonic() + this.ownOffset;
 	}
 
-	/** After a suspension, which the steady clock has not counted, the others tell how long it was. */
+	/** After a suspension, during which the monotonic clock did not advance, the offset is taken from the clocks of the other boxes. */
 	private get ownOffset(): number {
 		const wokenAt = this.clock.lastResumedAt();
 		const {heard} = this;
@@ -168,16 +168,17 @@
 		return this.anchor.offset;
 	}
 
-	/** @param boxes - How many boxes another one knows of. */
+	/** @param boxes - Number of boxes that another box knows. */
 	noteFleetSize(boxes: number): void {
 		const now = this.clock.monotonic();
-		// In a part of the fleet that is cut off all would soon know of few others, and each part would spend the whole quota.
+		// A smaller size counts only once the larger one has expired: in a network partition, each part would otherwise soon take
+		// itself for the whole fleet and spend the whole quota.
 		if (boxes >= this.toldSize.boxes || now - this.toldSize.at > toldSizeLifetime) {
 			this.toldSize = {boxes, at: now};
 		}
 	}
 
-	/** @param name - A box that a message is sent to. */
+	/** @param name - Name of the box that a message is sent to. */
 	noteTold(name: string): void {
 		const peer = this.peers.get(name);
 		if (peer) {
@@ -185,7 +186,7 @@
 		}
 	}
 
-	/** @param members - Boxes that somebody knows of; those that nothing can be sent to are none. */
+	/** @param members - Boxes that another box or the store lists; those with an invalid address are ignored. */
 	learn(members: readonly MemberAddress[]): void {
 		const now = this.clock.monotonic();
 		for (const address of members.filter(member => canBeSentTo(member))) {
@@ -200,10 +201,10 @@
 	}
 
 	/**
-	 * Takes a message.
+	 * Records a received message.
 	 *
-	 * @param message - What a box tells.
-	 * @returns How it is met; `undefined` where the message is older than the newest.
+	 * @param message - The message.
+	 * @returns The classification of its sender; `undefined` where the message is not newer than the newest one received.
 	 */
 	take(message: GossipMessage): Meeting | undefined {
 		const now = this.clock.monotonic();
@@ -228,15 +229,15 @@
 	}
 
 	/**
-	 * @param message - What a box tells whose counters were never taken.
-	 * @returns How it is met, as though it had not been heard before.
+	 * @param message - A message of a box whose counters have not been applied yet.
+	 * @returns The classification of its sender as though this were its first message.
 	 */
 	meetAnew({uptime}: GossipMessage): Meeting {
 		const isYounger = this.isLarge ? uptime < newcomerUptime : uptime < this.uptime;
 		return isYounger ? 'younger' : this.otherMeeting;
 	}
 
-	/** Drops boxes that have not been heard for long, and tells of losses. */
+	/** Removes boxes that have not been heard within the member lifetime, and logs boxes that are no longer heard. */
 	sweep(): void {
 		const now = this.clock.monotonic();
 		for (const [name, {heardAt, listedAt}] of this.peers) {
@@ -265,7 +266,7 @@
 		this.heardLately = undefined;
 	}
 
-	/** In a large fleet most boxes have never told this one, and what they say of the bucket is no news. */
+	/** In a large fleet most boxes have never sent to this one, and the bucket levels that they send are no more accurate than its own. */
 	private get otherMeeting(): Meeting {
 		return this.isLarge ? 'apart' : 'other';
 	}
--- a/src/gossip/test/exchange-topology.test.ts
+++ b/src/gossip/test/exchange-topology.test.ts
@@ -15,7 +15,7 @@
 	quota: [], isWhole: true, work: [], departed: [], usage: [], members: [],
 });
 
-/** How box 0 of a fleet sees it. */
+/** The topology of a fleet from the view of one box. */
 const viewOf = (self: string, boxes: number) => {
 	const clock = new MovedClock(1000);
 	const peers = PeerTable.create(self, clock, SilentEventLog.create());
@@ -25,14 +25,14 @@
 
 const namesOf = (peers: ReadonlyArray<{readonly address: {readonly name: string}}>): readonly string[] => peers.map(({address}) => address.name);
 
-test('in a small fleet every box tells all others and is told by them', () => {
+test('in a small fleet every box sends to all others and receives from them', () => {
 	const {topology} = viewOf('box-0', 9);
 	assert.equal(topology.isLarge, false);
 	assert.equal(topology.isAggregator, true);
 	assert.equal(topology.targets(1).length, 8);
 });
 
-test('in a large fleet all boxes agree on three aggregators without talking, and tell those alone', () => {
+test('in a large fleet all boxes agree on three aggregators without negotiation, and send to those only', () => {
 	const views = Array.from({length: 87}, (_, index) => viewOf(nameOf(index), 87));
 	const aggregators = views.flatMap(({topology}, index) => topology.isAggregator ? [nameOf(index)] : []);
 	assert.equal(aggregators.length, 3);
@@ -43,7 +43,7 @@
 	}
 });
 
-test('boxes that bear the work better are aggregators before others, as all boxes agree', () => {
+test('boxes with more capacity become aggregators first, and all boxes agree on them', () => {
 	const strong = new Set(['box-7', 'box-30', 'box-31', 'box-80']);
 	const capacityOf = (name: string) => strong.has(name) ? 3 : 1;
 	const aggregatorsAt = (self: string) => {
@@ -61,18 +61,18 @@
 		peers.noteTold(name);
 	}
 
-	assert.equal(topology.aggregators.length, 3, 'others follow where none of them answers');
+	assert.equal(topology.aggregators.length, 3, 'other boxes replace them when none of them answers');
 });
 
-test('what a box is given says how often an aggregator\'s work could double on it', () => {
+test('the capacity of a box is how many times an aggregator\'s work could double within its limits', () => {
 	assert.equal(aggregatorCapacity({}), 0);
-	assert.equal(aggregatorCapacity({processor: 0.227, link: 7}), aggregatorCapacity({processor: 0.3, link: 8}), 'alike');
+	assert.equal(aggregatorCapacity({processor: 0.227, link: 7}), aggregatorCapacity({processor: 0.3, link: 8}), 'similar limits give the same capacity');
 	assert.ok(aggregatorCapacity({processor: 0.94, link: 140}) > aggregatorCapacity({processor: 0.227, link: 7}));
-	assert.equal(aggregatorCapacity({processor: 16, link: 1}), 0, 'the scarcest of both decides');
-	assert.equal(aggregatorCapacity({processor: 16, link: 1000}), aggregatorCapacity({processor: 4, link: 1000}), 'enough is enough');
+	assert.equal(aggregatorCapacity({processor: 16, link: 1}), 0, 'the scarcer of the two resources decides');
+	assert.equal(aggregatorCapacity({processor: 16, link: 1000}), aggregatorCapacity({processor: 4, link: 1000}), 'capacity has a maximum');
 });
 
-test('aggregators that do not answer are passed over, are tried again, and come back once they answer', () => {
+test('aggregators that do not answer are skipped, are contacted again at intervals, and return once they answer', () => {
 	const {topology, peers} = viewOf('box-0', 87);
 	const before = namesOf(topology.targets(1));
 	for (let round = 0; round < 5; round++) {
@@ -82,12 +82,12 @@
 	const after = namesOf(topology.targets(1));
 	assert.ok(!after.includes(before[0]!));
 	assert.equal(after.length, 3);
-	assert.ok(namesOf(topology.targets(5)).includes(before[0]!), 'one of those that were passed over is tried now and then');
+	assert.ok(namesOf(topology.targets(5)).includes(before[0]!), 'a skipped box is contacted every few rounds');
 	peers.take(message(before[0]!, 1));
 	assert.deepEqual(namesOf(topology.targets(1)), before);
 });
 
-test('a box that is told how large the fleet is tells aggregators though it knows few boxes, and forgets it in the end', () => {
+test('a box that receives the size of a large fleet sends to aggregators even if it knows few boxes, until that size expires', () => {
 	const {topology, peers, clock} = viewOf('box-0', 5);
 	peers.noteFleetSize(87);
 	assert.equal(topology.isLarge, true);
@@ -97,12 +97,12 @@
 	assert.equal(topology.isLarge, false);
 });
 
-test('rounds grow longer with the fleet, so that an aggregator hears no more messages a second', () => {
+test('the interval grows with the fleet, so that an aggregator receives a bounded number of messages per second', () => {
 	const messages = [100, 340, 1000].map(boxes => boxes * 1000 / viewOf('box-0', boxes).topology.interval);
 	assert.ok(messages.every(rate => rate <= 251), String(messages));
 });
 
-test('rounds of boxes that start together drift apart, and are as long on average as they should be', () => {
+test('rounds of boxes that start together drift apart, and their average length is the interval', () => {
 	const {topology} = viewOf('box-0', 87);
 	const pauses = Array.from({length: 101}, (_, index) => topology.pause(index / 100));
 	const mean = pauses.reduce((total, pause) => total + pause, 0) / pauses.length;
@@ -111,7 +111,7 @@
 	assert.ok(Math.max(...pauses) < topology.heardWithin / 3, 'some rounds may be lost before a box counts as silent');
 });
 
-test('a message names the aggregators first, so that a newcomer finds them at once', () => {
+test('a message lists the aggregators first, so that a new box finds them at once', () => {
 	const {topology, peers} = viewOf('box-0', 87);
 	for (const {address: {name}} of peers.all) {
 		peers.take(message(name, 1));
@@ -122,7 +122,7 @@
 	assert.ok(topology.namesToTell(6, 4).length > 6);
 });
 
-test('boxes that learnt of the others by digests alone go on to the same aggregators when theirs are gone', () => {
+test('boxes that know the others only from digests fail over to the same aggregators when theirs fail', () => {
 	const {topology, peers} = viewOf('box-0', 87);
 	for (const {address: {name}} of peers.all) {
 		peers.take(message(name, 1));
--- a/src/gossip/test/exchange-traffic.test.ts
+++ b/src/gossip/test/exchange-traffic.test.ts
@@ -12,7 +12,7 @@
 	}
 }
 
-test('rates are told every five seconds, and begin anew then', () => {
+test('rates are logged every five seconds, and counting restarts then', () => {
 	const clock = new MovedClock(1000);
 	const log = new KeepingLog();
 	const traffic = ExchangeTraffic.create(clock, log);
--- a/src/gossip/test/gossip-codec.test.ts
+++ b/src/gossip/test/gossip-codec.test.ts
@@ -57,15 +57,15 @@
 	},
 };
 
-test('what is read is what was laid out', () => {
+test('a decoded message equals the encoded one', () => {
 	assert.deepEqual(decodeGossip(encodeGossip(message)), message);
 	assert.deepEqual(decodeGossip(encodeGossip({...message, digest})), {...message, digest});
 	const uncounted = {...digest, quota: [{...digest.quota![0]!, counted: undefined}]};
 	assert.deepEqual(decodeGossip(encodeGossip({...message, digest: uncounted})), {...message, digest: uncounted});
-	assert.deepEqual(decodeGossip(encodeGossip({...message, digest: {boxes: 86}}))?.digest, {boxes: 86}, 'an answer to a box that did not ask');
+	assert.deepEqual(decodeGossip(encodeGossip({...message, digest: {boxes: 86}}))?.digest, {boxes: 86}, 'an answer to a box that did not ask for a digest');
 });
 
-test('what is no message is none, and what a newer program adds is skipped', () => {
+test('malformed datagrams are rejected, and unknown fields of a newer version are ignored', () => {
 	assert.equal(decodeGossip(Buffer.from('{')), undefined);
 	assert.equal(decodeGossip(Buffer.from('{}')), undefined);
 	const text = JSON.parse(Buffer.from(encodeGossip(message)).toString()) as Record<string, unknown>;
--- a/src/gossip/test/gossip-exchange.test.ts
+++ b/src/gossip/test/gossip-exchange.test.ts
@@ -38,13 +38,13 @@
 		}),
 		digest: () => ({boxes: peers.boxes, quota: [], work: []}),
 		take() {
-			// Nothing is done with it here.
+			// This test ignores received state.
 		},
 		takeDigest() {
-			// Nothing is done with it here.
+			// This test ignores received digests.
 		},
 		prove() {
-			// Nothing is done with it here.
+			// This test ignores proofs of the configuration version.
 		},
 		seeds: () => [],
 	});
@@ -54,12 +54,12 @@
 	};
 };
 
-test('a box that knows few others of a large fleet is told how large it is, and then tells aggregators alone', async () => {
+test('a box that knows few others of a large fleet receives the fleet size, and then sends to aggregators only', async () => {
 	const knowing = await startBox('knowing');
 	const unaware = await startBox('unaware');
 	const neighbour = await startBox('neighbour');
 	neighbour.peers.learn([unaware.self]);
-	// Who hears nobody asks; this one hears a neighbour.
+	// A box that hears no other box asks for a digest; this one hears a neighbour.
 	await until(() => unaware.peers.heard.length === 1);
 	knowing.peers.learn(Array.from({length: 20}, (_, index) => ({name: `silent-${index}`, host: '127.0.0.1', port: 9})));
 	unaware.peers.learn([knowing.self]);
@@ -68,7 +68,7 @@
 	await Promise.all([knowing.end(), unaware.end(), neighbour.end()]);
 });
 
-test('a box of a large fleet asks one of its aggregators in turn for all that is known, and tells the others its state alone', async context => {
+test('a box of a large fleet asks its aggregators in rotation for a digest, and sends only its state to the others', async context => {
 	const box = await startBox('asking');
 	context.after(async () => box.end());
 	const heard: GossipMessage[] = [];
@@ -101,5 +101,5 @@
 	const told = heard.slice(0, 21);
 	const asked = told.filter(({asksDigest}) => asksDigest === true);
 	assert.ok(asked.length >= 6 && asked.length <= 8, `${asked.length} of 21`);
-	assert.equal(new Set(asked.map(({sender}) => sender.name)).size, 3, 'each in turn');
+	assert.equal(new Set(asked.map(({sender}) => sender.name)).size, 3, 'each aggregator was asked');
 });
--- a/src/gossip/test/gossip-proof.test.ts
+++ b/src/gossip/test/gossip-proof.test.ts
@@ -12,7 +12,7 @@
 	quota: [], isWhole: true, work: [], departed: [], usage: [], members: [], ...changes,
 });
 
-test('an old message that arrives late changes nothing', () => {
+test('a message that arrives after a newer one is ignored', () => {
 	const clock = new MovedClock(1000);
 	clock.shift = epoch;
 	const table = PeerTable.create('self', clock, SilentEventLog.create());
@@ -21,7 +21,7 @@
 	assert.equal(table.take(message('a', {sequence: 6})), 'known');
 });
 
-test('a younger start is met as such, and one that was silent for long as another', () => {
+test('a process that started later than this one is classified as younger, and one that was silent for long as other', () => {
 	const clock = new MovedClock(1000);
 	clock.shift = epoch;
 	const table = PeerTable.create('self', clock, SilentEventLog.create());
@@ -32,7 +32,7 @@
 	assert.equal(table.take(message('a', {incarnation: 'two', sequence: 2})), 'other');
 });
 
-test('true time is the middle of all clocks, whatever one of them says', () => {
+test('common time is the median of all clocks, even if one of them is wrong', () => {
 	const clock = new MovedClock(1000);
 	clock.shift = epoch;
 	const table = PeerTable.create('self', clock, SilentEventLog.create());
@@ -43,7 +43,7 @@
 	assert.ok(Math.abs((clock.now + table.wallOffset) - truth) <= 5);
 });
 
-test('wall clocks that are set while boxes run move no time, though all are set at once', () => {
+test('setting wall clocks while boxes run does not move common time, even if all are set at once', () => {
 	const clocks = [0, 1, 2].map(() => new MovedClock(1000));
 	const tables = clocks.map((clock, index) => {
 		clock.shift = epoch;
@@ -68,7 +68,7 @@
 	assert.deepEqual(clocks.map(({now}, index) => Math.round(now + tables[index]!.wallOffset - epoch)), clocks.map(({now}) => now));
 });
 
-test('boxes that are silent for long count no longer, and part of all that is heard is told', () => {
+test('boxes that are silent for long are removed, and the table reports the fraction of boxes that are heard', () => {
 	const clock = new MovedClock(1000);
 	clock.shift = epoch;
 	const table = PeerTable.create('self', clock, SilentEventLog.create());
@@ -82,7 +82,7 @@
 	assert.equal(table.heardPart, 1);
 });
 
-test('a part of a large fleet that is cut off goes on knowing how large the fleet is, and so which part it is', () => {
+test('a partition of a large fleet keeps the size of the whole fleet, and thus knows which fraction of it is heard', () => {
 	const clock = new MovedClock(1000);
 	const table = PeerTable.create('self', clock, SilentEventLog.create());
 	table.noteFleetSize(86);
--- a/src/gossip/test/listener-book.test.ts
+++ b/src/gossip/test/listener-book.test.ts
@@ -12,13 +12,13 @@
 	heardAt: 0, listedAt: 0, wallOffset: 0, unanswered: 0,
 });
 
-test('who begins to listen is a stranger for three rounds, and again after a gap or a restart', () => {
+test('a box counts as a new recipient for three rounds, and again after a missed round or a restart', () => {
 	const book = ListenerBook.create();
 	const a = peer('a', 'one');
 	const b = peer('b', 'one');
 	const strangersIn = (...targets: readonly Peer[]) => [...book.strangersAmong(targets)].map(({address}) => address.name).join(' ');
 	assert.deepEqual([strangersIn(a), strangersIn(a), strangersIn(a, b), strangersIn(a, b)], ['a', 'a', 'a b', 'b']);
 	assert.equal(strangersIn(b), 'b');
-	assert.equal(strangersIn(a, b), 'a', 'it was not told in one round');
-	assert.equal(strangersIn(a, peer('b', 'two')), 'a b', 'its process has started anew');
+	assert.equal(strangersIn(a, b), 'a', 'nothing was sent to it in one round');
+	assert.equal(strangersIn(a, peer('b', 'two')), 'a b', 'its process has restarted');
 });
--- a/src/gossip/test/odd-addresses.test.ts
+++ b/src/gossip/test/odd-addresses.test.ts
@@ -1,6 +1,7 @@
 /*
- * An address of another box is taken from its datagrams, from what others tell of it, from the store and from the settings. One without a
- * port that can be sent to ended the exchange with each round, and the whole process where a datagram was answered.
+ * The address of another box comes from its datagrams, from member lists of other boxes, from the store or from the settings. Guards
+ * against invalid addresses: an address without a valid port made each round of the exchange fail, and the answer to a datagram from
+ * such an address crashed the process.
  */
 import assert from 'node:assert/strict';
 import {createSocket, type Socket} from 'node:dgram';
@@ -20,9 +21,9 @@
 import type {GossipMessage, MemberAddress} from '../gossip-message.js';
 import {PeerTable} from '../peer-table.js';
 
-/** Milliseconds in which a box has some rounds. */
+/** Milliseconds that are enough for several rounds of a box. */
 const someRounds = 700;
-/** Milliseconds after which a datagram counts as never sent. */
+/** Milliseconds to wait for a datagram before the test fails. */
 const longestWait = 5000;
 const sockets: Socket[] = [];
 
@@ -54,7 +55,7 @@
 	quota: [], work: [], departed: [], usage: [],
 });
 
-/** A box that runs its exchange. */
+/** Starts a box that runs the exchange. */
 const startBox = async (seeds: ReadonlyArray<Omit<MemberAddress, 'name'>> = []) => {
 	const port = await new Promise<number>(resolve => {
 		const socket = createSocket('udp4');
@@ -87,7 +88,7 @@
 	return {
 		port,
 		peers,
-		/** @returns Whether its exchange has ended by itself. */
+		/** @returns Whether its exchange has ended with a failure. */
 		async hasFailed(): Promise<boolean> {
 			const exit = await Promise.race([Effect.runPromise(Fiber.await(fiber)), pause(0, undefined)]);
 			return exit !== undefined && Exit.isFailure(exit);
@@ -96,7 +97,7 @@
 	};
 };
 
-test('a datagram from, or about, an address that cannot be sent to changes nothing', async () => {
+test('a datagram from an invalid address, or one that lists it as a member, changes nothing', async () => {
 	const box = await startBox();
 	const socket = await openSocket();
 	const sound = {name: 'sound', host: '127.0.0.1', port: socket.address().port};
@@ -113,12 +114,12 @@
 	await box.end();
 });
 
-test('addresses of the settings or the store that cannot be sent to end no exchange', async () => {
+test('invalid addresses in the settings or the store do not stop the exchange', async () => {
 	const socket = await openSocket();
 	const box = await startBox([...oddAddresses, {host: '127.0.0.1', port: socket.address().port}]);
 	box.peers.learn(oddAddresses.map((address, index) => ({name: `listed-${index}`, ...address})));
 	const [data] = await once(socket, 'message', {signal: AbortSignal.timeout(longestWait)}) as [Uint8Array];
-	assert.equal(decodeGossip(data)?.sender.name, 'box', 'the one that can be sent to is told');
+	assert.equal(decodeGossip(data)?.sender.name, 'box', 'the valid address receives a message');
 	await pause(someRounds);
 	assert.equal(await box.hasFailed(), false);
 	await box.end();
--- a/src/gossip/test/peer-table.test.ts
+++ b/src/gossip/test/peer-table.test.ts
@@ -10,19 +10,19 @@
 	quota: [], work: [], departed: [], usage: [], members: [],
 });
 
-test('all boxes have been heard only where as many are known as there are said to be, each of them heard in that time', () => {
+test('all boxes count as heard only if the known boxes reach the received fleet size and each of them was heard in that time', () => {
 	const clock = new MovedClock(100_000);
 	const peers = PeerTable.create('box-1', clock, SilentEventLog.create());
-	assert.equal(peers.hasHeardAllWithin(1000), true, 'a box that nobody has told of another is all there are');
+	assert.equal(peers.hasHeardAllWithin(1000), true, 'a box that knows of no other is the whole fleet');
 	peers.take(messageOf('box-2', 1));
 	assert.equal(peers.hasHeardAllWithin(1000), true);
 	peers.noteFleetSize(3);
-	assert.equal(peers.hasHeardAllWithin(1000), false, 'one is not known');
+	assert.equal(peers.hasHeardAllWithin(1000), false, 'one box is not known');
 	peers.learn([{name: 'box-3', host: '127.0.0.1', port: 7001}]);
-	assert.equal(peers.hasHeardAllWithin(1000), false, 'one was never heard');
+	assert.equal(peers.hasHeardAllWithin(1000), false, 'one box was never heard');
 	peers.take(messageOf('box-3', 1));
 	assert.equal(peers.hasHeardAllWithin(1000), true);
 	clock.now += 1500;
 	peers.take(messageOf('box-2', 2));
-	assert.equal(peers.hasHeardAllWithin(1000), false, 'one was heard long ago');
+	assert.equal(peers.hasHeardAllWithin(1000), false, 'one box was last heard too long ago');
 });
