--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -1,5 +1,5 @@
 /**
- * The links of this box to its peers: one task for each entry box of the box list.
+ * The connections of this box to its peers: one background task for each entry box in the box list.
  */
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
@@ -17,11 +17,12 @@
 import type {LeavingReport, PeerState, StoredTable} from './peer-messages.js';
 import {RemotePeer} from './remote-peer.js';
 
-/** Milliseconds between two exchanges on a link. */
+/** Milliseconds between two exchanges on a link, before jitter. */
 const exchangeInterval = 1000;
+/** Milliseconds between a failed exchange and the next one. */
 const pauseAfterFailure = 500;
 
-/** What the links need. */
+/** Dependencies of the links. */
 export type PeerLinksServices = {
 	readonly self: BoxId;
 	readonly directory: BoxDirectory;
@@ -30,38 +31,38 @@
 	readonly clock: Clock;
 	readonly log: EventLog;
 	readonly metrics: Metrics;
-	/** @returns How this box stands. */
+	/** @returns The state of this box to send to peers. */
 	readonly state: () => PeerState;
-	/** @returns Names of all rows of the table in force, in its order. */
+	/** @returns Names of all rows of the active table, in table order. */
 	readonly rowNames: () => readonly string[];
-	/** Takes a table that a peer has in force. */
+	/** Applies a table that is active at a peer. */
 	readonly takeTable: (table: StoredTable) => void;
 };
 
-/** A link. */
+/** The connection to one peer. */
 type Link = {
 	readonly box: Box;
 	readonly peer: RemotePeer;
-	/** Set once the link is held. */
+	/** The task that runs the exchanges; set once it is started. */
 	fiber: Fiber.Fiber<unknown> | undefined;
-	/** What the peer said last. */
+	/** The latest state received from the peer; `undefined` while it does not answer. */
 	state: PeerState | undefined;
-	/** When an exchange that it answered began. */
+	/** Start of the latest exchange that the peer answered, in monotonic milliseconds. */
 	answeredAt: number;
 };
 
-/** A peer that answers. */
+/** A peer that answered recently. */
 export type ReachablePeer = {
 	readonly box: Box;
 	readonly peer: Peer;
 	readonly state: PeerState;
 };
 
-/** Holds a link to each peer. */
+/** Maintains a link to each peer. */
 export class PeerLinks {
 	/**
-	 * @param services - What the links need.
-	 * @returns No links yet; run them to begin.
+	 * @param services - The dependencies.
+	 * @returns An empty set of links; {@link run} opens them.
 	 */
 	static create(services: PeerLinksServices): PeerLinks {
 		return new PeerLinks(services);
@@ -71,13 +72,13 @@
 
 	private constructor(private readonly services: PeerLinksServices) {}
 
-	/** Peers that answered lately. */
+	/** Peers that answered within the lifetime of a ceiling grant. */
 	get reachable(): readonly ReachablePeer[] {
 		const oldest = this.services.clock.monotonic() - grantLifetime;
 		return [...this.links.values()].flatMap(({box, peer, state, answeredAt}) => state && answeredAt >= oldest ? [{box, peer, state}] : []);
 	}
 
-	/** @returns Keeps a task for each peer until interrupted; then closes all. */
+	/** @returns An effect that runs a task for each peer until it is interrupted, then closes all links. */
 	run(): Effect.Effect<void> {
 		const {directory} = this.services;
 		const follow = Effect.callback<never>(() => {
@@ -136,7 +137,7 @@
 		link?.peer.close();
 	}
 
-	/** The task of one link: exchanges without end. */
+	/** The task of one link: repeats the exchange forever. */
 	private serve(link: Link): Effect.Effect<never> {
 		return Effect.forever(this.exchange(link).pipe(
 			Effect.andThen(Effect.sleep(exchangeInterval * (0.9 + (Math.random() / 5)))),
@@ -198,7 +199,7 @@
 		return [this.services.self, ...this.reachable.map(({box}) => box.id)];
 	}
 
-	/** Asks this box itself for the rows that it owns. */
+	/** Requests ceiling grants from this box for the rows that it owns itself. */
 	private grantSelf(): Effect.Effect<never> {
 		const {self, ceilings, owner, clock} = this.services;
 		return Effect.forever(Effect.sleep(exchangeInterval).pipe(Effect.map(() => {
@@ -207,7 +208,7 @@
 		})));
 	}
 
-	/** Tells all peers at once; those that miss it hear it with the next exchange. */
+	/** Notifies all peers at once; a peer that misses the notification gets it with the next exchange. */
 	private announce({box, source, endsAt}: LeavingBox): void {
 		if (source === 'peer') {
 			return;
@@ -222,18 +223,18 @@
 
 /**
  * @param box - A box that is leaving.
- * @param endsAt - When it goes, on the monotonic clock of this box.
- * @param now - The same clock.
- * @returns What to tell a peer.
+ * @param endsAt - When it will stop, in monotonic milliseconds of this box; `undefined` where that is not known.
+ * @param now - The current time on the same clock.
+ * @returns The report to send to a peer.
  */
 export function reportOf(box: BoxId, endsAt: number | undefined, now: number): LeavingReport {
 	return endsAt === undefined ? {box} : {box, remaining: Math.max(0, endsAt - now)};
 }
 
 /**
- * @param report - From a peer.
- * @param heardAt - Monotonic milliseconds of this box.
- * @returns When the box goes, on the monotonic clock of this box.
+ * @param report - A report received from a peer.
+ * @param heardAt - When it was received, in monotonic milliseconds of this box.
+ * @returns When the box will stop, on the monotonic clock of this box; `undefined` where that is not known.
  */
 export function endOf(report: LeavingReport, heardAt: number): number | undefined {
 	return report.remaining === undefined ? undefined : heardAt + report.remaining;
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -1,20 +1,20 @@
 /**
- * What entry boxes say to each other, with the schemas that check it at the door between them.
+ * Messages between entry boxes, with the schemas that validate them on receipt.
  */
 import * as Schema from 'effect/Schema';
 import {
 	BoxId, ClientAccountName, DataCentre, RequestKey,
 } from '../base/identifiers.js';
 
-/** A box that is leaving, as told to a peer. */
+/** Report to a peer that a box is leaving. */
 export const LeavingReport = Schema.Struct({
 	box: BoxId,
-	/** Milliseconds until it goes; absent where nobody said. */
+	/** Milliseconds until it stops; absent where that is not known. */
 	remaining: Schema.optionalKey(Schema.Number),
 });
 export type LeavingReport = typeof LeavingReport.Type;
 
-/** What a box says of itself. */
+/** State that a box reports of itself. */
 export const PeerState = Schema.Struct({
 	box: BoxId,
 	dataCentre: DataCentre,
@@ -25,10 +25,10 @@
 });
 export type PeerState = typeof PeerState.Type;
 
-/** Said a few times a second on every link. */
+/** Sent about once a second on every link. */
 export const Exchange = Schema.Struct({
 	state: PeerState,
-	/** What the sender asks for of ceilings that the receiver owns: places in the table and rates in turn. */
+	/** Demands of the sender for ceilings that the receiver owns: pairs of a row index in the table and a rate. */
 	demands: Schema.Array(Schema.Number),
 });
 export type Exchange = typeof Exchange.Type;
@@ -36,17 +36,17 @@
 /** The answer to {@link Exchange}. */
 export type ExchangeAnswer = {
 	readonly state: PeerState;
-	/** Like the demands; empty where the receiver has another version of the table. */
+	/** Granted rates, encoded like the demands; empty where the receiver has another version of the table. */
 	readonly grants: readonly number[];
 };
 
-/** The table as the store holds it, for a box that cannot read the store. */
+/** The table in the form of the store, for a box that cannot read the store. */
 export type StoredTable = {
 	readonly version: number;
 	readonly value: string;
 };
 
-/** A record on its way to another box. */
+/** Serialised request record for transfer to another box. */
 export const RecordSnapshot = Schema.Struct({
 	origin: Schema.Struct({
 		account: ClientAccountName,
@@ -61,16 +61,16 @@
 	state: Schema.Literals(['running', 'paused', 'finished', 'refused']),
 	events: Schema.Array(Schema.String),
 	usageEvent: Schema.optionalKey(Schema.String),
-	/** Milliseconds until the caller's deadline. */
+	/** Milliseconds until the client's deadline. */
 	remaining: Schema.Number,
 });
 export type RecordSnapshot = typeof RecordSnapshot.Type;
 
-/** Asks a peer for a record. */
+/** Query for a request record at a peer. */
 export const RecordQuery = Schema.Struct({
 	account: ClientAccountName,
 	key: RequestKey,
-	/** The asker goes on with the request: the peer stops its own run and forgets it. */
+	/** Whether the sender continues the request: the peer then stops its own run and removes the record. */
 	isTakingOver: Schema.Boolean,
 });
 export type RecordQuery = typeof RecordQuery.Type;
--- a/src/peers/peer-router.ts
+++ b/src/peers/peer-router.ts
@@ -1,5 +1,5 @@
 /**
- * The door between entry boxes: each procedure of {@link Peer} over tRPC on WebSocket.
+ * The RPC interface between entry boxes: each procedure of {@link Peer} over tRPC on WebSocket.
  */
 import {initTRPC} from '@trpc/server';
 import * as Effect from 'effect/Effect';
@@ -13,7 +13,7 @@
 
 /**
  * @param peer - This box.
- * @returns Its procedures.
+ * @returns A tRPC router with its procedures.
  */
 export function createPeerRouter(peer: Peer) {
 	return router({
@@ -34,5 +34,5 @@
 	});
 }
 
-/** Type of the procedures, for the other side. */
+/** Type of the procedures, for the client. */
 export type PeerRouter = ReturnType<typeof createPeerRouter>;
--- a/src/peers/peer-server.ts
+++ b/src/peers/peer-server.ts
@@ -1,5 +1,5 @@
 /**
- * Listens for peers.
+ * The WebSocket server for connections of peers.
  */
 import {once} from 'node:events';
 import type {AddressInfo} from 'node:net';
@@ -10,16 +10,16 @@
 import type {Peer} from './peer.js';
 import {createPeerRouter} from './peer-router.js';
 
-/** Bytes of one message; a hand-over of records is sent in parts below it. */
+/** Maximum size of one message in bytes; a hand-over of records is split into batches below it. */
 const largestMessage = 16 * 1024 * 1024;
 
 /**
- * Listens until its scope closes.
+ * Listens for peers until the scope closes.
  *
  * @param peer - This box.
- * @param host - IP number.
- * @param port - TCP port; zero for any.
- * @returns The TCP port.
+ * @param host - IP address to listen on.
+ * @param port - TCP port; zero for any free port.
+ * @returns The TCP port in use.
  */
 export function listenForPeers(peer: Peer, host: string, port: number): Effect.Effect<number, never, Scope.Scope> {
 	const open = Effect.promise(async () => {
--- a/src/peers/peer.ts
+++ b/src/peers/peer.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry box offers its peers. The same class stands for this box and for a remote one.
+ * The interface that an entry box offers to its peers, implemented by the local box and by the client of a remote one.
  */
 import * as Data from 'effect/Data';
 import type * as Effect from 'effect/Effect';
@@ -7,7 +7,7 @@
 	Exchange, ExchangeAnswer, LeavingReport, RecordQuery, RecordSnapshot, StoredTable,
 } from './peer-messages.js';
 
-/** A peer gave no answer; whether it took the message is not known. */
+/** A call to a peer failed or timed out; whether the peer processed the message is not known. */
 export class PeerFailure extends Data.TaggedError('PeerFailure')<{
 	readonly detail: string;
 }> {}
@@ -15,34 +15,34 @@
 /** An entry box, as its peers see it. */
 export abstract class Peer {
 	/**
-	 * Tells how it stands, and asks for parts of ceilings.
+	 * Exchanges state and requests shares of ceilings.
 	 *
-	 * @param exchange - What the asker says.
-	 * @returns How the peer stands, and what it grants.
+	 * @param exchange - State and demands of the caller.
+	 * @returns The state of the peer and the rates that it grants.
 	 */
 	abstract exchange(exchange: Exchange): Effect.Effect<ExchangeAnswer, PeerFailure>;
 
 	/**
-	 * Tells of boxes that are leaving, at once.
+	 * Reports boxes that are leaving, without waiting for the next exchange.
 	 *
-	 * @param reports - Which, and how soon.
+	 * @param reports - The boxes and the time until they stop.
 	 */
 	abstract announceLeaving(reports: readonly LeavingReport[]): Effect.Effect<void, PeerFailure>;
 
-	/** @returns The table in force at the peer; `undefined` where it has none. */
+	/** @returns The active table at the peer; `undefined` where it has none. */
 	abstract fetchTable(): Effect.Effect<StoredTable | undefined, PeerFailure>;
 
 	/**
-	 * @param query - Which record, and whether the asker goes on with it.
+	 * @param query - Key of the record, and whether the caller continues the request.
 	 * @returns The record; `undefined` where the peer has none.
 	 */
 	abstract fetchRecord(query: RecordQuery): Effect.Effect<RecordSnapshot | undefined, PeerFailure>;
 
 	/**
-	 * Hands requests over, which the peer goes on with.
+	 * Hands over requests for the peer to continue.
 	 *
 	 * @param records - The requests; their runs have ended at the sender.
-	 * @returns How many the peer took.
+	 * @returns The number of requests that the peer accepted.
 	 */
 	abstract adoptRecords(records: readonly RecordSnapshot[]): Effect.Effect<number, PeerFailure>;
 }
--- a/src/peers/remote-peer.ts
+++ b/src/peers/remote-peer.ts
@@ -1,5 +1,5 @@
 /**
- * A peer on the other side of a link.
+ * The client of a remote peer.
  */
 import {
 	createTRPCClient, createWSClient, wsLink, type TRPCClient,
@@ -12,18 +12,19 @@
 } from './peer-messages.js';
 import type {PeerRouter} from './peer-router.js';
 
-/** Milliseconds an answer may take before the link counts as down. */
+/** Timeout in milliseconds for an answer; the link counts as down after it. */
 const answerTimeout = 1500;
-/** Milliseconds for records, which may be large. */
+/** Timeout in milliseconds for calls that transfer records, which may be large. */
 const recordTimeout = 4000;
+/** Mean milliseconds between two attempts to reconnect. */
 const reconnectPause = 250;
 
-/** Speaks to a peer over one WebSocket. */
+/** Calls a peer over one WebSocket. */
 export class RemotePeer extends Peer {
 	/**
-	 * @param host - IP number.
-	 * @param port - The peer's port for peers.
-	 * @returns The peer; close it when done.
+	 * @param host - IP address.
+	 * @param port - The port on which the peer listens for peers.
+	 * @returns The client; close it after use.
 	 */
 	static create(host: string, port: number): RemotePeer {
 		return new RemotePeer(host, port);
@@ -36,7 +37,7 @@
 		super();
 		this.socket = createWSClient({
 			url: `ws://${host}:${port}`,
-			// The library asks for the browser's class; this one is made to its likeness.
+			// The library's type requires the browser's class; the class of `ws` has the same interface.
 			WebSocket: WebSocket as unknown as typeof globalThis.WebSocket,
 			retryDelayMs: () => reconnectPause * (0.5 + Math.random()),
 			onError: () => undefined,
@@ -64,7 +65,7 @@
 		return this.call(recordTimeout, async signal => this.client.adoptRecords.mutate(records, {signal}));
 	}
 
-	/** Closes the link. */
+	/** Closes the connection. */
 	close(): void {
 		void this.socket.close();
 	}
