--- a/src/records/completion.ts
+++ b/src/records/completion.ts
@@ -1,8 +1,8 @@
 /* eslint-disable @typescript-eslint/no-restricted-types -- the published interface has null */
 /**
- * A whole answer, put together from the events of a stream.
+ * Assembles a complete response from the events of a stream.
  *
- * @remarks Source: the chat completion object of the interface that OpenAI published.
+ * @remarks Source: the chat completion object of the published OpenAI API.
  */
 import {groupBy} from '../base/group-by.js';
 import type {RequestRecord} from './request-record.js';
@@ -42,7 +42,7 @@
 
 const parse = <Event>(event: string): Event => JSON.parse(event.slice('data: '.length)) as Event;
 
-/** Joins the pieces of each tool call, which come by index. */
+/** Joins the fragments of each tool call; fragments of the same call have the same index. */
 function joinToolCalls(pieces: readonly ToolCall[]): readonly ToolCall[] {
 	return [...groupBy(pieces, ({index}) => index).values()].map(group => ({
 		...group[0]!,
@@ -54,8 +54,8 @@
 }
 
 /**
- * @param record - A record that has finished.
- * @returns Its answer as one object.
+ * @param record - The record of a finished request.
+ * @returns The response as one object.
  */
 export function completionOf(record: RequestRecord): Completion {
 	const chunks = record.events.map(event => parse<Chunk>(event));
--- a/src/records/record-book.ts
+++ b/src/records/record-book.ts
@@ -1,13 +1,14 @@
 /**
- * The records of one box, by client account and key: nobody finds another account's.
+ * The request records of one box, by client account and key: a client account cannot look up records of another one.
  */
 import type {Clock} from '../base/clock.js';
 import type {RecordName, RequestRecord} from './request-record.js';
 
-/** How long and how much to keep of what has ended. */
+/** Limits on the records of ended requests. */
 export type Retention = {
-	/** Milliseconds. */
+	/** Milliseconds for which such a record is kept. */
 	readonly retention: number;
+	/** Maximum size of all such records together. */
 	readonly maximumBytes: number;
 };
 
@@ -15,53 +16,53 @@
 
 const nameOf = ({account, key}: RecordName) => `${account}\n${key}`;
 
-/** Keeps records. */
+/** Registry of request records. */
 export class RecordBook {
 	/**
-	 * @param limits - How long and how much to keep.
-	 * @param clock - For the retention.
-	 * @returns An empty book.
+	 * @param limits - Limits on the records of ended requests.
+	 * @param clock - Measures the retention time.
+	 * @returns An empty registry.
 	 */
 	static create(limits: Retention, clock: Clock): RecordBook {
 		return new RecordBook(limits, clock);
 	}
 
 	private readonly records = new Map<string, RequestRecord>();
-	/** Oldest first. */
+	/** Ended and paused records, oldest first. */
 	private readonly ended: Ended[] = [];
 	private endedBytes = 0;
 
 	private constructor(private readonly limits: Retention, private readonly clock: Clock) {}
 
-	/** Records that have not ended. */
+	/** Records of running requests. */
 	get active(): readonly RequestRecord[] {
 		return [...this.records.values()].filter(record => record.state === 'running');
 	}
 
-	/** Records whose answer is whole and that are kept for their callers. */
+	/** Records with a complete response, kept so that their clients can fetch it. */
 	get finished(): readonly RequestRecord[] {
 		return [...this.records.values()].filter(record => record.state === 'finished');
 	}
 
 	/**
 	 * @param name - Client account and key.
-	 * @returns The record, if it is kept here.
+	 * @returns The record, if this box has it.
 	 */
 	lookUp(name: RecordName): RequestRecord | undefined {
 		return this.records.get(nameOf(name));
 	}
 
 	/**
-	 * Keeps a record.
+	 * Adds a record.
 	 *
-	 * @param record - A new one; takes the place of one with the same name.
+	 * @param record - A new record; replaces one with the same name.
 	 */
 	add(record: RequestRecord): void {
 		this.records.set(nameOf(record.origin), record);
 	}
 
 	/**
-	 * Forgets a record at once.
+	 * Removes a record at once.
 	 *
 	 * @param record - The record.
 	 */
@@ -73,7 +74,7 @@
 	}
 
 	/**
-	 * Notes that a record ended or was paused; it is kept for a while.
+	 * Keeps a record that has ended or was paused for the retention time, or removes it if its client cannot ask for it again.
 	 *
 	 * @param record - The record.
 	 */
@@ -88,14 +89,14 @@
 		this.sweep();
 	}
 
-	/** Forgets what is too old or too much. */
+	/** Evicts ended records that are older than the retention time, and the oldest ones while the total size is over its limit. */
 	sweep(): void {
 		const oldest = this.clock.monotonic() - this.limits.retention;
 		const isOver = (entry: Ended) => entry.endedAt < oldest || this.endedBytes > this.limits.maximumBytes;
 		while (this.ended.length > 0 && isOver(this.ended[0]!)) {
 			const {record} = this.ended.shift()!;
 			this.endedBytes -= record.bytes;
-			// One that was resumed since runs again, and retires anew.
+			// A record that was resumed since is running again and will be retired again.
 			if (record.state !== 'running') {
 				this.remove(record);
 			}
--- a/src/records/request-record.ts
+++ b/src/records/request-record.ts
@@ -1,45 +1,45 @@
 /**
- * What a box keeps of a chat request while it runs and for a while after: enough to go on with it at
- * another upstream, to resume it for its caller, and to hand it to a peer.
+ * State of a chat request that a box keeps while the request runs and for a retention time after it: enough to continue it at
+ * another upstream, to resume it for its client and to hand it over to a peer.
  */
 import type {ClientAccountName, RequestKey} from '../base/identifiers.js';
 import type {Refusal} from '../base/verdict.js';
 import type {EngineUsage} from '../upstream/model-engine.js';
 
-/** How far a request is. `paused`: its caller hung up, and it can be resumed. */
+/** State of a request. `paused`: its client disconnected, and the request can be resumed. */
 export type RecordState = 'running' | 'paused' | 'finished' | 'refused';
 
-/** Told of what is appended; must not throw. Returns false to ask for a pause. */
+/** Receives appended events; must not throw. `onEvents` returns false to apply back pressure. */
 export type RecordListener = {
 	readonly onEvents: (events: readonly string[], firstIndex: number) => boolean;
 	readonly onEnd: () => void;
 };
 
-/** What names a record. */
+/** Identity of a record. */
 export type RecordName = {
 	readonly account: ClientAccountName;
 	readonly key: RequestKey;
 };
 
-/** What a record was made from; it can be made again from this at a peer. */
+/** The request from which a record was created; a peer can create the record again from it. */
 export type RecordOrigin = RecordName & {
-	/** Hash of the caller's request, to tell a reused key. */
+	/** Hash of the client's request, to detect a key that is reused for another request. */
 	readonly fingerprint: string;
 	readonly service: string;
 	readonly kind: string;
 	readonly body: Readonly<Record<string, unknown>>;
-	/** Name of the request at engines. */
+	/** Identifier of the request at model engines. */
 	readonly requestId: string;
-	/** Whether the caller gave the key, so that it can ask for the request again. */
+	/** Whether the client chose the key, so that it can ask for the request again. */
 	readonly isNamed: boolean;
 };
 
-/** One chat request. */
+/** Record of one chat request. */
 export class RequestRecord {
 	/**
-	 * @param origin - What it is made from.
-	 * @param events - What its caller may have got already, at a box before this one.
-	 * @returns A running record.
+	 * @param origin - The request.
+	 * @param events - Events received before at another box, which its client may have already.
+	 * @returns A record in state `running`.
 	 */
 	static create(origin: RecordOrigin, events: readonly string[] = []): RequestRecord {
 		return new RequestRecord(origin, [...events]);
@@ -48,7 +48,7 @@
 	usage: (EngineUsage & {readonly recomputedTokens: number}) | undefined;
 	usageEvent: string | undefined;
 	refusal: Refusal | undefined;
-	/** Called when listeners that asked for a pause are ready. */
+	/** Callback for the moment when listeners that applied back pressure are ready again. */
 	private readonly waking = {wake: (): void => undefined};
 	private currentEpoch = 0;
 	private currentState: RecordState = 'running';
@@ -59,40 +59,40 @@
 		this.size = log.join('').length;
 	}
 
-	/** Changes when a run is stopped, so that its late tokens can be told from those of the next. */
+	/** Changes when a run is stopped, so that its late tokens can be distinguished from those of the next run. */
 	get epoch(): number {
 		return this.currentEpoch;
 	}
 
-	/** How far it is. */
+	/** State of the request. */
 	get state(): RecordState {
 		return this.currentState;
 	}
 
-	/** Tokens that were received. */
+	/** Number of tokens received. */
 	get position(): number {
 		return this.log.length;
 	}
 
-	/** The events received, one a token. */
+	/** The events received, one per token. */
 	get events(): readonly string[] {
 		return this.log;
 	}
 
-	/** Characters that the events take; nearly all are single bytes. */
+	/** Size of the events in characters, an estimate of the bytes: nearly all characters are single bytes. */
 	get bytes(): number {
 		return this.size;
 	}
 
-	/** Whether somebody still reads it. */
+	/** Whether a listener still reads it. */
 	get isRead(): boolean {
 		return this.listeners.size > 0;
 	}
 
 	/**
-	 * Appends what came.
+	 * Appends received events.
 	 *
-	 * @param events - One a token, in order.
+	 * @param events - One per token, in order.
 	 * @returns Whether all listeners are ready for more.
 	 */
 	append(events: readonly string[]): boolean {
@@ -111,42 +111,42 @@
 	}
 
 	/**
-	 * @param wake - Called when listeners that asked for a pause are ready.
+	 * @param wake - Called when listeners that applied back pressure are ready again.
 	 */
 	onDidDrain(wake: () => void): void {
 		this.waking.wake = wake;
 	}
 
-	/** A listener that asked for a pause is ready for more. */
+	/** Signals that a listener that applied back pressure is ready for more. */
 	drained(): void {
 		this.waking.wake();
 	}
 
-	/** Ends it: the answer is whole. */
+	/** Ends the request with a complete response. */
 	finish(): void {
 		this.end('finished');
 	}
 
-	/** Ends it without its answer. */
+	/** Ends the request without a response. */
 	refuse(refusal: Refusal): void {
 		this.refusal = refusal;
 		this.end('refused');
 	}
 
-	/** Stops it until its caller comes back; what its run still receives is dropped. */
+	/** Pauses the request until its client resumes it; events that its stopped run still receives are dropped. */
 	pause(): void {
 		this.currentState = 'paused';
 		this.currentEpoch++;
 	}
 
-	/** Goes on after {@link pause}. */
+	/** Continues after {@link pause}. */
 	restart(): void {
 		this.currentState = 'running';
 	}
 
 	/**
-	 * @param listener - Told of what comes from now on.
-	 * @returns Ends the subscription.
+	 * @param listener - Receives events appended from now on.
+	 * @returns Ends the subscription when called.
 	 */
 	listen(listener: RecordListener): () => void {
 		this.listeners.add(listener);
@@ -155,7 +155,7 @@
 		};
 	}
 
-	/** Text of the answer so far. */
+	/** Text of the response so far. */
 	text(): string {
 		return this.log.map(event => textOf(event)).join('');
 	}
@@ -173,8 +173,8 @@
 type ChunkEvent = {readonly choices: ReadonlyArray<{readonly delta: {readonly content?: string}}>};
 
 /**
- * @param event - One event of the published stream.
- * @returns The text it adds to the answer.
+ * @param event - One event of the stream, in the published format.
+ * @returns The text that it adds to the response.
  */
 export function textOf(event: string): string {
 	const chunk = JSON.parse(event.slice('data: '.length)) as ChunkEvent;
