--- a/src/routes/route-table-view.ts
+++ b/src/routes/route-table-view.ts
@@ -1,21 +1,21 @@
 /**
- * The configuration in force on this box, and how sure it is that no newer one is.
+ * The active configuration on this box, and the time since it was known to be the newest.
  */
 import type {Clock} from '../base/clock.js';
 import type {EventLog} from '../base/event-log.js';
 import {RouteTable, type RouteTableContent} from './route-table.js';
 
-/** Where a version came from. */
+/** Source of a version. */
 export type TableSource = 'store' | 'peer';
 
-/** Called with each table that comes into force. */
+/** Called with each table that becomes active. */
 export type TableListener = (table: RouteTable) => void;
 
-/** The table in force; only a higher version ever replaces it. */
+/** Holds the active table; only a higher version replaces it. */
 export class RouteTableView {
 	/**
-	 * @param clock - For the age of proofs.
-	 * @param log - Where changes are told.
+	 * @param clock - Measures the age of proofs.
+	 * @param log - Receives a record for each change.
 	 * @returns A view without a table.
 	 */
 	static create(clock: Clock, log: EventLog): RouteTableView {
@@ -28,31 +28,31 @@
 
 	private constructor(private readonly clock: Clock, private readonly log: EventLog) {}
 
-	/** The table in force; `undefined` before the first. */
+	/** The active table; `undefined` before the first one. */
 	get inForce(): RouteTable | undefined {
 		return this.table;
 	}
 
-	/** Version in force; zero before the first. */
+	/** The active version; zero before the first one. */
 	get version(): number {
 		return this.table?.version ?? 0;
 	}
 
-	/** Milliseconds since the moment at which the version in force is known to have been the newest; without end where that is not known. */
+	/** Milliseconds since the last moment at which the active version is known to have been the newest; infinite where there is none. */
 	get proofAge(): number {
 		return this.clock.ageOf(this.provenAt);
 	}
 
-	/** @param listener - Called with each table that comes into force. */
+	/** @param listener - Called with each table that becomes active. */
 	onDidApply(listener: TableListener): void {
 		this.listeners.push(listener);
 	}
 
 	/**
-	 * Takes a version; one that is not higher changes nothing.
+	 * Activates a version; one that is not higher than the active one is ignored.
 	 *
-	 * @param content - What it holds.
-	 * @param source - Where it came from.
+	 * @param content - Content of the version.
+	 * @param source - Source of the version.
 	 */
 	apply(content: RouteTableContent, source: TableSource): void {
 		if (content.version <= this.version) {
@@ -70,10 +70,10 @@
 	}
 
 	/**
-	 * Notes that a version was the newest at some moment. It counts for the version in force alone.
+	 * Records a moment at which a version was the newest. Ignored unless it is the active version.
 	 *
 	 * @param version - The version.
-	 * @param at - Monotonic milliseconds.
+	 * @param at - The moment, in monotonic milliseconds.
 	 */
 	prove(version: number, at: number): void {
 		if (version > 0 && version === this.version) {
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -1,30 +1,30 @@
 /**
- * One version of the configuration of routes, client accounts and services, ready for look-ups.
+ * One version of the configuration of routes, client accounts and services, indexed for look-ups.
  *
  * @remarks Source: docs/PLATFORM.md, "The way of a configuration".
  */
 import {groupBy} from '../base/group-by.js';
 import {sumOf} from '../base/sum.js';
 
-/** What may be done with a request whose first try brought nothing. */
+/** Which retries are allowed for a request whose first attempt failed. */
 export type RouteKind = 'repeatable' | 'once' | 'stream';
 
-/** A service that a route leads to, with its weight among others. */
+/** A service that a route targets, with its weight relative to the other targets. */
 export type RouteTarget = {
 	readonly service: string;
 	readonly weight: number;
 };
 
-/** A route: which requests it takes and how they are to be served. */
+/** A route: which requests it matches and how they are served. */
 export type Route = {
 	readonly name: string;
 	readonly host: string;
 	/** Begins and ends with a slash. */
 	readonly pathPrefix: string;
 	readonly kind: RouteKind;
-	/** Milliseconds for which a request may be held. */
+	/** Maximum duration of a request in milliseconds. */
 	readonly timeout: number;
-	/** Milliseconds within which an answer is worth most. */
+	/** Target response time in milliseconds. */
 	readonly goal: number;
 	/** Zero is the most urgent. */
 	readonly priority: number;
@@ -39,14 +39,14 @@
 export type ClientAccount = {
 	readonly name: string;
 	readonly keys: readonly string[];
-	/** In place of the route's; `undefined` leaves that. */
+	/** Overrides the priority of the route; `undefined` keeps it. */
 	readonly priority: number | undefined;
 	readonly unit: 'requests' | 'tokens';
-	/** Units of a request that does not tell its tokens. */
+	/** Units charged for a request whose number of tokens is not known. */
 	readonly plainTokens: number;
-	/** Units a second; zero stands for no limit. */
+	/** Units per second; zero means no limit. */
 	readonly rate: number;
-	/** Units above the rate. */
+	/** Units that may be used at once above the rate. */
 	readonly burst: number;
 };
 
@@ -55,25 +55,25 @@
 	/** In each data centre. */
 	readonly minimum: number;
 	readonly maximum: number;
-	/** Milliseconds until a new replica serves. */
+	/** Milliseconds until a new replica is ready to serve. */
 	readonly bootTime: number;
-	/** Price of a reclaimable replica, as a part of another's. */
+	/** Price of a reclaimable replica, as a fraction of the price of another one. */
 	readonly reclaimablePrice: number;
 	readonly dataCentrePrices: ReadonlyMap<string, number>;
 };
 
-/** What is said of a service. */
+/** Configuration of a service. */
 export type Service = {
 	readonly name: string;
 	readonly maximumConnections: number;
 	/** Whether its replicas are model engines. */
 	readonly isEngine: boolean;
-	/** Tokens that a replica can hold; zero where it is no engine. */
+	/** Number of tokens that fit into the cache of a replica; zero where it is not an engine. */
 	readonly cacheCapacity: number;
 	readonly scaling: Scaling | undefined;
 };
 
-/** Bounds on what clients may send. */
+/** Limits on client connections and requests. */
 export type ClientLimits = {
 	/** Bytes. */
 	readonly body: number;
@@ -83,7 +83,7 @@
 	readonly idleTimeout: number;
 };
 
-/** All that one version holds. */
+/** Content of one version. */
 export type RouteTableContent = {
 	readonly version: number;
 	readonly routes: readonly Route[];
@@ -94,10 +94,10 @@
 
 const priorityWhereNothingIsSaid = 5;
 
-/** Look-ups in one version. */
+/** Look-ups in one version of the configuration. */
 export class RouteTable {
 	/**
-	 * @param content - What the version holds.
+	 * @param content - Content of the version.
 	 * @returns The table.
 	 */
 	static create(content: RouteTableContent): RouteTable {
@@ -124,7 +124,7 @@
 		return this.content.version;
 	}
 
-	/** Whether requests need a key, but on public routes. */
+	/** Whether requests need a key, except on public routes. */
 	get needsKeys(): boolean {
 		return this.content.clientAccounts.length > 0;
 	}
@@ -140,8 +140,8 @@
 	}
 
 	/**
-	 * @param key - What the client sent.
-	 * @returns Whose key it is; `undefined` where it is nobody's.
+	 * @param key - The key that the client sent.
+	 * @returns The client account that the key belongs to; `undefined` where there is none.
 	 */
 	clientAccount(key: string): ClientAccount | undefined {
 		return this.clientAccountsByKey.get(key);
@@ -149,7 +149,7 @@
 
 	/**
 	 * @param name - Name of a service.
-	 * @returns What is said of it.
+	 * @returns Its configuration; `undefined` where there is none.
 	 */
 	service(name: string): Service | undefined {
 		return this.servicesByName.get(name);
@@ -157,7 +157,7 @@
 
 	/**
 	 * @param service - Name of a service.
-	 * @returns Urgencies of the routes that lead to it.
+	 * @returns The distinct priorities of the routes that target it.
 	 */
 	urgencies(service: string): readonly number[] {
 		return this.urgenciesByService.get(service) ?? [];
@@ -166,7 +166,7 @@
 	/**
 	 * @param route - The route of a request.
 	 * @param clientAccount - Its client account.
-	 * @returns Its rank; zero is the most urgent.
+	 * @returns The priority of the request; zero is the most urgent.
 	 */
 	priority(route: Route, clientAccount: ClientAccount | undefined): number {
 		return clientAccount?.priority ?? route.priority ?? priorityWhereNothingIsSaid;
@@ -174,10 +174,10 @@
 }
 
 /**
- * Picks a target by weight.
+ * Picks a target at random, by weight.
  *
  * @param route - The route.
- * @param draw - A number from 0 to 1.
+ * @param draw - A random number from 0 to 1.
  * @returns The service's name.
  */
 export function pickTarget({targets}: Route, draw: number): string {
--- a/src/routes/test/route-table.test.ts
+++ b/src/routes/test/route-table.test.ts
@@ -27,7 +27,7 @@
 	version, routes: [], services: [], clientAccounts: [], limits: {body: 1, headerTimeout: 1, idleTimeout: 1}, ...changes,
 });
 
-test('the longest prefix of the host decides, whatever the order, the case of the host and its port', () => {
+test('the route with the longest prefix of the host matches, regardless of the order and of the case and port of the host', () => {
 	const table = RouteTable.create(content(1, {routes: [route('short', '/a/'), route('long', '/a/b/'), route('other', '/a/b/c/', {host: 'b.example'})]}));
 	assert.equal(table.route('a.example:8080', '/a/b/c/d?x=/a/')?.name, 'long');
 	assert.equal(table.route('a.EXAMPLE', '/a/bc/')?.name, 'short');
@@ -40,7 +40,7 @@
 	assert.deepEqual([0, 0.5, 0.89, 0.91, 0.999].map(draw => pickTarget(split, draw)), ['s', 's', 's', 't', 't']);
 });
 
-test('the client account\'s priority goes before the route\'s', () => {
+test('the priority of the client account overrides that of the route', () => {
 	const table = RouteTable.create(content(1));
 	const clientAccount = {
 		name: 't', keys: [], priority: 0, unit: 'tokens', plainTokens: 1, rate: 0, burst: 0,
@@ -49,7 +49,7 @@
 	assert.equal(table.priority(route('r', '/'), undefined), 3);
 });
 
-test('only a higher version comes into force, and a proof counts for the version in force alone', () => {
+test('only a higher version becomes active, and a proof counts only for the active version', () => {
 	const clock = new MovedClock(1000);
 	const view = RouteTableView.create(clock, SilentEventLog.create());
 	const applied: number[] = [];
@@ -65,5 +65,5 @@
 	assert.equal(view.proofAge, Number.POSITIVE_INFINITY, 'a proof of an older version proves nothing');
 	view.prove(9, 900);
 	view.prove(9, 800);
-	assert.equal(view.proofAge, 100, 'an earlier proof does not take a later one back');
+	assert.equal(view.proofAge, 100, 'an earlier proof does not replace a later one');
 });
