--- a/src/retries/retry-budget.ts
+++ b/src/retries/retry-budget.ts
@@ -1,21 +1,22 @@
 /**
- * Limits retries to a part of what succeeds, so that a brown-out of upstreams is not made worse by us.
+ * Limits retries to a fraction of the successful requests, so that retries do not make a brown-out of upstreams worse.
  *
- * @remarks Source: the retry budgets of Finagle ("RetryBudget"), as published.
+ * @remarks Source: the published retry budgets of Finagle ("RetryBudget").
  */
 import type {Clock} from '../base/clock.js';
 
-/** Retries that each success allows. */
+/** Retries earned by each success. */
 const depositPerSuccess = 0.1;
-/** Retries a second that are allowed whatever succeeds, so that a quiet pool can retry at all. */
+/** Retries per second earned without any success, so that a pool with few requests can retry at all. */
 const reservePerSecond = 0.5;
+/** Maximum number of retries saved up. */
 const largestBalance = 20;
 
 /** The budget of one pool on one box. */
 export class RetryBudget {
 	/**
-	 * @param clock - For the reserve.
-	 * @returns A budget with a small balance.
+	 * @param clock - Measures the time for the reserve.
+	 * @returns A budget with a small initial balance.
 	 */
 	static create(clock: Clock): RetryBudget {
 		return new RetryBudget(clock);
@@ -28,12 +29,12 @@
 		this.countedAt = clock.monotonic();
 	}
 
-	/** Notes a success. */
+	/** Adds to the balance for a successful request. */
 	deposit(): void {
 		this.balance = Math.min(largestBalance, this.balance + depositPerSuccess);
 	}
 
-	/** @returns Whether a retry may be made; it is then paid for. */
+	/** @returns Whether a retry is allowed; if so, it is deducted from the balance. */
 	withdraw(): boolean {
 		const now = this.clock.monotonic();
 		this.balance = Math.min(largestBalance, this.balance + ((now - this.countedAt) / 1000 * reservePerSecond));
--- a/src/retries/test/retry-budget.test.ts
+++ b/src/retries/test/retry-budget.test.ts
@@ -3,7 +3,7 @@
 import {VirtualClock} from '../../../development/fuzz/virtual-time.js';
 import {RetryBudget} from '../retry-budget.js';
 
-test('a brown-out of half the upstreams adds at most a tenth of load, and a small reserve', () => {
+test('while half of the requests fail, retries add at most a tenth of load plus a small reserve', () => {
 	const time = {now: 0};
 	const budget = RetryBudget.create(VirtualClock.create(time));
 	let retries = 0;
