--- a/src/gossip/aggregator-capacity.ts
+++ b/src/gossip/aggregator-capacity.ts
@@ -5,11 +5,11 @@
 import type {BoxLimits} from '../settings/relay-settings.js';
 
 /** CPU cores that an aggregator of about a hundred boxes uses (docs/CAPACITY.md, "The exchange"). */
-const aggregatorProcessor = 0.08;
+const aggregatorCores = 0.08;
 /** Megabits per second that it sends; it receives about as much. */
-const aggregatorLink = 3;
+const aggregatorMegabits = 3;
 /** Maximum result, in doublings of an aggregator's work; capacity beyond it makes no difference. */
-const mostDoublings = 3;
+const maxDoublings = 3;
 
 /**
  * @param limits - CPU and network limits that the platform sets for the box.
@@ -18,8 +18,8 @@
  */
 export function aggregatorCapacity({processor, link}: BoxLimits): number {
 	const times = [
-		...(processor === undefined ? [] : [processor / aggregatorProcessor]),
-		...(link === undefined ? [] : [link / aggregatorLink]),
+		...(processor === undefined ? [] : [processor / aggregatorCores]),
+		...(link === undefined ? [] : [link / aggregatorMegabits]),
 	];
-	return times.length === 0 ? 0 : Math.min(mostDoublings, Math.max(0, Math.floor(Math.log2(Math.min(...times)))));
+	return times.length === 0 ? 0 : Math.min(maxDoublings, Math.max(0, Math.floor(Math.log2(Math.min(...times)))));
 }
--- a/src/gossip/exchange-topology.ts
+++ b/src/gossip/exchange-topology.ts
@@ -10,30 +10,30 @@
 import type {Peer, PeerTable} from './peer-table.js';
 
 /** Maximum number of boxes in a fleet in which each box sends to all others. */
-const largestSmallFleet = 12;
+const maxSmallFleet = 12;
 /** Aggregators of a large fleet: two may fail at once without a gap. */
 export const aggregatorCount = 3;
 /**
  * Boxes named in a digest from the start of the aggregator order: boxes that lose their aggregators must fail over to the same
  * successors. With different ones, each would receive the state of a few boxes only.
  */
-const successorsTold = 15;
+const successorsNamed = 15;
 /** Jitter of the pause between two rounds, as a fraction of the interval. */
-const pauseSpread = 0.5;
+const pauseJitter = 0.5;
 /** Milliseconds between two rounds, in a small and in a large fleet. */
 const smallInterval = 200;
 const largeInterval = 400;
 /** Number of boxes above which the interval of a large fleet grows, so that an aggregator's work does not grow with the fleet. */
 const boxesAtLargeInterval = 100;
 /** Consecutive messages without an answer after which an aggregator is skipped. */
-const mostUnanswered = 5;
+const maxUnanswered = 5;
 /** Exclusive upper bound of the hashes of names. */
 const hashRange = 2 ** 32;
 /** Rounds between two messages to a skipped box, which detect that it answers again. */
 const roundsBetweenTrials = 5;
 /** Rounds without a message after which a box counts as silent, and the minimum of that time in milliseconds. */
 const roundsHeardWithin = 5;
-const leastHeardWithin = 1000;
+const minHeardWithin = 1000;
 
 /** A peer and its rank in the aggregator order; lower ranks come first. */
 type Ranked = {readonly peer: Peer; readonly rank: number};
@@ -65,7 +65,7 @@
 
 	/** Whether boxes receive digests from aggregators instead of messages from every other box. */
 	get isLarge(): boolean {
-		return this.peers.boxes > largestSmallFleet;
+		return this.peers.boxes > maxSmallFleet;
 	}
 
 	/** Whether this box receives messages from all others and watches the store. */
@@ -102,12 +102,12 @@
 	 * @returns Milliseconds until the next round.
 	 */
 	pause(random: number): number {
-		return this.interval * (1 + (pauseSpread * (random - 0.5)));
+		return this.interval * (1 + (pauseJitter * (random - 0.5)));
 	}
 
 	/** Milliseconds within which a message is expected from each box that sends to this one. */
 	get heardWithin(): number {
-		return Math.max(leastHeardWithin, this.interval * roundsHeardWithin);
+		return Math.max(minHeardWithin, this.interval * roundsHeardWithin);
 	}
 
 	/**
@@ -120,10 +120,10 @@
 			return aggregators;
 		}
 
-		const passedOver = round % roundsBetweenTrials === 0
-			? this.peers.all.filter(({unanswered}) => unanswered >= mostUnanswered)
+		const skipped = round % roundsBetweenTrials === 0
+			? this.peers.all.filter(({unanswered}) => unanswered >= maxUnanswered)
 			: [];
-		const [trial] = passedOver.sort((left, right) => this.rankOf(left.address) - this.rankOf(right.address));
+		const [trial] = skipped.sort((left, right) => this.rankOf(left.address) - this.rankOf(right.address));
 		return trial ? [...aggregators, trial] : aggregators;
 	}
 
@@ -135,7 +135,7 @@
 	 */
 	namesToTell(count: number, round: number, isSuccession = true): readonly Peer[] {
 		const {heard} = this.peers;
-		const first = this.isLarge && isSuccession ? this.ranked().filter(({peer}) => heard.includes(peer)).slice(0, successorsTold).map(({peer}) => peer) : [];
+		const first = this.isLarge && isSuccession ? this.ranked().filter(({peer}) => heard.includes(peer)).slice(0, successorsNamed).map(({peer}) => peer) : [];
 		const all = this.isLarge ? heard : this.peers.all;
 		const start = all.length === 0 ? 0 : (round * count) % all.length;
 		const others = [...all, ...all].slice(start, start + Math.min(count, all.length));
@@ -151,7 +151,7 @@
 		const {changes} = this.peers;
 		if (this.order?.changes !== changes) {
 			const ranked = this.peers.all
-				.filter(({unanswered, last}) => unanswered < mostUnanswered && last?.isStopping !== true)
+				.filter(({unanswered, last}) => unanswered < maxUnanswered && last?.isStopping !== true)
 				.map(peer => ({peer, rank: this.rankOf(peer.address)}))
 				.sort((left, right) => left.rank - right.rank);
 			const before = ranked.findIndex(({rank}) => rank >= this.ownRank);
--- a/src/gossip/exchange-traffic.ts
+++ b/src/gossip/exchange-traffic.ts
@@ -5,7 +5,7 @@
 import type {EventLog} from '../base/event-log.js';
 
 /** Milliseconds between two log records. */
-const tellInterval = 5000;
+const logInterval = 5000;
 const millisecondsPerSecond = 1000;
 
 /** Direction of a datagram; `heard` means received. */
@@ -15,7 +15,7 @@
 export type TrafficListener = (direction: TrafficDirection, bytes: number) => void;
 
 /** Context that is logged with the traffic rates. */
-export type TrafficSurroundings = {
+export type TrafficContext = {
 	/** Estimated number of boxes in the fleet. */
 	readonly boxes: number;
 	/** Other boxes from which a message was received recently, see `PeerTable.heard`. */
@@ -25,7 +25,7 @@
 
 type Tally = {readonly messages: number; readonly bytes: number};
 
-const nothing: Tally = {messages: 0, bytes: 0};
+const zeroTally: Tally = {messages: 0, bytes: 0};
 
 /** The traffic of one box. */
 export class ExchangeTraffic {
@@ -39,11 +39,11 @@
 		return new ExchangeTraffic(clock, log, listener);
 	}
 
-	private tallies: Readonly<Record<TrafficDirection, Tally>> = {sent: nothing, heard: nothing};
-	private toldAt: number;
+	private tallies: Readonly<Record<TrafficDirection, Tally>> = {sent: zeroTally, heard: zeroTally};
+	private loggedAt: number;
 
 	private constructor(private readonly clock: Clock, private readonly log: EventLog, private readonly listener: TrafficListener) {
-		this.toldAt = clock.monotonic();
+		this.loggedAt = clock.monotonic();
 	}
 
 	/**
@@ -52,7 +52,7 @@
 	 * @param direction - Whether it was sent or received.
 	 * @param bytes - Its length.
 	 */
-	note(direction: TrafficDirection, bytes: number): void {
+	count(direction: TrafficDirection, bytes: number): void {
 		const {messages, bytes: before} = this.tallies[direction];
 		this.tallies = {...this.tallies, [direction]: {messages: messages + 1, bytes: before + bytes}};
 		this.listener(direction, bytes);
@@ -61,26 +61,26 @@
 	/**
 	 * Logs the rates if the log interval has passed.
 	 *
-	 * @param surroundings - Context to log with the rates.
+	 * @param context - Context to log with the rates.
 	 */
-	tell(surroundings: TrafficSurroundings): void {
+	logRates(context: TrafficContext): void {
 		const now = this.clock.monotonic();
-		const elapsed = now - this.toldAt;
-		if (elapsed < tellInterval) {
+		const elapsed = now - this.loggedAt;
+		if (elapsed < logInterval) {
 			return;
 		}
 
 		const {sent, heard} = this.tallies;
 		const perSecond = (count: number): number => Math.round(count * millisecondsPerSecond / elapsed);
 		this.log.write('exchangeMeasured', {
-			...surroundings,
+			...context,
 			sentMessages: perSecond(sent.messages),
 			sentBytes: perSecond(sent.bytes),
 			heardMessages: perSecond(heard.messages),
 			heardBytes: perSecond(heard.bytes),
 		});
-		this.toldAt = now;
-		this.tallies = {sent: nothing, heard: nothing};
+		this.loggedAt = now;
+		this.tallies = {sent: zeroTally, heard: zeroTally};
 	}
 }
 
--- a/src/gossip/gossip-codec.ts
+++ b/src/gossip/gossip-codec.ts
@@ -27,7 +27,7 @@
 const UsageRow = Schema.Tuple([Schema.Number, Schema.Array(Schema.Tuple([Schema.String, Schema.Number]))]);
 
 /** A crash: replica start, service, software, age; fingerprints of requests and the milliseconds that each had run. */
-const EndRow = Schema.Tuple([Schema.String, Schema.String, Schema.String, Schema.Number, Schema.Array(Schema.Tuple([Schema.String, Schema.Number]))]);
+const CrashRow = Schema.Tuple([Schema.String, Schema.String, Schema.String, Schema.Number, Schema.Array(Schema.Tuple([Schema.String, Schema.Number]))]);
 /** Fingerprint of a request, age. */
 const CompletionRow = Schema.Tuple([Schema.String, Schema.Number]);
 
@@ -68,7 +68,7 @@
 	replicas: Schema.optionalKey(Schema.Struct({at: Schema.Number, age: Schema.Number})),
 	asksDigest: Schema.optionalKey(Schema.Boolean),
 	digest: Schema.optionalKey(DigestLayout),
-	ends: Schema.optionalKey(Schema.Tuple([Schema.Array(EndRow), Schema.Array(CompletionRow)])),
+	ends: Schema.optionalKey(Schema.Tuple([Schema.Array(CrashRow), Schema.Array(CompletionRow)])),
 	/** One list for each kind, in the order of `statementKinds`. */
 	statements: Schema.optionalKey(Schema.Tuple([StatementRows, StatementRows, StatementRows])),
 	departed: Schema.Array(Schema.Struct({id: Schema.String, revision: Schema.Number, start: Schema.optionalKey(Schema.String)})),
@@ -80,7 +80,7 @@
 /** Ignores unknown fields, which a newer version of the program may send. */
 const decodeLayout = createDecoder(MessageLayout, 'ignore');
 
-const rowOf = ({name, host, port, capacity = 0}: MemberAddress) => [name, host, port, capacity] as const;
+const memberRowOf = ({name, host, port, capacity = 0}: MemberAddress) => [name, host, port, capacity] as const;
 const memberOf = ([name, host, port, capacity]: typeof MemberRow.Type): MemberAddress => ({
 	name, host, port, capacity,
 });
@@ -95,15 +95,15 @@
 	const {sender, quota, work, demand, digest, usage, members, ends, statements, ...plain} = message;
 	const layout: Layout = {
 		...plain,
-		sender: rowOf(sender),
+		sender: memberRowOf(sender),
 		quota: quota.map(({clientAccount, passed, level, asked}) => [clientAccount, passed, level, asked] as const),
 		work: work.map(load => workRowOf(load)),
 		...(demand ? {demand: demand.map(load => demandRowOf(load))} : {}),
 		...(digest ? {digest: digestLayoutOf(digest)} : {}),
-		...(ends ? {ends: endLayoutOf(ends)} : {}),
+		...(ends ? {ends: crashLayoutOf(ends)} : {}),
 		...(statements ? {statements: statementLayoutOf(statements)} : {}),
 		usage: usage.map(({window, counts}) => [window, counts] as const),
-		members: members.map(member => rowOf(member)),
+		members: members.map(member => memberRowOf(member)),
 	};
 	return Buffer.from(JSON.stringify(layout));
 }
@@ -132,7 +132,7 @@
 		work: work.map(row => workOf(row)),
 		...(demand ? {demand: demand.map(row => demandOf(row))} : {}),
 		...(digest ? {digest: digestOf(digest)} : {}),
-		...(ends ? {ends: endNewsOf(ends)} : {}),
+		...(ends ? {ends: crashUpdateOf(ends)} : {}),
 		...(statements ? {statements: statementKinds.flatMap((kind, index) => statements[index]!.flatMap(row => statementOf(kind, row)))} : {}),
 		usage: usage.map(([window, counts]) => ({window, counts})),
 		members: members.map(row => memberOf(row)),
@@ -166,16 +166,16 @@
 		: [];
 }
 
-function endLayoutOf({crashes: ends, completions}: CrashLedgerUpdate): NonNullable<Layout['ends']> {
+function crashLayoutOf({crashes, completions}: CrashLedgerUpdate): NonNullable<Layout['ends']> {
 	return [
-		ends.map(({start, service, software, age, suspects}) => [start, service, software, age, suspects.map(({fingerprint, ranFor}) => [fingerprint, ranFor] as const)] as const),
+		crashes.map(({start, service, software, age, suspects}) => [start, service, software, age, suspects.map(({fingerprint, ranFor}) => [fingerprint, ranFor] as const)] as const),
 		completions.map(({fingerprint, age}) => [fingerprint, age] as const),
 	];
 }
 
-function endNewsOf([ends, completions]: NonNullable<Layout['ends']>): CrashLedgerUpdate {
+function crashUpdateOf([crashes, completions]: NonNullable<Layout['ends']>): CrashLedgerUpdate {
 	return {
-		crashes: ends.map(([start, service, software, age, suspects]) => ({
+		crashes: crashes.map(([start, service, software, age, suspects]) => ({
 			start, service, software, age: Math.max(0, age), suspects: suspects.map(([fingerprint, ranFor]) => ({fingerprint: Fingerprint(fingerprint), ranFor})),
 		})),
 		completions: completions.map(([fingerprint, age]) => ({fingerprint: Fingerprint(fingerprint), age: Math.max(0, age)})),
@@ -191,13 +191,13 @@
 			}
 			: {}),
 		...(work ? {work: work.map(load => workRowOf(load))} : {}),
-		...(stretches ? {stretches: stretches.map(({service, from, length}) => [service, roundedPlace(from), roundedPlace(length)] as const)} : {}),
+		...(stretches ? {stretches: stretches.map(({service, from, length}) => [service, roundedPosition(from), roundedPosition(length)] as const)} : {}),
 	};
 }
 
 /** Decimal precision of a position on the ring that is fine enough to distinguish any two boxes. */
-const placePrecision = 1e5;
-const roundedPlace = (place: number): number => Math.round(place * placePrecision) / placePrecision;
+const positionPrecision = 1e5;
+const roundedPosition = (position: number): number => Math.round(position * positionPrecision) / positionPrecision;
 
 function digestOf({quota, work, stretches, ...plain}: typeof DigestLayout.Type): NonNullable<GossipMessage['digest']> {
 	return {
--- a/src/gossip/gossip.ts
+++ b/src/gossip/gossip.ts
@@ -13,7 +13,7 @@
 import {
 	canBeSentTo, type FleetDigest, type GossipMessage, type MemberAddress,
 } from './gossip-message.js';
-import {ListenerBook} from './listener-book.js';
+import {RecipientRegistry} from './listener-book.js';
 import type {Meeting, Peer, PeerTable} from './peer-table.js';
 
 /** Members listed in one message, besides the aggregators. */
@@ -21,7 +21,7 @@
 /** Members listed in an answer to a box that did not ask for a digest. */
 export const membersAcknowledged = 2;
 /** Milliseconds for which the send time of a message is kept; it dates proofs in the answers of other boxes. */
-const sentMemory = 15_000;
+const sendTimeRetention = 15_000;
 /** Rounds of a large fleet after which a box sends all its counters instead of those that changed recently. */
 export const roundsBetweenWholeStates = 8;
 /** Rounds between two messages to the seeds, sent also while other boxes are heard. */
@@ -72,7 +72,7 @@
 	/** Starts at a random number, so that boxes do the periodic work of some rounds at different times. */
 	private rounds = Math.floor(Math.random() * roundsBetweenSeeds);
 	private readonly sentAt = new Map<number, number>();
-	private readonly listeners = ListenerBook.create();
+	private readonly recipients = RecipientRegistry.create();
 
 	private constructor(private readonly services: GossipServices) {}
 
@@ -95,8 +95,8 @@
 			// A datagram that cannot be sent is treated like a lost one.
 			socket.on('error', ignore);
 			socket.on('message', data => {
-				this.services.traffic.note('heard', data.length);
-				this.hear(socket, data);
+				this.services.traffic.count('heard', data.length);
+				this.receive(socket, data);
 			});
 			socket.bind(self.port, self.host);
 			return socket;
@@ -111,31 +111,31 @@
 		peers.isLarge = topology.isLarge;
 		peers.heardWithin = topology.heardWithin;
 		this.rounds++;
-		traffic.tell({boxes: peers.boxes, heard: peers.heard.length, isAggregator: topology.isLarge && topology.isAggregator});
-		const isLonely = peers.heard.length === 0;
+		traffic.logRates({boxes: peers.boxes, heard: peers.heard.length, isAggregator: topology.isLarge && topology.isAggregator});
+		const hearsNoBox = peers.heard.length === 0;
 		const head = this.head(membersNamed);
 		const targets = topology.targets(this.rounds);
-		const asked = this.askedFor(targets);
+		const asked = this.digestSources(targets);
 		const isWholeRound = !topology.isLarge || this.rounds % roundsBetweenWholeStates === 0;
-		const strangers = this.listeners.strangersAmong(targets);
-		const tellsSeeds = isLonely || this.rounds % roundsBetweenSeeds === 0;
-		const isWholeNeeded = isWholeRound || tellsSeeds || strangers.size > 0;
+		const newRecipients = this.recipients.newAmong(targets);
+		const sendsToSeeds = hearsNoBox || this.rounds % roundsBetweenSeeds === 0;
+		const isWholeNeeded = isWholeRound || sendsToSeeds || newRecipients.size > 0;
 		const state = {...head, ...this.services.state(isWholeRound)};
 		const wholeState = isWholeNeeded && !isWholeRound ? {...head, ...this.services.state(true)} : state;
 		for (const peer of targets) {
 			peers.noteTold(peer.address.name);
-			this.tell(socket, peer.address, {...(strangers.has(peer) ? wholeState : state), ...this.echoOf(peer), ...(asked.includes(peer) ? {asksDigest: true} : {})});
+			this.send(socket, peer.address, {...(newRecipients.has(peer) ? wholeState : state), ...this.echoOf(peer), ...(asked.includes(peer) ? {asksDigest: true} : {})});
 		}
 
-		if (tellsSeeds) {
+		if (sendsToSeeds) {
 			for (const address of seeds().filter(seed => canBeSentTo(seed))) {
-				this.tell(socket, address, {...wholeState, asksDigest: true});
+				this.send(socket, address, {...wholeState, asksDigest: true});
 			}
 		}
 	}
 
 	/** Aggregators of a large fleet have the same state, so this asks one of them for it, in rotation. */
-	private askedFor(targets: readonly Peer[]): readonly Peer[] {
+	private digestSources(targets: readonly Peer[]): readonly Peer[] {
 		const {peers, topology} = this.services;
 		if (peers.heard.length === 0) {
 			return targets;
@@ -162,7 +162,7 @@
 		this.sequence++;
 		this.sentAt.set(this.sequence, now);
 		for (const [sequence, at] of this.sentAt) {
-			if (now - at < sentMemory) {
+			if (now - at < sendTimeRetention) {
 				break;
 			}
 
@@ -178,13 +178,13 @@
 			: {};
 	}
 
-	private tell(socket: Socket, {host, port}: Omit<MemberAddress, 'name'>, message: GossipMessage): void {
+	private send(socket: Socket, {host, port}: Omit<MemberAddress, 'name'>, message: GossipMessage): void {
 		const data = encodeGossip(message);
-		this.services.traffic.note('sent', data.length);
+		this.services.traffic.count('sent', data.length);
 		socket.send(data, port, host, ignore);
 	}
 
-	private hear(socket: Socket, data: Uint8Array): void {
+	private receive(socket: Socket, data: Uint8Array): void {
 		const message = decodeGossip(data);
 		const {
 			peers, topology, self, take, takeDigest, incarnation,
@@ -199,7 +199,7 @@
 			return;
 		}
 
-		this.noteProof(message, incarnation);
+		this.recordProof(message, incarnation);
 		if (message.digest) {
 			peers.noteFleetSize(message.digest.boxes);
 			takeDigest(message, message.digest);
@@ -223,7 +223,7 @@
 			return;
 		}
 
-		this.tell(socket, peer.address, {
+		this.send(socket, peer.address, {
 			...this.head(isWhole ? membersNamed : membersAcknowledged, isWhole),
 			...news(isWhole),
 			// The median of many clocks: a box that hears few others cannot tell which of their clocks is wrong.
@@ -238,7 +238,7 @@
 	 * Dates a proof on this box's own clock, however long the datagram was delayed: the echo says how long before sending the
 	 * sender received a message of this box, and this box knows when it sent that message.
 	 */
-	private noteProof({echo, proofAge, version}: GossipMessage, incarnation: string): void {
+	private recordProof({echo, proofAge, version}: GossipMessage, incarnation: string): void {
 		if (!echo || proofAge === undefined || echo.incarnation !== incarnation) {
 			return;
 		}
--- a/src/gossip/listener-book.ts
+++ b/src/gossip/listener-book.ts
@@ -5,22 +5,22 @@
 import type {Peer} from './peer-table.js';
 
 /** Messages with all counters that a new recipient gets; more than one, since datagrams may be lost. */
-const wholeStates = 3;
+const initialWholeStates = 3;
 
-type Listener = {
+type Recipient = {
 	/** The start of its process that was sent to; `undefined` where no message was received from it. */
 	readonly incarnation: string | undefined;
 	readonly times: number;
 };
 
 /** Recipients of this box's state in the latest round. */
-export class ListenerBook {
+export class RecipientRegistry {
 	/** @returns A registry without recipients. */
-	static create(): ListenerBook {
-		return new ListenerBook();
+	static create(): RecipientRegistry {
+		return new RecipientRegistry();
 	}
 
-	private listeners: ReadonlyMap<string, Listener> = new Map();
+	private recipients: ReadonlyMap<string, Recipient> = new Map();
 
 	private constructor() {
 		// Made by create().
@@ -30,16 +30,16 @@
 	 * Records the recipients of a round.
 	 *
 	 * @param targets - The boxes that this box sends to in the round.
-	 * @returns Those that received fewer than {@link wholeStates} messages in consecutive rounds up to now.
+	 * @returns Those that received fewer than {@link initialWholeStates} messages in consecutive rounds up to now.
 	 */
-	strangersAmong(targets: readonly Peer[]): ReadonlySet<Peer> {
-		const before = this.listeners;
+	newAmong(targets: readonly Peer[]): ReadonlySet<Peer> {
+		const before = this.recipients;
 		const timesOf = ({address, last}: Peer): number => {
 			const known = before.get(address.name);
 			return known && known.incarnation === last?.incarnation ? known.times : 0;
 		};
 
-		this.listeners = new Map(targets.map(peer => [peer.address.name, {incarnation: peer.last?.incarnation, times: timesOf(peer) + 1}]));
-		return new Set(targets.filter(peer => timesOf(peer) < wholeStates));
+		this.recipients = new Map(targets.map(peer => [peer.address.name, {incarnation: peer.last?.incarnation, times: timesOf(peer) + 1}]));
+		return new Set(targets.filter(peer => timesOf(peer) < initialWholeStates));
 	}
 }
--- a/src/gossip/peer-table.ts
+++ b/src/gossip/peer-table.ts
@@ -10,10 +10,10 @@
 const memberLifetime = 20_000;
 
 /** Milliseconds for which the list of recently heard boxes is cached, unless a message is sent or received. */
-const viewLifetime = 20;
+const heardCacheLifetime = 20;
 
 /** Milliseconds for which a fleet size received from another box is valid. */
-const toldSizeLifetime = 20_000;
+const reportedSizeLifetime = 20_000;
 /** Milliseconds since its start for which a box of a large fleet is assumed to have sent its counters to no other box yet. */
 const newcomerUptime = 2500;
 
@@ -55,11 +55,11 @@
 	private readonly peers = new Map<string, Peer>();
 	/** Cached lists, which are read many times between two messages; invalidated by each change. */
 	private listed: readonly Peer[] | undefined;
-	private heardLately: {readonly peers: readonly Peer[]; readonly at: number; readonly within: number} | undefined;
+	private heardCache: {readonly peers: readonly Peer[]; readonly at: number; readonly within: number} | undefined;
 	/** When the last message of each box was received, including boxes that were removed since. */
-	private readonly heardLast = new Map<string, number>();
+	private readonly lastHeardAt = new Map<string, number>();
 	private readonly lost = new Set<string>();
-	private toldSize = {boxes: 0, at: Number.NEGATIVE_INFINITY};
+	private reportedSize = {boxes: 0, at: Number.NEGATIVE_INFINITY};
 	private readonly startedAt: number;
 	/** Wall clock minus monotonic clock, and the time of the last resume from a suspension when it was determined. */
 	private anchor: {readonly offset: number; readonly at: number};
@@ -89,7 +89,7 @@
 	 * @returns Whether a message of the box was received in that time.
 	 */
 	wasHeardWithin(name: string, within: number): boolean {
-		const at = this.heardLast.get(name) ?? Number.NEGATIVE_INFINITY;
+		const at = this.lastHeardAt.get(name) ?? Number.NEGATIVE_INFINITY;
 		return this.clock.monotonic() - at <= within;
 	}
 
@@ -105,15 +105,15 @@
 	/** Boxes from which a message was received within `heardWithin`, and since this box last resumed from a suspension. */
 	get heard(): readonly Peer[] {
 		const now = this.clock.monotonic();
-		const known = this.heardLately;
-		const wokenAt = this.clock.lastResumedAt();
-		if (known?.within === this.heardWithin && now - known.at < viewLifetime && known.at >= wokenAt) {
+		const known = this.heardCache;
+		const resumedAt = this.clock.lastResumedAt();
+		if (known?.within === this.heardWithin && now - known.at < heardCacheLifetime && known.at >= resumedAt) {
 			return known.peers;
 		}
 
-		const since = Math.max(now - this.heardWithin, wokenAt);
+		const since = Math.max(now - this.heardWithin, resumedAt);
 		const peers = this.all.filter(({heardAt}) => heardAt >= since);
-		this.heardLately = {peers, at: now, within: this.heardWithin};
+		this.heardCache = {peers, at: now, within: this.heardWithin};
 		return peers;
 	}
 
@@ -124,8 +124,8 @@
 
 	/** Estimated number of boxes in the fleet, including this one. */
 	get boxes(): number {
-		const isTold = this.clock.monotonic() - this.toldSize.at < toldSizeLifetime;
-		return Math.max(this.knownBoxes, isTold ? this.toldSize.boxes : 0);
+		const isReported = this.clock.monotonic() - this.reportedSize.at < reportedSizeLifetime;
+		return Math.max(this.knownBoxes, isReported ? this.reportedSize.boxes : 0);
 	}
 
 	/** Number of boxes in this table, including this one. */
@@ -159,10 +159,10 @@
 
 	/** After a suspension, during which the monotonic clock did not advance, the offset is taken from the clocks of the other boxes. */
 	private get ownOffset(): number {
-		const wokenAt = this.clock.lastResumedAt();
+		const resumedAt = this.clock.lastResumedAt();
 		const {heard} = this;
-		if (wokenAt > this.anchor.at && heard.length > 0) {
-			this.anchor = {offset: medianOf(heard.map(({wallOffset}) => wallOffset)), at: wokenAt};
+		if (resumedAt > this.anchor.at && heard.length > 0) {
+			this.anchor = {offset: medianOf(heard.map(({wallOffset}) => wallOffset)), at: resumedAt};
 		}
 
 		return this.anchor.offset;
@@ -173,8 +173,8 @@
 		const now = this.clock.monotonic();
 		// A smaller size counts only once the larger one has expired: in a network partition, each part would otherwise soon take
 		// itself for the whole fleet and spend the whole quota.
-		if (boxes >= this.toldSize.boxes || now - this.toldSize.at > toldSizeLifetime) {
-			this.toldSize = {boxes, at: now};
+		if (boxes >= this.reportedSize.boxes || now - this.reportedSize.at > reportedSizeLifetime) {
+			this.reportedSize = {boxes, at: now};
 		}
 	}
 
@@ -215,8 +215,8 @@
 			return undefined;
 		}
 
-		const meeting = this.meet(message, known, now);
-		this.heardLast.set(sender.name, now);
+		const meeting = this.classify(message, known, now);
+		this.lastHeardAt.set(sender.name, now);
 		this.put({
 			address: sender, last: message, heardAt: now, listedAt: known?.listedAt ?? now, wallOffset: message.wall - now, unanswered: 0,
 		});
@@ -250,20 +250,20 @@
 			if (silence > memberLifetime) {
 				this.peers.delete(name);
 				this.lost.delete(name);
-				this.dropViews();
+				this.invalidateLists();
 			}
 		}
 	}
 
 	private put(peer: Peer): void {
 		this.peers.set(peer.address.name, peer);
-		this.dropViews();
+		this.invalidateLists();
 	}
 
-	private dropViews(): void {
+	private invalidateLists(): void {
 		this.changes++;
 		this.listed = undefined;
-		this.heardLately = undefined;
+		this.heardCache = undefined;
 	}
 
 	/** In a large fleet most boxes have never sent to this one, and the bucket levels that they send are no more accurate than its own. */
@@ -271,7 +271,7 @@
 		return this.isLarge ? 'apart' : 'other';
 	}
 
-	private meet(message: GossipMessage, known: Peer | undefined, now: number): Meeting {
+	private classify(message: GossipMessage, known: Peer | undefined, now: number): Meeting {
 		if (known?.last?.incarnation === message.incarnation) {
 			return now - known.heardAt <= this.heardWithin ? 'known' : this.otherMeeting;
 		}
--- a/src/gossip/test/exchange-topology.test.ts
+++ b/src/gossip/test/exchange-topology.test.ts
@@ -37,9 +37,9 @@
 	const aggregators = views.flatMap(({topology}, index) => topology.isAggregator ? [nameOf(index)] : []);
 	assert.equal(aggregators.length, 3);
 	for (const [index, {topology}] of views.entries()) {
-		const told = namesOf(topology.targets(1));
-		assert.ok(aggregators.filter(name => name !== nameOf(index)).every(name => told.includes(name)));
-		assert.ok(told.length <= 3);
+		const targets = namesOf(topology.targets(1));
+		assert.ok(aggregators.filter(name => name !== nameOf(index)).every(name => targets.includes(name)));
+		assert.ok(targets.length <= 3);
 	}
 });
 
--- a/src/gossip/test/listener-book.test.ts
+++ b/src/gossip/test/listener-book.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {ListenerBook} from '../listener-book.js';
+import {RecipientRegistry} from '../listener-book.js';
 import type {Peer} from '../peer-table.js';
 
 const peer = (name: string, incarnation: string): Peer => ({
@@ -13,12 +13,12 @@
 });
 
 test('a box counts as a new recipient for three rounds, and again after a missed round or a restart', () => {
-	const book = ListenerBook.create();
+	const registry = RecipientRegistry.create();
 	const a = peer('a', 'one');
 	const b = peer('b', 'one');
-	const strangersIn = (...targets: readonly Peer[]) => [...book.strangersAmong(targets)].map(({address}) => address.name).join(' ');
-	assert.deepEqual([strangersIn(a), strangersIn(a), strangersIn(a, b), strangersIn(a, b)], ['a', 'a', 'a b', 'b']);
-	assert.equal(strangersIn(b), 'b');
-	assert.equal(strangersIn(a, b), 'a', 'nothing was sent to it in one round');
-	assert.equal(strangersIn(a, peer('b', 'two')), 'a b', 'its process has restarted');
+	const newIn = (...targets: readonly Peer[]) => [...registry.newAmong(targets)].map(({address}) => address.name).join(' ');
+	assert.deepEqual([newIn(a), newIn(a), newIn(a, b), newIn(a, b)], ['a', 'a', 'a b', 'b']);
+	assert.equal(newIn(b), 'b');
+	assert.equal(newIn(a, b), 'a', 'nothing was sent to it in one round');
+	assert.equal(newIn(a, peer('b', 'two')), 'a b', 'its process has restarted');
 });
--- a/src/gossip/test/odd-addresses.test.ts
+++ b/src/gossip/test/odd-addresses.test.ts
@@ -24,7 +24,7 @@
 /** Milliseconds that are enough for several rounds of a box. */
 const someRounds = 700;
 /** Milliseconds to wait for a datagram before the test fails. */
-const longestWait = 5000;
+const maxWait = 5000;
 const sockets: Socket[] = [];
 
 after(() => {
@@ -68,15 +68,15 @@
 	});
 	const clock = SystemClock.create();
 	const peers = PeerTable.create('box', clock, SilentEventLog.create());
-	const news = {
+	const update = {
 		version: 1, isStopping: false, storeAge: 0, departed: [],
 	};
 	const gossip = Gossip.create({
 		self: {name: 'box', host: '127.0.0.1', port}, incarnation: 'one', clock, peers, topology: ExchangeTopology.create({name: 'box'}, peers),
 		traffic: ExchangeTraffic.create(clock, SilentEventLog.create()),
-		news: () => news,
+		news: () => update,
 		state: () => ({
-			...news, quota: [], isWhole: true, work: [], usage: [],
+			...update, quota: [], isWhole: true, work: [], usage: [],
 		}),
 		digest: () => ({boxes: peers.boxes, quota: [], work: []}),
 		take: () => undefined,
@@ -118,7 +118,7 @@
 	const socket = await openSocket();
 	const box = await startBox([...oddAddresses, {host: '127.0.0.1', port: socket.address().port}]);
 	box.peers.learn(oddAddresses.map((address, index) => ({name: `listed-${index}`, ...address})));
-	const [data] = await once(socket, 'message', {signal: AbortSignal.timeout(longestWait)}) as [Uint8Array];
+	const [data] = await once(socket, 'message', {signal: AbortSignal.timeout(maxWait)}) as [Uint8Array];
 	assert.equal(decodeGossip(data)?.sender.name, 'box', 'the valid address receives a message');
 	await pause(someRounds);
 	assert.equal(await box.hasFailed(), false);
