--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -142,7 +142,7 @@
 		return Effect.forever(this.exchange(link).pipe(
 			Effect.andThen(Effect.sleep(exchangeInterval * (0.9 + (Math.random() / 5)))),
 			Effect.catch(error => Effect.suspend(() => {
-				this.noteLost(link, error);
+				this.recordLoss(link, error);
 				return Effect.sleep(pauseAfterFailure);
 			})),
 		));
@@ -156,7 +156,7 @@
 			const rowNames = this.services.rowNames();
 			const demands = encodeRates(ceilings.demandsFor(link.box.id, this.reachableIds()), rowNames);
 			const answer = yield * link.peer.exchange({state, demands});
-			this.noteAnswered(link, askedAt);
+			this.recordAnswer(link, askedAt);
 			link.state = answer.state;
 			ceilings.applyGrants(link.box.id, decodeRates(answer.grants, rowNames), askedAt);
 			for (const report of answer.state.leaving) {
@@ -177,7 +177,7 @@
 		}));
 	}
 
-	private noteAnswered(link: Link, askedAt: number): void {
+	private recordAnswer(link: Link, askedAt: number): void {
 		if (!link.state) {
 			this.services.log.write('peerConnected', {peer: link.box.id});
 		}
@@ -186,7 +186,7 @@
 		this.services.metrics.peersReachable.set(this.reachable.length);
 	}
 
-	private noteLost(link: Link, failure: PeerFailure): void {
+	private recordLoss(link: Link, failure: PeerFailure): void {
 		if (link.state) {
 			this.services.log.write('peerLost', {peer: link.box.id, detail: failure.detail});
 		}
@@ -233,9 +233,9 @@
 
 /**
  * @param report - A report received from a peer.
- * @param heardAt - When it was received, in monotonic milliseconds of this box.
+ * @param receivedAt - When it was received, in monotonic milliseconds of this box.
  * @returns When the box will stop, on the monotonic clock of this box; `undefined` where that is not known.
  */
-export function endOf(report: LeavingReport, heardAt: number): number | undefined {
-	return report.remaining === undefined ? undefined : heardAt + report.remaining;
+export function endOf(report: LeavingReport, receivedAt: number): number | undefined {
+	return report.remaining === undefined ? undefined : receivedAt + report.remaining;
 }
--- a/src/peers/peer-server.ts
+++ b/src/peers/peer-server.ts
@@ -11,7 +11,7 @@
 import {createPeerRouter} from './peer-router.js';
 
 /** Maximum size of one message in bytes; a hand-over of records is split into batches below it. */
-const largestMessage = 16 * 1024 * 1024;
+const maxMessageBytes = 16 * 1024 * 1024;
 
 /**
  * Listens for peers until the scope closes.
@@ -23,7 +23,7 @@
  */
 export function listenForPeers(peer: Peer, host: string, port: number): Effect.Effect<number, never, Scope.Scope> {
 	const open = Effect.promise(async () => {
-		const server = new WebSocketServer({host, port, maxPayload: largestMessage});
+		const server = new WebSocketServer({host, port, maxPayload: maxMessageBytes});
 		await once(server, 'listening');
 		const handler = applyWSSHandler({wss: server, router: createPeerRouter(peer)});
 		return {server, handler};
