--- a/src/follow/kind-follower.ts
+++ b/src/follow/kind-follower.ts
@@ -9,11 +9,11 @@
 
 /** Milliseconds between two attempts while the store does not answer, doubled after each failure up to a maximum; before jitter. */
 const retryPause = 250;
-const longestRetryPause = 600;
+const maxRetryPause = 600;
 /** Milliseconds between two checks whether this box needs to follow the kind. */
 const idlePause = 400;
 /** Milliseconds between changes and the next watch, so that changes made close together arrive in one batch. */
-const gatherPause = 200;
+const batchPause = 200;
 
 /** Callbacks for the objects of a kind. */
 export type KindListener = {
@@ -79,9 +79,9 @@
 				this.services.log.write('historyGone', {kind: this.kind});
 			})),
 			Effect.catchTag('StoreUnavailable', ({detail}) => {
-				this.noteLoss(detail);
+				this.recordLoss(detail);
 				this.failures++;
-				const pause = Math.min(longestRetryPause, retryPause * (2 ** (this.failures - 1)));
+				const pause = Math.min(maxRetryPause, retryPause * (2 ** (this.failures - 1)));
 				return Effect.sleep(pause * (0.75 + (Math.random() / 2)));
 			}),
 		);
@@ -93,23 +93,23 @@
 			const {store, clock, watchWait: {least, spread}} = this.services;
 			const sentAt = clock.monotonic();
 			const listing = yield * store.list(this.kind);
-			this.noteAnswer();
+			this.recordAnswer();
 			this.listener.list(listing, sentAt);
 			let {at} = listing;
 			while (this.services.isNeeded()) {
 				const watchedFrom = clock.monotonic();
 				const changes = yield * store.watch(this.kind, at, least + (Math.random() * spread));
-				this.noteAnswer();
+				this.recordAnswer();
 				at = Math.max(at, changes.at);
 				this.listener.change(changes, watchedFrom);
 				if (changes.changes.length > 0) {
-					yield * Effect.sleep(gatherPause);
+					yield * Effect.sleep(batchPause);
 				}
 			}
 		});
 	}
 
-	private noteAnswer(): void {
+	private recordAnswer(): void {
 		if (this.isLost) {
 			this.services.log.write('storeRegained', {kind: this.kind, silence: Math.round(this.silence)});
 		}
@@ -120,7 +120,7 @@
 		this.answeredAt = this.services.clock.monotonic();
 	}
 
-	private noteLoss(detail: string): void {
+	private recordLoss(detail: string): void {
 		if (!this.isLost) {
 			this.services.log.write('storeLost', {kind: this.kind, detail});
 		}
--- a/src/follow/store-availability.ts
+++ b/src/follow/store-availability.ts
@@ -19,8 +19,8 @@
 	/** When the store last answered any box. */
 	private answeredAt: number | undefined;
 	/** The last answer before the last outage and the first one after it, in monotonic milliseconds. */
-	private lostAt = Number.NEGATIVE_INFINITY;
-	private regainedAt = Number.NEGATIVE_INFINITY;
+	private outageBeganAt = Number.NEGATIVE_INFINITY;
+	private outageEndedAt = Number.NEGATIVE_INFINITY;
 
 	private constructor(private readonly clock: Clock, private readonly lapseTime: () => number) {}
 
@@ -31,19 +31,19 @@
 
 	/** When the last outage ended, in monotonic milliseconds; negative infinity where no outage is known. */
 	get returnedAt(): number {
-		return this.regainedAt;
+		return this.outageEndedAt;
 	}
 
 	/** Records that the store has answered this box. */
 	noteOwnAnswer(): void {
 		this.ownAnswerAt = this.clock.monotonic();
-		this.noteAnswer(this.ownAnswerAt);
+		this.recordAnswer(this.ownAnswerAt);
 	}
 
 	/** @param age - Milliseconds since the store answered another box, as reported by that box; `unknownAgeMs` and more is ignored. */
 	notePeerAnswer(age: number): void {
 		if (age < unknownAgeMs) {
-			this.noteAnswer(this.clock.monotonic() - age);
+			this.recordAnswer(this.clock.monotonic() - age);
 		}
 	}
 
@@ -61,8 +61,8 @@
 
 	/** Records that the store was restored from a backup: entries may be missing even after a short outage. */
 	noteRestore(): void {
-		this.regainedAt = this.clock.monotonic();
-		this.lostAt = this.regainedAt;
+		this.outageEndedAt = this.clock.monotonic();
+		this.outageBeganAt = this.outageEndedAt;
 	}
 
 	private isAfterOutage(at: number): boolean {
@@ -70,13 +70,13 @@
 	}
 
 	/** Records an answer to any box; one box without answers is no outage while the store answers other boxes. */
-	private noteAnswer(at: number): void {
-		const isEarlierReturn = at - this.lostAt >= this.lapseTime() && at < this.regainedAt;
+	private recordAnswer(at: number): void {
+		const isEarlierEnd = at - this.outageBeganAt >= this.lapseTime() && at < this.outageEndedAt;
 		if (this.isAfterOutage(at)) {
-			this.lostAt = this.answeredAt ?? this.lostAt;
-			this.regainedAt = at;
-		} else if (isEarlierReturn) {
-			this.regainedAt = at;
+			this.outageBeganAt = this.answeredAt ?? this.outageBeganAt;
+			this.outageEndedAt = at;
+		} else if (isEarlierEnd) {
+			this.outageEndedAt = at;
 		}
 
 		this.answeredAt = Math.max(at, this.answeredAt ?? at);
--- a/src/follow/store-position.ts
+++ b/src/follow/store-position.ts
@@ -5,7 +5,7 @@
  */
 
 const revisionsPerEra = 2 ** 36;
-const largestEra = Math.floor(Number.MAX_SAFE_INTEGER / revisionsPerEra) - 1;
+const maxEra = Math.floor(Number.MAX_SAFE_INTEGER / revisionsPerEra) - 1;
 
 /**
  * @param era - Era of the store; zero where the store does not send one.
@@ -13,7 +13,7 @@
  * @returns The position; `undefined` where a number is not a valid era or revision.
  */
 export function positionOf(era: number, revision: number): number | undefined {
-	const isEra = Number.isInteger(era) && era >= 0 && era <= largestEra;
+	const isEra = Number.isInteger(era) && era >= 0 && era <= maxEra;
 	const isRevision = Number.isInteger(revision) && revision >= 0 && revision < revisionsPerEra;
 	return isEra && isRevision ? (era * revisionsPerEra) + revision : undefined;
 }
