--- a/src/records/request-record.ts
+++ b/src/records/request-record.ts
@@ -49,7 +49,7 @@
 	usageEvent: string | undefined;
 	refusal: Refusal | undefined;
 	/** Callback for the moment when listeners that applied back pressure are ready again. */
-	private readonly waking = {wake: (): void => undefined};
+	private readonly drainCallback = {wake: (): void => undefined};
 	private currentEpoch = 0;
 	private currentState: RecordState = 'running';
 	private readonly listeners = new Set<RecordListener>();
@@ -114,12 +114,12 @@
 	 * @param wake - Called when listeners that applied back pressure are ready again.
 	 */
 	onDidDrain(wake: () => void): void {
-		this.waking.wake = wake;
+		this.drainCallback.wake = wake;
 	}
 
 	/** Signals that a listener that applied back pressure is ready for more. */
 	drained(): void {
-		this.waking.wake();
+		this.drainCallback.wake();
 	}
 
 	/** Ends the request with a complete response. */
--- a/src/retries/retry-budget.ts
+++ b/src/retries/retry-budget.ts
@@ -10,7 +10,7 @@
 /** Retries per second earned without any success, so that a pool with few requests can retry at all. */
 const reservePerSecond = 0.5;
 /** Maximum number of retries saved up. */
-const largestBalance = 20;
+const maxBalance = 20;
 
 /** The budget of one pool on one box. */
 export class RetryBudget {
@@ -23,22 +23,22 @@
 	}
 
 	private balance = 2;
-	private countedAt: number;
+	private updatedAt: number;
 
 	private constructor(private readonly clock: Clock) {
-		this.countedAt = clock.monotonic();
+		this.updatedAt = clock.monotonic();
 	}
 
 	/** Adds to the balance for a successful request. */
 	deposit(): void {
-		this.balance = Math.min(largestBalance, this.balance + depositPerSuccess);
+		this.balance = Math.min(maxBalance, this.balance + depositPerSuccess);
 	}
 
 	/** @returns Whether a retry is allowed; if so, it is deducted from the balance. */
 	withdraw(): boolean {
 		const now = this.clock.monotonic();
-		this.balance = Math.min(largestBalance, this.balance + ((now - this.countedAt) / 1000 * reservePerSecond));
-		this.countedAt = now;
+		this.balance = Math.min(maxBalance, this.balance + ((now - this.updatedAt) / 1000 * reservePerSecond));
+		this.updatedAt = now;
 		if (this.balance < 1) {
 			return false;
 		}
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -92,7 +92,7 @@
 	readonly limits: ClientLimits;
 };
 
-const priorityWhereNothingIsSaid = 5;
+const defaultPriority = 5;
 
 /** Look-ups in one version of the configuration. */
 export class RouteTable {
@@ -114,8 +114,8 @@
 		const hosts = new Set(byLength.map(({host}) => host.toLowerCase()));
 		this.routesByHost = new Map([...hosts].map(host => [host, byLength.filter(route => route.host.toLowerCase() === host)]));
 		this.clientAccountsByKey = new Map(content.clientAccounts.flatMap(clientAccount => clientAccount.keys.map(key => [key, clientAccount] as const)));
-		const targets = content.routes.flatMap(({priority, targets: leadTo}) => leadTo.map(({service}) => ({service, priority})));
-		this.urgenciesByService = new Map([...groupBy(targets, ({service}) => service)].map(([service, some]) => [service, [...new Set(some.map(({priority}) => priority))]]));
+		const targets = content.routes.flatMap(({priority, targets: routeTargets}) => routeTargets.map(({service}) => ({service, priority})));
+		this.urgenciesByService = new Map([...groupBy(targets, ({service}) => service)].map(([service, group]) => [service, [...new Set(group.map(({priority}) => priority))]]));
 		this.servicesByName = new Map(content.services.map(service => [service.name, service]));
 	}
 
@@ -169,7 +169,7 @@
 	 * @returns The priority of the request; zero is the most urgent.
 	 */
 	priority(route: Route, clientAccount: ClientAccount | undefined): number {
-		return clientAccount?.priority ?? route.priority ?? priorityWhereNothingIsSaid;
+		return clientAccount?.priority ?? route.priority ?? defaultPriority;
 	}
 }
 
