--- a/src/gossip/gossip.ts
+++ b/src/gossip/gossip.ts
@@ -145,7 +145,7 @@
 	}
 
 	/** Builds the fields common to all messages, with the next sequence number. */
-	private head(named: number, isSuccession = false): Pick<GossipMessage, 'sender' | 'incarnation' | 'sequence' | 'uptime' | 'wall' | 'members'> {
+	private head(memberCount: number, isSuccession = false): Pick<GossipMessage, 'sender' | 'incarnation' | 'sequence' | 'uptime' | 'wall' | 'members'> {
 		const {self, incarnation, peers, clock, topology} = this.services;
 		return {
 			sender: self,
@@ -153,7 +153,7 @@
 			sequence: this.nextSequence(),
 			uptime: Math.round(peers.uptime),
 			wall: Math.round(peers.ownTime),
-			members: topology.namesToTell(named, this.rounds, isSuccession).map(({address}) => address),
+			members: topology.namesToTell(memberCount, this.rounds, isSuccession).map(({address}) => address),
 		};
 	}
 
--- a/src/gossip/test/gossip-exchange.test.ts
+++ b/src/gossip/test/gossip-exchange.test.ts
@@ -98,8 +98,8 @@
 	await until(() => box.peers.heard.length === 3);
 	heard.length = 0;
 	await until(() => heard.length >= 21);
-	const told = heard.slice(0, 21);
-	const asked = told.filter(({asksDigest}) => asksDigest === true);
+	const received = heard.slice(0, 21);
+	const asked = received.filter(({asksDigest}) => asksDigest === true);
 	assert.ok(asked.length >= 6 && asked.length <= 8, `${asked.length} of 21`);
 	assert.equal(new Set(asked.map(({sender}) => sender.name)).size, 3, 'each aggregator was asked');
 });
--- a/src/gossip/test/odd-addresses.test.ts
+++ b/src/gossip/test/odd-addresses.test.ts
@@ -41,7 +41,7 @@
 	return socket;
 };
 
-const oddAddresses: ReadonlyArray<Omit<MemberAddress, 'name'>> = [
+const invalidAddresses: ReadonlyArray<Omit<MemberAddress, 'name'>> = [
 	{host: '127.0.0.1', port: 0},
 	{host: '127.0.0.1', port: -1},
 	{host: '127.0.0.1', port: 65_536},
@@ -100,24 +100,24 @@
 test('a datagram from an invalid address, or one that lists it as a member, changes nothing', async () => {
 	const box = await startBox();
 	const socket = await openSocket();
-	const sound = {name: 'sound', host: '127.0.0.1', port: socket.address().port};
-	for (const [index, address] of oddAddresses.entries()) {
-		socket.send(encodeGossip(messageFrom({name: `odd-${index}`, ...address})), box.port, '127.0.0.1');
-		socket.send(encodeGossip(messageFrom({...sound, name: `telling-${index}`}, [{name: `told-${index}`, ...address}])), box.port, '127.0.0.1');
+	const validAddress = {name: 'valid', host: '127.0.0.1', port: socket.address().port};
+	for (const [index, address] of invalidAddresses.entries()) {
+		socket.send(encodeGossip(messageFrom({name: `invalid-${index}`, ...address})), box.port, '127.0.0.1');
+		socket.send(encodeGossip(messageFrom({...validAddress, name: `lister-${index}`}, [{name: `member-${index}`, ...address}])), box.port, '127.0.0.1');
 	}
 
 	await pause(someRounds);
 	assert.equal(await box.hasFailed(), false);
-	socket.send(encodeGossip(messageFrom(sound)), box.port, '127.0.0.1');
-	await until(() => box.peers.named('sound') !== undefined);
-	assert.deepEqual(box.peers.all.filter(({address: {name}}) => name.startsWith('odd') || name.startsWith('told')), []);
+	socket.send(encodeGossip(messageFrom(validAddress)), box.port, '127.0.0.1');
+	await until(() => box.peers.named('valid') !== undefined);
+	assert.deepEqual(box.peers.all.filter(({address: {name}}) => name.startsWith('invalid') || name.startsWith('member')), []);
 	await box.end();
 });
 
 test('invalid addresses in the settings or the store do not stop the exchange', async () => {
 	const socket = await openSocket();
-	const box = await startBox([...oddAddresses, {host: '127.0.0.1', port: socket.address().port}]);
-	box.peers.learn(oddAddresses.map((address, index) => ({name: `listed-${index}`, ...address})));
+	const box = await startBox([...invalidAddresses, {host: '127.0.0.1', port: socket.address().port}]);
+	box.peers.learn(invalidAddresses.map((address, index) => ({name: `listed-${index}`, ...address})));
 	const [data] = await once(socket, 'message', {signal: AbortSignal.timeout(maxWait)}) as [Uint8Array];
 	assert.equal(decodeGossip(data)?.sender.name, 'box', 'the valid address receives a message');
 	await pause(someRounds);
--- a/src/records/record-book.ts
+++ b/src/records/record-book.ts
@@ -92,8 +92,8 @@
 	/** Evicts ended records that are older than the retention time, and the oldest ones while the total size is over its limit. */
 	sweep(): void {
 		const oldest = this.clock.monotonic() - this.limits.retention;
-		const isOver = (entry: Ended) => entry.endedAt < oldest || this.endedBytes > this.limits.maximumBytes;
-		while (this.ended.length > 0 && isOver(this.ended[0]!)) {
+		const isEvictable = (entry: Ended) => entry.endedAt < oldest || this.endedBytes > this.limits.maximumBytes;
+		while (this.ended.length > 0 && isEvictable(this.ended[0]!)) {
 			const {record} = this.ended.shift()!;
 			this.endedBytes -= record.bytes;
 			// A record that was resumed since is running again and will be retired again.
