--- a/src/gossip/test/odd-addresses.test.ts
+++ b/src/gossip/test/odd-addresses.test.ts
@@ -1,6 +1,7 @@
 /*
- * An address of another box is taken from its datagrams, from what others tell of it, from the store and from the settings. One without a
- * port that can be sent to ended the exchange with each round, and the whole process where a datagram was answered.
+ * The address of another box comes from its datagrams, from member lists of other boxes, from the store or from the settings. Guards
+ * against invalid addresses: an address without a valid port made each round of the exchange fail, and the answer to a datagram from
+ * such an address crashed the process.
  */
 import assert from 'node:assert/strict';
 import {createSocket, type Socket} from 'node:dgram';
@@ -20,10 +21,10 @@
 import type {GossipMessage, MemberAddress} from '../gossip-message.js';
 import {PeerTable} from '../peer-table.js';
 
-/** Milliseconds in which a box has some rounds. */
+/** Milliseconds that are enough for several rounds of a box. */
 const someRounds = 700;
-/** Milliseconds after which a datagram counts as never sent. */
-const longestWait = 5000;
+/** Milliseconds to wait for a datagram before the test fails. */
+const maxWait = 5000;
 const sockets: Socket[] = [];
 
 after(() => {
@@ -40,7 +41,7 @@
 	return socket;
 };
 
-const oddAddresses: ReadonlyArray<Omit<MemberAddress, 'name'>> = [
+const invalidAddresses: ReadonlyArray<Omit<MemberAddress, 'name'>> = [
 	{host: '127.0.0.1', port: 0},
 	{host: '127.0.0.1', port: -1},
 	{host: '127.0.0.1', port: 65_536},
@@ -54,7 +55,7 @@
 	quota: [], work: [], departed: [], usage: [],
 });
 
-/** A box that runs its exchange. */
+/** Starts a box that runs the exchange. */
 const startBox = async (seeds: ReadonlyArray<Omit<MemberAddress, 'name'>> = []) => {
 	const port = await new Promise<number>(resolve => {
 		const socket = createSocket('udp4');
@@ -67,15 +68,15 @@
 	});
 	const clock = SystemClock.create();
 	const peers = PeerTable.create('box', clock, SilentEventLog.create());
-	const news = {
+	const update = {
 		version: 1, isStopping: false, storeAge: 0, departed: [],
 	};
 	const gossip = Gossip.create({
 		self: {name: 'box', host: '127.0.0.1', port}, incarnation: 'one', clock, peers, topology: ExchangeTopology.create({name: 'box'}, peers),
 		traffic: ExchangeTraffic.create(clock, SilentEventLog.create()),
-		news: () => news,
+		news: () => update,
 		state: () => ({
-			...news, quota: [], isWhole: true, work: [], usage: [],
+			...update, quota: [], isWhole: true, work: [], usage: [],
 		}),
 		digest: () => ({boxes: peers.boxes, quota: [], work: []}),
 		take: () => undefined,
@@ -87,7 +88,7 @@
 	return {
 		port,
 		peers,
-		/** @returns Whether its exchange has ended by itself. */
+		/** @returns Whether its exchange has ended with a failure. */
 		async hasFailed(): Promise<boolean> {
 			const exit = await Promise.race([Effect.runPromise(Fiber.await(fiber)), pause(0, undefined)]);
 			return exit !== undefined && Exit.isFailure(exit);
@@ -96,29 +97,29 @@
 	};
 };
 
-test('a datagram from, or about, an address that cannot be sent to changes nothing', async () => {
+test('a datagram from an invalid address, or one that lists it as a member, changes nothing', async () => {
 	const box = await startBox();
 	const socket = await openSocket();
-	const sound = {name: 'sound', host: '127.0.0.1', port: socket.address().port};
-	for (const [index, address] of oddAddresses.entries()) {
-		socket.send(encodeGossip(messageFrom({name: `odd-${index}`, ...address})), box.port, '127.0.0.1');
-		socket.send(encodeGossip(messageFrom({...sound, name: `telling-${index}`}, [{name: `told-${index}`, ...address}])), box.port, '127.0.0.1');
+	const validAddress = {name: 'valid', host: '127.0.0.1', port: socket.address().port};
+	for (const [index, address] of invalidAddresses.entries()) {
+		socket.send(encodeGossip(messageFrom({name: `invalid-${index}`, ...address})), box.port, '127.0.0.1');
+		socket.send(encodeGossip(messageFrom({...validAddress, name: `lister-${index}`}, [{name: `member-${index}`, ...address}])), box.port, '127.0.0.1');
 	}
 
 	await pause(someRounds);
 	assert.equal(await box.hasFailed(), false);
-	socket.send(encodeGossip(messageFrom(sound)), box.port, '127.0.0.1');
-	await until(() => box.peers.named('sound') !== undefined);
-	assert.deepEqual(box.peers.all.filter(({address: {name}}) => name.startsWith('odd') || name.startsWith('told')), []);
+	socket.send(encodeGossip(messageFrom(validAddress)), box.port, '127.0.0.1');
+	await until(() => box.peers.named('valid') !== undefined);
+	assert.deepEqual(box.peers.all.filter(({address: {name}}) => name.startsWith('invalid') || name.startsWith('member')), []);
 	await box.end();
 });
 
-test('addresses of the settings or the store that cannot be sent to end no exchange', async () => {
+test('invalid addresses in the settings or the store do not stop the exchange', async () => {
 	const socket = await openSocket();
-	const box = await startBox([...oddAddresses, {host: '127.0.0.1', port: socket.address().port}]);
-	box.peers.learn(oddAddresses.map((address, index) => ({name: `listed-${index}`, ...address})));
-	const [data] = await once(socket, 'message', {signal: AbortSignal.timeout(longestWait)}) as [Uint8Array];
-	assert.equal(decodeGossip(data)?.sender.name, 'box', 'the one that can be sent to is told');
+	const box = await startBox([...invalidAddresses, {host: '127.0.0.1', port: socket.address().port}]);
+	box.peers.learn(invalidAddresses.map((address, index) => ({name: `listed-${index}`, ...address})));
+	const [data] = await once(socket, 'message', {signal: AbortSignal.timeout(maxWait)}) as [Uint8Array];
+	assert.equal(decodeGossip(data)?.sender.name, 'box', 'the valid address receives a message');
 	await pause(someRounds);
 	assert.equal(await box.hasFailed(), false);
 	await box.end();
