--- a/development/harness/caller.ts
+++ b/development/harness/caller.ts
@@ -1,6 +1,6 @@
 /**
- * A caller that behaves as docs/CALLERS.md asks: it names its requests, resumes streams, comes back when told
- * to, and checks every answer against what the stand-ins must have said.
+ * A client that follows docs/CALLERS.md: it sends an idempotency key with each request, resumes streams, retries after
+ * the time in `Retry-After`, and compares every response with the deterministic output of the stand-ins.
  */
 import {
 	Agent, request, type IncomingMessage,
@@ -10,34 +10,34 @@
 	expectedAnswer, seedOf, tokenEvent, type ChatMessage, type TokenFrame,
 } from '../standins/tokens.js';
 
-/** How a request ended, as its caller judges. */
+/** The outcome of a request, as its caller classifies it. */
 export type Judgement =
 	| {readonly kind: 'answered'}
 	| {readonly kind: 'refused'; readonly reason: string; readonly verdict: string}
-	/** Accepted, and then without an answer. */
+	/** The request was accepted but never answered. */
 	| {readonly kind: 'lost'; readonly detail: string}
-	/** Another request's answer, or parts missing or twice. */
+	/** The response belongs to another request, or has missing or duplicate parts. */
 	| {readonly kind: 'misdelivered'; readonly detail: string};
 
-/** What was measured on the way. */
+/** Latencies of a request. */
 export type Timing = {
-	/** Milliseconds to the first token. */
+	/** Milliseconds from the start of the request to the first token. */
 	readonly firstToken: number;
 	/** Milliseconds between tokens. */
 	readonly between: readonly number[];
 };
 
-/** An answer and how it was judged. */
+/** The outcome of a request with its measurements. */
 export type Result = {
 	readonly judgement: Judgement;
 	readonly timing: Timing;
-	/** Tries it took. */
+	/** Number of attempts, including the first. */
 	readonly tries: number;
-	/** Times the answer so far had to be dropped and asked for anew. */
+	/** Number of times a partial response was discarded and requested again from the beginning. */
 	readonly restarts: number;
 };
 
-/** A chat to ask for. */
+/** A chat completion request. */
 export type Chat = {
 	readonly model: string;
 	readonly messages: readonly ChatMessage[];
@@ -46,7 +46,7 @@
 	readonly key: string;
 };
 
-/** A call to make. */
+/** A call of a plain service. */
 export type Call = {
 	readonly service: string;
 	readonly path: string;
@@ -60,19 +60,21 @@
 
 const agent = new Agent({keepAlive: true, maxSockets: Infinity});
 const mostTries = 30;
-/** Looks for an answer that is being made at another box. */
+/** Maximum number of polls for a response that another box is producing. */
 const mostLooks = 100;
+/** Milliseconds before the next attempt after a broken connection. */
 const pauseAfterCut = 100;
+/** Upper bound in milliseconds on the delay that `Retry-After` asks for. */
 const longestPause = 2000;
 const blankLine = '\n\n';
 const doneEvent = `data: [DONE]${blankLine}`;
 const errorStart = 'event: error\n';
 
-/** Calls through whatever entry boxes a balancer would choose. */
+/** Sends requests to the entry boxes in turn, as a load balancer does. */
 export class Caller {
 	/**
-	 * @param apiKey - Of its client account.
-	 * @param ports - Callers' ports of the boxes that are ready; asked anew for each try.
+	 * @param apiKey - API key of the client account.
+	 * @param ports - Returns the client-facing TCP ports of the ready boxes; called for each attempt.
 	 * @returns The caller.
 	 */
 	static create(apiKey: string, ports: () => readonly number[]): Caller {
@@ -84,9 +86,9 @@
 	private constructor(private readonly apiKey: string, private readonly ports: () => readonly number[]) {}
 
 	/**
-	 * Asks for a chat completion until it is answered or refused for good.
+	 * Requests a chat completion and retries until it is answered or permanently refused.
 	 *
-	 * @param chat - What to ask for.
+	 * @param chat - The request.
 	 * @returns How it ended.
 	 */
 	async chat(chat: Chat): Promise<Result> {
@@ -106,9 +108,9 @@
 	}
 
 	/**
-	 * Calls a plain service; asks again only where it was told that the call did not run.
+	 * Calls a plain service; retries after a refusal only if it says that the call did not run.
 	 *
-	 * @param call - What to call.
+	 * @param call - The call.
 	 * @returns How it ended.
 	 */
 	async call(call: Call): Promise<Result> {
@@ -141,7 +143,7 @@
 		return result({kind: 'lost', detail: `no end after ${mostTries} tries`}, mostTries);
 	}
 
-	/** @returns How it ended, or nothing to try again. */
+	/** @returns The outcome, or `undefined` if another attempt is needed. */
 	private async tryChat(chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
 		const body = JSON.stringify({
 			model: chat.model, messages: chat.messages, max_tokens: chat.maximumTokens, stream: chat.isStreamed,
@@ -177,7 +179,7 @@
 
 	private async afterRefusal(problem: Problem, incoming: IncomingMessage, chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
 		if (problem.reason === 'record-lost') {
-			// The answer so far is dropped and asked for anew; nothing was promised without a notice.
+			// Discards the partial response and requests it again: a record may be lost if its box stops without notice.
 			receiver.restart();
 			return undefined;
 		}
@@ -189,7 +191,7 @@
 		return problem.reason === 'moved-to-peer' && !chat.isStreamed ? this.collect(chat, receiver) : undefined;
 	}
 
-	/** Fetches an answer that is being made at another box. */
+	/** Polls for a response that another box is producing. */
 	private async collect(chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
 		for (let looks = 0; looks < mostLooks; looks++) {
 			const answer = await this.send(`/v1/requests/${chat.key}`, undefined, {});
@@ -233,7 +235,7 @@
 	}
 }
 
-/** Puts a stream together over as many connections as it takes. */
+/** Assembles one stream from any number of connections. */
 class StreamReceiver {
 	position = 0;
 	restarts = 0;
@@ -245,12 +247,12 @@
 	private lastAt = 0;
 
 	constructor(private readonly chat: Chat) {
-		// Callers may write the kind behind the name of the service; engines are told the service.
+		// A client may append the kind to the service name; engines receive the service name alone.
 		const [model = ''] = chat.model.split(':', 1);
 		this.frame = {model, seed: seedOf(chat.messages), end: chat.maximumTokens};
 	}
 
-	/** Whether something came that no stream may hold. */
+	/** Whether the stream contained anything that a correct stream never contains. */
 	get isWrong(): boolean {
 		return this.fault !== undefined;
 	}
@@ -271,16 +273,16 @@
 				rest = parts.pop()!;
 				for (const part of parts) {
 					if (ended !== 'cut') {
-						this.fault ??= `"${part}" behind the end of the stream`;
+						this.fault ??= `event after the end of the stream: "${part}"`;
 					}
 
 					ended = this.take(part + blankLine) ?? ended;
 				}
 			});
 			incoming.once('close', () => {
-				// What HTTP tells as whole must be it; only a connection that breaks may leave part of an event.
+				// A complete HTTP response must end with the final event; only a broken connection may leave a partial event.
 				if (incoming.complete && (ended === 'cut' || rest !== '')) {
-					this.fault ??= `ended as whole after event ${this.position}, with "${rest}" left`;
+					this.fault ??= `HTTP response complete after event ${this.position}, without the final event; unparsed rest: "${rest}"`;
 				}
 
 				resolve(ended);
@@ -310,11 +312,11 @@
 			return 'error';
 		}
 
-		// The name of the answer is the engine's; everything else of the event is known, and it is the same name in all of them.
+		// The engine chooses the response id, which is the same in all events; the rest of each event is known in advance.
 		this.answerId ??= /"id":"(?<id>chatcmpl-[\w\-]+)"/v.exec(event)?.groups?.id;
 		const expected = `id: ${this.position + 1}\n${tokenEvent({...this.frame, id: this.answerId ?? ''}, this.position)}`;
 		if (event !== expected) {
-			this.fault ??= `after event ${this.position}: ${JSON.stringify(event)}`;
+			this.fault ??= `unexpected event after event ${this.position}: ${JSON.stringify(event)}`;
 		}
 
 		this.position++;
@@ -348,7 +350,7 @@
 	}
 }
 
-/** Waits as long as it was told to. @returns Whether to ask again. */
+/** Waits for the time in `Retry-After`, with jitter. @returns Whether to retry. */
 async function comeBack(problem: Problem, incoming: IncomingMessage): Promise<boolean> {
 	const seconds = Number(incoming.headers['retry-after'] ?? Number.NaN);
 	const isWorthwhile = problem.verdict === 'not-run' || problem.reason === 'claim-held' || problem.reason === 'moved-to-peer';
@@ -372,5 +374,5 @@
 	const {key, body} = JSON.parse(text) as {readonly key: string; readonly body: string};
 	return key === call.key && body === call.body
 		? {kind: 'answered'}
-		: {kind: 'misdelivered', detail: `asked as ${call.key}, answered as ${key}`};
+		: {kind: 'misdelivered', detail: `sent key ${call.key}, response has key ${key}`};
 }
--- a/development/harness/child.ts
+++ b/development/harness/child.ts
@@ -1,5 +1,5 @@
 /**
- * Processes that tests and the demo start, each ended by its own id.
+ * Child processes of tests and the demo. Each is signalled by its own process id.
  */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {once} from 'node:events';
@@ -11,26 +11,26 @@
 
 const root = fileURLToPath(new URL('../../', import.meta.url));
 
-/** A line of a process's output, if it is JSON. */
+/** A line of JSON that a process printed. */
 export type OutputLine = Readonly<Record<string, unknown>>;
 
-/** A process that was started here. */
+/** A child process whose standard output is parsed as JSON lines. */
 export class Child {
 	/**
 	 * Starts a compiled program of this repository.
 	 *
-	 * @param program - Path below the build folder.
-	 * @param parameters - Its command line.
-	 * @param nodeOptions - Options for Node itself.
+	 * @param program - Path of the program relative to the build folder.
+	 * @param parameters - Command-line arguments.
+	 * @param nodeOptions - Options for Node.js itself.
 	 * @returns The process.
 	 */
 	static start(program: string, parameters: readonly string[], nodeOptions: readonly string[] = []): Child {
 		return new Child(spawn(process.execPath, [...nodeOptions, `${root}${program}`, ...parameters], {stdio: ['pipe', 'pipe', 'inherit']}));
 	}
 
-	/** JSON lines it has printed. */
+	/** JSON lines that the process has printed. */
 	readonly lines: OutputLine[] = [];
-	/** Ends with its exit code; `null` where a signal ended it. */
+	/** Resolves with the exit code, or with `undefined` if a signal terminated the process. */
 	readonly exited: Promise<number | undefined>;
 	private readonly waiting = new Set<() => void>();
 	private hasEnded = false;
@@ -51,7 +51,7 @@
 		return this.child.pid!;
 	}
 
-	/** Whether it has ended. */
+	/** Whether the process has exited. */
 	get isEnded(): boolean {
 		return this.hasEnded;
 	}
@@ -59,8 +59,8 @@
 	/**
 	 * Waits for a line.
 	 *
-	 * @param matches - Which line.
-	 * @returns The first that matches, also one printed before.
+	 * @param matches - Selects the line.
+	 * @returns The first line that matches, including lines printed before this call.
 	 */
 	async line(matches: (line: OutputLine) => boolean): Promise<OutputLine> {
 		for (;;) {
@@ -70,7 +70,7 @@
 			}
 
 			if (this.hasEnded) {
-				throw new Error(`process ${this.pid} ended without the line that was waited for`);
+				throw new Error(`process ${this.pid} exited before it printed the expected line`);
 			}
 
 			await new Promise<void>(resolve => {
@@ -82,7 +82,7 @@
 	/**
 	 * Sends a signal to this process alone.
 	 *
-	 * @param signal - Which.
+	 * @param signal - The signal.
 	 */
 	signal(signal: NodeJS.Signals): void {
 		if (!this.hasEnded) {
@@ -92,7 +92,7 @@
 
 	/**
 	 * @param signal - A signal.
-	 * @returns Whether the process catches it by now, by what Linux tells of it.
+	 * @returns Whether the process has a handler for it, according to `SigCgt` in Linux's `/proc/PID/status`.
 	 */
 	hasListenerFor(signal: NodeJS.Signals): boolean {
 		try {
@@ -100,12 +100,12 @@
 			const bit = constants.signals[signal] - 1;
 			return Number.parseInt(caught.at(-1 - Math.floor(bit / 4)) ?? '0', 16) % (2 ** ((bit % 4) + 1)) >= 2 ** (bit % 4);
 		} catch {
-			// It has ended.
+			// The process has exited.
 			return false;
 		}
 	}
 
-	/** Ends it at once. */
+	/** Kills the process and waits for its exit. */
 	async kill(): Promise<void> {
 		this.signal('SIGKILL');
 		await this.exited;
--- a/development/harness/departure-fleet.ts
+++ b/development/harness/departure-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Boxes that follow the list of replicas in virtual time: they tell each other what they know, lose datagrams and answers of the store, and would send to
- * each replica whenever they may. Development only.
+ * Simulates in virtual time boxes that watch the replica list, exchange gossip, and lose datagrams and responses of the store. Each box continuously
+ * sends to every replica that its directory lists as ready. Development only.
  */
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import * as Effect from 'effect/Effect';
@@ -25,22 +25,22 @@
 } from './model-metadata-store.js';
 import {randomOf} from './seeded-random.js';
 
-/** What the fleet is like. */
+/** Parameters of the simulated fleet. */
 export type DepartureFleetShape = {
 	readonly boxes: number;
 	readonly replicas: number;
-	/** Milliseconds from the store's acknowledgement that a replica leaves, from which on it gets nothing. */
+	/** Milliseconds after the store acknowledges a replica's departure, after which the replica must receive no request. */
 	readonly bound: number;
-	/** Share of datagrams that are lost. */
+	/** Share of datagrams that are lost, from 0 to 1. */
 	readonly loss: number;
 	readonly seed: number;
 };
 
-/** A request that reached a replica too late. */
+/** A request that was sent to a replica later than the bound allows. */
 export type LateRequest = {
 	readonly box: string;
 	readonly replica: string;
-	/** Milliseconds after the store had acknowledged that it leaves. */
+	/** Milliseconds since the store acknowledged the replica's departure. */
 	readonly after: number;
 };
 
@@ -59,17 +59,21 @@
 };
 
 const service = 's';
+/** Milliseconds of virtual time per simulation step. */
 const step = 20;
+/** One-way delay of a datagram in milliseconds. */
 const datagramWay = 2;
+/** Milliseconds between the monotonic clocks of two consecutive boxes. */
 const clockSpread = 100_000;
+/** Start of the simulation, in milliseconds since the Unix epoch. */
 const epoch = 1_764_700_000_000;
 
-/** The fleet. */
+/** A simulated fleet whose replicas depart. */
 export class DepartureFleet {
 	/**
-	 * @param shape - What it is like.
-	 * @param time - Virtual time, started.
-	 * @param log - Where the boxes write.
+	 * @param shape - Parameters of the fleet.
+	 * @param time - Virtual time, already started.
+	 * @param log - Event log of all boxes.
 	 * @returns A fleet that has just started.
 	 */
 	static create(shape: DepartureFleetShape, time: VirtualTime, log: EventLog = SilentEventLog.create()): DepartureFleet {
@@ -78,7 +82,7 @@
 
 	readonly store: ModelStore;
 	readonly boxes: readonly Box[];
-	/** Requests that came later than the bound allows. */
+	/** Requests that were sent later than the bound allows. */
 	readonly late: LateRequest[] = [];
 	readonly random: () => number;
 	private readonly addresses: readonly MemberAddress[];
@@ -98,7 +102,7 @@
 		}
 	}
 
-	/** @param duration - Milliseconds that pass; each box sends to every replica that it may send to all the while. */
+	/** @param duration - Milliseconds of virtual time to advance; in each step, every box sends to all replicas that it lists as ready. */
 	async pass(duration: number): Promise<void> {
 		const end = this.time.now + duration;
 		while (this.time.now < end) {
@@ -113,13 +117,13 @@
 
 	/**
 	 * @param replica - A replica.
-	 * @returns How many boxes would send to it.
+	 * @returns Number of boxes that list it as ready.
 	 */
 	usersOf({id}: ModelReplica): number {
 		return this.boxes.filter(({replicas}) => replicas.ready(service).some(({entry}) => entry.id === id)).length;
 	}
 
-	/** Ends everything. */
+	/** Stops all boxes. */
 	async close(): Promise<void> {
 		this.isOver = true;
 		await Promise.all(this.boxes.flatMap(({fibers}) => fibers.map(async fiber => Effect.runPromise(Fiber.interrupt(fiber)))));
@@ -143,9 +147,10 @@
 		const role = ReplicaRole.create({
 			...followed, replicas, drain: () => this.shape.bound, fallbackDelay: 4500 + (100 * index), openFetch: (_, take) => this.fetchFor(take),
 		});
-		// Only what the list of replicas needs is there.
+		// Contains only the parts that replica list updates use.
 		const parts = {
-			clock, log, peers, topology, availability, configuration, replicaRole: role, isStopping: () => false, stretches: {applyReceived: () => undefined}, services: {replicas, table, ...otherServices},
+			clock, log, peers, topology, availability, configuration, replicaRole: role, isStopping: () => false,
+			stretches: {applyReceived: () => undefined}, services: {replicas, table, ...otherServices},
 		} as unknown as ExchangeParts;
 		const fibers = [role.follow(), role.sweep(), configuration.follow(), configuration.prove()].map(effect => Effect.runFork(effect));
 		return {
@@ -270,7 +275,7 @@
 	limits: {services: [], openDueSlots: () => undefined},
 };
 
-/** A configuration that never changes. */
+/** Creates a route table whose version never changes. */
 function tableOf(clock: VirtualClock): RouteTableView {
 	let provenAt = Number.NEGATIVE_INFINITY;
 	const table = {
--- a/development/harness/exchange-fleet.ts
+++ b/development/harness/exchange-fleet.ts
@@ -1,5 +1,5 @@
 /**
- * A large fleet's exchange without sockets: one aggregator, and what all other boxes tell it. Development only.
+ * Simulates the gossip exchange of a large fleet without sockets: one aggregator receives the state of all other boxes. Development only.
  */
 import {type EventLog, SilentEventLog} from '../../src/base/event-log.js';
 import type {Clock} from '../../src/base/clock.js';
@@ -20,16 +20,16 @@
 import {ReplicaStatements} from '../../src/replicas/replica-statements.js';
 import {ServiceDemands} from '../../src/replicas/service-demand.js';
 
-/** What the fleet is like. */
+/** Parameters of the simulated fleet. */
 export type FleetShape = {
 	readonly boxes: number;
 	readonly replicas: number;
 	readonly clientAccounts: number;
-	/** Requests that a box has in progress, each at a replica of its own. */
+	/** Requests in progress per box, each at a different replica. */
 	readonly inProgress: number;
 };
 
-/** Bytes of the datagrams of one round at the aggregator. */
+/** Traffic of the aggregator in one gossip round; sizes in bytes. */
 export type RoundTraffic = {
 	readonly messages: number;
 	readonly heard: number;
@@ -46,18 +46,18 @@
 	readonly limits: ReplicaLimits;
 };
 
-/** The fleet. */
+/** A simulated large fleet. */
 export class ExchangeFleet {
 	/**
-	 * @param shape - What it is like.
-	 * @param clock - For all boxes.
+	 * @param shape - Parameters of the fleet.
+	 * @param clock - Clock that all boxes share.
 	 * @returns A fleet whose boxes have all served each client account.
 	 */
 	static create(shape: FleetShape, clock: Clock): ExchangeFleet {
 		return new ExchangeFleet(shape, clock);
 	}
 
-	/** Milliseconds that the aggregator spent on messages and their answers. */
+	/** Total milliseconds that the aggregator took to process messages and create responses. */
 	spent = 0;
 	private readonly boxes: readonly Box[];
 	private sequence = 0;
@@ -68,12 +68,12 @@
 		this.boxes = addresses.map(address => this.boxAt(address, addresses));
 	}
 
-	/** Milliseconds between two rounds. */
+	/** Milliseconds between two gossip rounds. */
 	get interval(): number {
 		return this.aggregator.topology.interval;
 	}
 
-	/** @returns What went over the aggregator's link in one round, in which every box told it its state and was answered. */
+	/** @returns Traffic of one round in which every other box sends its state to the aggregator and receives a response. */
 	round(): RoundTraffic {
 		const {aggregator} = this;
 		this.rounds++;
@@ -86,7 +86,7 @@
 		return {messages: others.length, heard: bytesOf(heard), sent: bytesOf(sent)};
 	}
 
-	/** Ends all replicas, each under requests of its own of every box and one that is common to all. */
+	/** Crashes all replicas; on each box, each crash has two suspects: one request that only this box sent to this replica, and one common to all. */
 	endReplicas(): void {
 		for (const {address, quarantine, replicas} of this.boxes) {
 			for (const replica of replicas.all) {
@@ -96,7 +96,7 @@
 		}
 	}
 
-	/** Lets all replicas name a limit, each in an answer to every box. */
+	/** Makes every replica announce a rate limit in a response to every box. */
 	limitReplicas(): void {
 		for (const {limits, replicas} of this.boxes) {
 			for (const replica of replicas.all) {
@@ -189,7 +189,7 @@
 				replicas, quota, demands, usage, table, quarantine, limits, statements,
 			}, availability, configuration, replicaRole, stretches, isStopping: () => false,
 		};
-		// Only what the exchange asks of the other parts is there.
+		// Contains only the members that the exchange uses.
 		return {
 			address, peers, topology, replicas, quarantine, limits, state: ExchangeState.create(parts as unknown as ExchangeParts),
 		};
--- a/development/harness/fault-proxy.ts
+++ b/development/harness/fault-proxy.ts
@@ -1,32 +1,32 @@
 /**
- * A TCP proxy that injects faults into what passes: delays, cuts, freezes, half-closes, and answers dropped
- * after the request went through. Development only.
+ * A TCP proxy that injects faults: delays, cut connections, freezes, half-closed connections, and responses dropped
+ * after the request was forwarded. Development only.
  */
 import {once} from 'node:events';
 import {
 	connect, createServer, type AddressInfo, type Server, type Socket,
 } from 'node:net';
 
-/** What the proxy does to what passes, until changed. */
+/** The fault that the proxy injects until it is changed. */
 export type ProxyFault =
 	| {readonly kind: 'none'}
-	/** Bytes are held back by some milliseconds, both ways. */
+	/** Data is delayed in both directions. */
 	| {readonly kind: 'delay'; readonly milliseconds: number}
-	/** Connections are refused, and open ones are cut. */
+	/** New connections are closed at once, and open ones are destroyed. */
 	| {readonly kind: 'cut'}
-	/** Connections stay open, and nothing passes. */
+	/** Connections stay open, but no data is forwarded. */
 	| {readonly kind: 'freeze'}
-	/** What callers send passes; the answer closes the connection instead of passing. */
+	/** Requests are forwarded; the first bytes of a response close the connection and are dropped. */
 	| {readonly kind: 'drop-answers'}
-	/** The answer's side closes after its first bytes. */
+	/** The response direction closes after half of the first chunk. */
 	| {readonly kind: 'half-close'};
 
 type Pair = {readonly caller: Socket; readonly target: Socket};
 
-/** Stands before one port. */
+/** A proxy in front of one TCP port. */
 export class FaultProxy {
 	/**
-	 * @param targetPort - TCP port on loopback that it stands before.
+	 * @param targetPort - TCP port on loopback to forward to.
 	 * @returns The proxy, listening.
 	 */
 	static async create(targetPort: number): Promise<FaultProxy> {
@@ -36,7 +36,7 @@
 		return proxy;
 	}
 
-	/** Answers that were dropped. */
+	/** Number of response chunks that were dropped. */
 	dropped = 0;
 	private readonly server: Server;
 	private readonly pairs = new Set<Pair>();
@@ -49,17 +49,17 @@
 		});
 	}
 
-	/** TCP port it listens on. */
+	/** TCP port that the proxy listens on. */
 	get port(): number {
 		return (this.server.address() as AddressInfo).port;
 	}
 
-	/** What is injected now. */
+	/** The current fault. */
 	get fault(): ProxyFault {
 		return this.current;
 	}
 
-	/** Changes what is injected. What a freeze held back passes when it ends. */
+	/** Changes the fault. The end of a freeze forwards the data that it held back. */
 	set fault(fault: ProxyFault) {
 		this.current = fault;
 		if (fault.kind === 'cut') {
@@ -75,7 +75,7 @@
 		}
 	}
 
-	/** Closes the proxy and all that passes. */
+	/** Closes the proxy and all its connections. */
 	close(): void {
 		this.cutAll();
 		this.server.close();
@@ -107,7 +107,7 @@
 
 		for (const socket of [caller, target]) {
 			socket.setNoDelay(true);
-			// What is held back still passes before the end does.
+			// Forwards delayed data before the close.
 			socket.on('error', end).on('close', () => {
 				this.pass(end);
 			});
--- a/development/harness/installation.ts
+++ b/development/harness/installation.ts
@@ -1,5 +1,5 @@
 /**
- * A whole installation as real processes on loopback: platform, upstreams and entry boxes.
+ * A complete deployment of separate processes on loopback: the platform stand-in, upstreams and entry boxes.
  */
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -14,34 +14,34 @@
 const standinProgram = 'development/standins/main.js';
 const daemonProgram = 'src/command/main.js';
 
-/** A process that is in the box list. */
+/** A process of a box in the box list. */
 export type Member = {
 	readonly box: Box;
 	readonly child: Child;
-	/** TCP port for operators, of an entry box. */
+	/** TCP port for operators of an entry box; 0 for an upstream. */
 	readonly operatorsPort: number;
 };
 
-/** What an entry box is started with, besides its name. */
+/** Options for the start of an entry box. */
 export type EntryOptions = {
 	readonly dataCentre: string;
-	/** Port of the platform as this box sees it: a proxy's, say. */
+	/** TCP port through which this box reaches the platform, for example that of a proxy. */
 	readonly platformPort?: number;
-	/** Milliseconds of {@link Settings} `stopping.balancerDelay`. */
+	/** The setting `stopping.balancerDelay`, in milliseconds. */
 	readonly balancerDelay?: number;
-	/** Options for Node itself: to profile a box, say. */
+	/** Options for Node.js itself, for example to profile a box. */
 	readonly nodeOptions?: readonly string[];
-	/** Port of its peers' door as the others see it: a proxy's, say. */
+	/** Maps its TCP port for peers to the port that other boxes use, for example that of a proxy. */
 	readonly proxyPeers?: (port: number) => Promise<number>;
 };
 
-/** What an upstream is started with, besides its name. */
+/** Options for the start of an upstream. */
 export type UpstreamOptions = {
 	readonly dataCentre: string;
 	readonly pool: string;
 	readonly price?: number;
 	readonly traits?: Partial<EngineTraits>;
-	/** Port of the upstream as the boxes see it: a proxy's, say. */
+	/** Maps the TCP port of the upstream to the port that the boxes use, for example that of a proxy. */
 	readonly proxy?: (port: number) => Promise<number>;
 };
 
@@ -51,9 +51,9 @@
 	return answer.json();
 }
 
-/** A whole installation. */
+/** A complete deployment for tests. */
 export class Installation {
-	/** @returns An installation of a platform alone. */
+	/** @returns A deployment that consists of the platform only. */
 	static async create(): Promise<Installation> {
 		const platform = Child.start(standinProgram, ['platform', '0']);
 		const {port} = await platform.line(line => 'port' in line);
@@ -61,20 +61,20 @@
 	}
 
 	readonly members = new Map<string, Member>();
-	/** Ports of upstreams without the proxy before them. */
+	/** TCP ports of the upstreams themselves, without a proxy in front of them. */
 	readonly directPorts = new Map<string, number>();
 	private readonly folder = mkdtempSync(path.join(tmpdir(), 'waydrift-'));
 	private edits = 0;
 
 	private constructor(readonly platform: Child, readonly platformPort: number) {}
 
-	/** Entry boxes whose process runs. */
+	/** Entry boxes whose process is running. */
 	get entries(): readonly Member[] {
 		return [...this.members.values()].filter(({box, child}) => box.role === 'entry' && !child.isEnded);
 	}
 
 	/**
-	 * Starts an entry box and lists it.
+	 * Starts an entry box and adds it to the box list.
 	 *
 	 * @param name - Its name.
 	 * @param options - How it is started.
@@ -103,7 +103,7 @@
 	}
 
 	/**
-	 * Starts a model engine and lists it.
+	 * Starts a model engine and adds it to the box list.
 	 *
 	 * @param name - Its name.
 	 * @param options - How it is started.
@@ -114,7 +114,7 @@
 	}
 
 	/**
-	 * Starts a plain service and lists it.
+	 * Starts a plain service and adds it to the box list.
 	 *
 	 * @param name - Its name.
 	 * @param options - How it is started.
@@ -125,10 +125,10 @@
 	}
 
 	/**
-	 * Puts a table in force, as an operator would.
+	 * Writes a new version of the table to the Object API, as an operator does.
 	 *
 	 * @param table - The table.
-	 * @returns Its version.
+	 * @returns Version of the table.
 	 */
 	async applyTable(table: Table): Promise<number> {
 		const url = `http://127.0.0.1:${this.platformPort}/objects/table`;
@@ -143,7 +143,7 @@
 		return written.version;
 	}
 
-	/** Waits until every entry box is ready and sees all its peers. */
+	/** Waits until every entry box is ready and reaches all its peers. */
 	async untilReady(): Promise<void> {
 		await Promise.all(this.entries.map(async ({operatorsPort}) => until(async () => {
 			const answer = await fetch(`http://127.0.0.1:${operatorsPort}/readyz`);
@@ -152,10 +152,10 @@
 	}
 
 	/**
-	 * Has the platform take a box back.
+	 * Makes the platform reclaim a box.
 	 *
-	 * @param name - Which.
-	 * @param notice - Milliseconds of notice; then the process is ended.
+	 * @param name - Name of the box.
+	 * @param notice - Notice period in milliseconds, after which the process is killed.
 	 */
 	async reclaim(name: string, notice: number): Promise<void> {
 		const {child, box} = this.members.get(name)!;
@@ -170,7 +170,7 @@
 		}, notice);
 	}
 
-	/** Ends all that was started. */
+	/** Kills all processes and deletes their settings files. */
 	async close(): Promise<void> {
 		await Promise.all([...this.members.values()].map(async ({child}) => child.kill()));
 		await this.platform.kill();
@@ -211,9 +211,9 @@
 	}
 }
 
-/** Milliseconds between two looks at a condition. */
+/** Milliseconds between two checks of a condition. */
 const lookInterval = 25;
-/** Milliseconds after which a condition counts as never met: far above what any machine needs. */
+/** Timeout in milliseconds for a condition; generous, so that a slow machine does not fail a test. */
 const longestWait = 60_000;
 
 /**
@@ -229,7 +229,7 @@
 				return;
 			}
 		} catch {
-			// Not met yet.
+			// A condition that throws is not met yet.
 		}
 
 		await new Promise(resolve => {
@@ -237,13 +237,13 @@
 		});
 	}
 
-	throw new Error(`not met within ${longestWait} ms: ${String(isMet)}`);
+	throw new Error(`condition not met within ${longestWait} ms: ${String(isMet)}`);
 }
 
 /**
- * @param operatorsPort - Of an entry box.
+ * @param operatorsPort - TCP port for operators of an entry box.
  * @param name - Name of a metric, with its labels as printed.
- * @returns Its value; zero where it is not printed.
+ * @returns Its value; 0 if the metric is absent.
  */
 export async function readMetric(operatorsPort: number, name: string): Promise<number> {
 	const answer = await fetch(`http://127.0.0.1:${operatorsPort}/metrics`);
--- a/development/harness/keeping-calls.ts
+++ b/development/harness/keeping-calls.ts
@@ -1,10 +1,10 @@
 /**
- * Calls of the duties that go nowhere, for tests. Development only.
+ * Duty calls that are recorded instead of sent, for tests. Development only.
  */
 import * as Effect from 'effect/Effect';
 import {DutyCalls, type ReplicaOrder} from '../../src/duties/duty-calls.js';
 
-/** Keeps the orders that were given. */
+/** Records replica orders and ignores usage reports. */
 export class KeepingCalls extends DutyCalls {
 	readonly orders: ReplicaOrder[] = [];
 
--- a/development/harness/limit-fleet.ts
+++ b/development/harness/limit-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Boxes before one replica that names a limit, in virtual time: they tell each other what they hear, lose datagrams, start, end and are cut off from each
- * other, and all of them would send to that replica whenever they may. Development only.
+ * Simulates in virtual time boxes that share one replica with a rate limit. The boxes exchange the limit by gossip, lose datagrams, restart and are
+ * partitioned from each other; each sends to the replica whenever its share of the limit allows. Development only.
  */
 import {SilentEventLog} from '../../src/base/event-log.js';
 import {ExchangeTopology} from '../../src/gossip/exchange-topology.js';
@@ -19,18 +19,18 @@
 import {MovedClock} from './moved-clock.js';
 import {randomOf} from './seeded-random.js';
 
-/** What the fleet is like. */
+/** Parameters of the simulated fleet. */
 export type LimitFleetShape = {
 	readonly boxes: number;
-	/** Requests a second at a box that could go to the replica. */
+	/** Requests per second that arrive at a box for the replica's service. */
 	readonly demandOf: (box: number) => number;
-	/** What the replica names in an answer, by the time in milliseconds and how many it has given. */
+	/** The limit that a response announces, in requests per second, given the time in milliseconds and the number of responses so far. */
 	readonly limitAt: (now: number, answers: number) => number | 'unreadable' | undefined;
-	/** Whether two boxes reach each other. */
+	/** Whether a datagram from the first box reaches the second at that time; always by default. */
 	readonly reach?: (left: number, right: number, now: number) => boolean;
-	/** Milliseconds from its sending to the arrival of a request; a link may hold some up. */
+	/** Network delay of a request in milliseconds, drawn from a random number from 0 to 1; 1 ms by default. */
 	readonly wayOf?: (random: number) => number;
-	/** Milliseconds at which a box starts anew. */
+	/** Time in milliseconds at which a box restarts. */
 	readonly startsAt?: (box: number) => number | undefined;
 	readonly seed: number;
 };
@@ -47,43 +47,48 @@
 	readonly limits: ReplicaLimits;
 	readonly statements: ReplicaStatements;
 	readonly incarnation: string;
-	/** When an answer to this box first named a limit. */
+	/** Time in milliseconds at which this box first received a response that announced a limit. */
 	toldAt: number;
 	sequence: number;
 	round: number;
 	nextRoundAt: number;
 };
 
-/** What is under way. */
+/** A scheduled event. */
 type Event = {readonly at: number; readonly happen: () => void};
 
+/** Milliseconds of virtual time per simulation step. */
 const step = 20;
+/** Share of datagrams that are lost. */
 const lossShare = 0.1;
+/** One-way delay of a datagram in milliseconds. */
 const datagramWay = 5;
+/** Milliseconds from the arrival of a request at the replica to the arrival of the response at the box. */
 const answerTime = 60;
-/** Milliseconds from which on a box that was told has to keep to a limit. */
+/** Milliseconds after receiving a limit from which a box must comply with it. */
 const toldTime = 500;
-/** Milliseconds by which wall clocks differ. */
+/** Maximum difference in milliseconds between the wall clocks of two boxes. */
 const clockSpread = 400;
+/** Start of the simulation, in milliseconds since the Unix epoch. */
 const epoch = 1_764_700_000_000;
 const service = 's';
 const unusual = {
 	version: 1, isStopping: false, storeAge: 100, departed: [], quota: [], work: [], usage: [], isWhole: true,
 } as const;
 
-/** The fleet. */
+/** A simulated fleet that shares a rate-limited replica. */
 export class LimitFleet {
 	/**
-	 * @param shape - What it is like.
+	 * @param shape - Parameters of the fleet.
 	 * @returns A fleet that has just started.
 	 */
 	static create(shape: LimitFleetShape): LimitFleet {
 		return new LimitFleet(shape);
 	}
 
-	/** Milliseconds at which requests came to the replica. */
+	/** Arrival times of all requests at the replica, in milliseconds. */
 	readonly arrivals: number[] = [];
-	/** The same of those from boxes that it had told of its limit half a second before or earlier. */
+	/** Arrival times of requests from boxes that received a limit from the replica at least {@link toldTime} earlier. */
 	readonly arrivalsFromTold: number[] = [];
 	now = 10_000;
 	private readonly random: () => number;
@@ -98,7 +103,7 @@
 		this.boxes = this.addresses.map((_, index) => this.start(index));
 	}
 
-	/** @param time - Milliseconds that pass. */
+	/** @param time - Milliseconds of virtual time to advance. */
 	pass(time: number): void {
 		const end = this.now + time;
 		while (this.now < end) {
@@ -108,9 +113,9 @@
 	}
 
 	/**
-	 * @param span - Milliseconds.
-	 * @param since - Milliseconds from which on requests count.
-	 * @returns The most requests from boxes that had been told that came in any such span.
+	 * @param span - Length of the window in milliseconds.
+	 * @param since - Time in milliseconds from which requests are counted.
+	 * @returns The maximum number of {@link arrivalsFromTold} in any such window.
 	 */
 	mostWithin(span: number, since: number): number {
 		return mostWithin(this.arrivalsFromTold.filter(at => at >= since), span);
--- a/development/harness/model-metadata-store.ts
+++ b/development/harness/model-metadata-store.ts
@@ -1,33 +1,36 @@
 /**
- * A metadata store and the replicas that keep their entries in it, in virtual time, with a way to it for each box that can fail by itself. Development only.
+ * Simulates in virtual time a metadata store and the replicas that register in it. Each box has its own connection, which can fail separately. Development only.
  */
 import * as Effect from 'effect/Effect';
 import {
 	type HistoryGone, MetadataStore, StoreUnavailable, type Change, type Changes, type Listing, type RevisionConflict, type StoredObject,
 } from '../../src/follow/metadata-store.js';
 
-/** Kind of the replicas' entries. */
+/** Object kind of the replicas' entries. */
 export const modelReplicaKind = 'servers';
 const configuration: StoredObject = {name: 'main', revision: 1, spec: {}};
+/** Milliseconds until a call is answered. */
 const answerTime = 4;
+/** Milliseconds after which a call without a response fails; for a watch, in addition to its wait. */
 const answerTimeout = 900;
-/** Milliseconds between two writes of a replica, and writes without which its entry lapses. */
+/** Maximum milliseconds between two heartbeat writes of a replica. */
 export const heartbeat = 1200;
+/** Number of missed heartbeats after which an entry lapses. */
 const heartbeatsToLapse = 3;
 
-/** What becomes of calls. */
+/** How calls fail. */
 export type CallFault =
-	/** Refused at once, also where a call waits. */
+	/** Fails without waiting for the timeout; a waiting watch fails at once. */
 	| 'refused'
-	/** Never answered. */
+	/** Gets no response and fails after the timeout. */
 	| 'silent';
 
 type Happened = Change & {readonly at: number};
 
-/** A replica as it is, whatever the store holds. */
+/** The actual state of a replica, which may differ from its entry in the store. */
 export type ModelReplica = {
 	readonly id: string;
-	/** Milliseconds at which the store took that it leaves. */
+	/** Time in milliseconds at which the store accepted the replica's departure; `undefined` before that. */
 	leftAt: number | undefined;
 	isAlive: boolean;
 	state: 'ready' | 'draining';
@@ -37,11 +40,11 @@
 
 type Waiting = {readonly wake: () => void; readonly refuse: () => void};
 
-/** The store. */
+/** A simulated metadata store. */
 export class ModelStore {
 	/**
 	 * @param now - Virtual time in milliseconds.
-	 * @param random - For the moments of heartbeats.
+	 * @param random - Random numbers from 0 to 1, for the times of heartbeats.
 	 * @returns A store without entries.
 	 */
 	static create(now: () => number, random: () => number): ModelStore {
@@ -49,10 +52,10 @@
 	}
 
 	readonly replicas: ModelReplica[] = [];
-	/** Present while nobody reaches it, replicas neither. */
+	/** How calls fail during an outage, in which neither boxes nor replicas reach the store; `undefined` otherwise. */
 	outage: CallFault | undefined;
 	revision = 1;
-	/** Calls that were answered. */
+	/** Number of calls that were answered. */
 	answers = 0;
 	readonly entries = new Map<string, StoredObject>();
 	history: readonly Happened[] = [];
@@ -70,10 +73,10 @@
 	}
 
 	/**
-	 * Lets a replica leave.
+	 * Makes a replica depart.
 	 *
 	 * @param replica - The replica.
-	 * @param how - Whether its entry says so before it goes.
+	 * @param how - `draining` marks its entry as draining and leaves the replica running; `removed` stops it and removes its entry.
 	 */
 	leave(replica: ModelReplica, how: 'draining' | 'removed'): void {
 		replica.leftAt = this.now();
@@ -86,7 +89,7 @@
 		}
 	}
 
-	/** @param fault - What becomes of all calls from now on, those that wait too. */
+	/** @param fault - How all calls fail from now on, including waiting watches. */
 	goAway(fault: CallFault): void {
 		this.outage = fault;
 		const waiting = this.takeWaiting();
@@ -97,7 +100,7 @@
 		}
 	}
 
-	/** Replicas write as they are due, and entries that were not written for long lapse, also while the store is away. */
+	/** Writes the heartbeats that are due and removes entries whose heartbeats are missing, even during an outage. */
 	pass(): void {
 		const now = this.now();
 		for (const replica of this.replicas) {
@@ -112,20 +115,20 @@
 		}
 	}
 
-	/** @param waiting - A watch that waits. */
+	/** @param waiting - A watch to wake at the next change. */
 	join(waiting: Waiting): void {
 		this.waiting = [...this.waiting, waiting];
 	}
 
 	/**
 	 * @param waiting - A watch.
-	 * @returns Whether it still waits; it is never answered where it does not.
+	 * @returns Whether it still waits; a watch that no longer waits gets no response.
 	 */
 	holds(waiting: Waiting): boolean {
 		return this.waiting.includes(waiting);
 	}
 
-	/** @param waiting - A watch that waits no longer. */
+	/** @param waiting - A watch to remove. */
 	withdraw(waiting: Waiting): void {
 		this.waiting = this.waiting.filter(other => other !== waiting);
 	}
@@ -170,18 +173,18 @@
 	}
 }
 
-/** One box's way to the store. */
+/** One box's connection to the simulated store. */
 export class ModelStoreDoor extends MetadataStore {
 	/**
 	 * @param store - The store.
-	 * @returns A way that works.
+	 * @returns A connection without faults.
 	 */
 	static create(store: ModelStore): ModelStoreDoor {
 		return new ModelStoreDoor(store);
 	}
 
 	override readonly era = 0;
-	/** What becomes of its next call, or of the one that waits. */
+	/** How the next call fails; `undefined` if it succeeds. */
 	private next: CallFault | undefined;
 	private waiting: Waiting | undefined;
 
@@ -189,7 +192,7 @@
 		super();
 	}
 
-	/** @param fault - What becomes of the watch of replicas that waits; of the next call where none does. */
+	/** @param fault - How the waiting watch of replicas fails, or the next call if no watch waits. */
 	loseAnswer(fault: CallFault): void {
 		if (!this.waiting) {
 			this.next = fault;
--- a/development/harness/most-within.ts
+++ b/development/harness/most-within.ts
@@ -1,11 +1,11 @@
 /**
- * Counts what comes in a span of time, wherever the span begins. Development only.
+ * Finds the maximum number of events in a sliding window. Development only.
  */
 
 /**
- * @param times - When each came, in milliseconds.
- * @param span - Milliseconds.
- * @returns The most that came in any such span.
+ * @param times - Time of each event, in milliseconds.
+ * @param span - Length of the window in milliseconds.
+ * @returns The maximum number of events in any window of that length.
  */
 export function mostWithin(times: readonly number[], span: number): number {
 	return Math.max(0, ...times.map(from => times.filter(at => at >= from && at < from + span).length));
--- a/development/harness/moved-clock.ts
+++ b/development/harness/moved-clock.ts
@@ -1,16 +1,16 @@
 /**
- * A clock that stands still until a test moves it.
+ * A clock that advances only when a test sets it.
  */
 import {Clock} from '../../src/base/clock.js';
 
-/** The clock. */
+/** A clock whose time a test sets. */
 export class MovedClock extends Clock {
-	/** What the wall clock shows more than the monotonic one, in milliseconds. */
+	/** Offset of the wall clock from the monotonic clock, in milliseconds. */
 	shift = 0;
 
 	private wokenAt = Number.NEGATIVE_INFINITY;
 
-	/** @param now - Monotonic milliseconds to begin with. */
+	/** @param now - Initial monotonic time in milliseconds. */
 	constructor(public now = 0) {
 		super();
 	}
@@ -27,7 +27,7 @@
 		return this.wokenAt;
 	}
 
-	/** @param time - Milliseconds for which the machine is suspended: the wall clock alone counts them. */
+	/** @param time - Milliseconds for which the machine is suspended; only the wall clock advances meanwhile. */
 	suspend(time: number): void {
 		this.shift += time;
 		this.now++;
--- a/development/harness/one-object-store.ts
+++ b/development/harness/one-object-store.ts
@@ -1,17 +1,17 @@
 /**
- * A store in memory that holds one object, for tests of what stands in it. Development only.
+ * An in-memory metadata store that holds one object, for tests that inspect the object. Development only.
  */
 import * as Effect from 'effect/Effect';
 import {
 	MetadataStore, type Changes, type Listing, type StoredObject,
 } from '../../src/follow/metadata-store.js';
 
-/** The store. */
+/** A store of one object of any kind and name. */
 export class OneObjectStore extends MetadataStore {
 	override readonly era = 0;
 	private object: StoredObject | undefined;
 
-	/** @param afterWrite - Called when the object has been written, before that is answered. */
+	/** @param afterWrite - Called after the object is written, before the caller gets the result. */
 	constructor(private readonly afterWrite: () => void = () => undefined) {
 		super();
 	}
--- a/development/harness/reset-connection.ts
+++ b/development/harness/reset-connection.ts
@@ -1,10 +1,11 @@
 /**
- * Resets connections without leaving them behind. Development only.
+ * Resets TCP connections without leaking their handles. Development only.
  */
 import type {Socket} from 'node:net';
 
 /**
- * Node keeps the handle of a connection for good that is reset while it is being ended, and spins on it when the process ends: such a one is closed.
+ * Resets a connection, or destroys it if it is already ending. Node.js never releases the handle of a connection that is reset while it ends, and
+ * busy-loops on that handle when the process exits.
  *
  * @param socket - The connection.
  */
--- a/development/harness/scripted-server.ts
+++ b/development/harness/scripted-server.ts
@@ -1,5 +1,5 @@
 /**
- * A server that answers every request with bytes as they are written down, and ends their connections as it is told. Development only.
+ * A TCP server that answers every request with scripted bytes and then closes or resets the connection as scripted. Development only.
  */
 import {once} from 'node:events';
 import {
@@ -8,20 +8,20 @@
 import {setTimeout as pause} from 'node:timers/promises';
 import {resetConnection} from './reset-connection.js';
 
-/** Milliseconds for what was written to arrive by itself, so that a reset does not take it back. */
+/** Milliseconds between two pieces, so that each arrives separately, and before a late reset, so that the client reads the data first. */
 const arrivalTime = 20;
 
-/** What a request is answered with. */
+/** The scripted response to a request. */
 export type AnswerScript = {
-	/** The answer's head and body; each piece arrives by itself. */
+	/** Head and body of the response; each piece is written separately. */
 	readonly pieces: ReadonlyArray<string | Uint8Array>;
-	/** How the connection ends: by a close, by a reset in the same moment as the last piece, by one after it, or not at all. */
+	/** How the connection ends: closed, reset together with the last piece, reset after the last piece arrived, or left open. */
 	readonly ending: 'close' | 'reset' | 'late-reset' | 'open';
 };
 
-/** Answers by script. */
+/** A server that sends scripted responses. */
 export class ScriptedServer {
-	/** @returns A server that listens on loopback and answers nothing until it has a script. */
+	/** @returns A server that listens on loopback and sends no response until {@link script} is set. */
 	static async create(): Promise<ScriptedServer> {
 		const scripted = new ScriptedServer();
 		scripted.server.listen(0, '127.0.0.1');
@@ -29,7 +29,7 @@
 		return scripted;
 	}
 
-	/** What the next requests are answered with. */
+	/** The response to the following requests. */
 	script: AnswerScript = {pieces: [], ending: 'open'};
 	private readonly server: Server;
 	private readonly sockets = new Set<Socket>();
@@ -40,12 +40,12 @@
 		});
 	}
 
-	/** TCP port it listens on. */
+	/** TCP port that the server listens on. */
 	get port(): number {
 		return (this.server.address() as AddressInfo).port;
 	}
 
-	/** Ends all connections, and listens no more. */
+	/** Stops listening and closes all connections. */
 	close(): void {
 		this.server.close();
 		for (const socket of this.sockets) {
--- a/development/harness/seeded-random.ts
+++ b/development/harness/seeded-random.ts
@@ -1,17 +1,17 @@
 /**
- * Random numbers that follow from a seed, for what must be played again.
+ * A seeded pseudo-random number generator, for reproducible runs.
  *
  * @remarks Source: Mulberry32, a generator of 32 bits of state.
  */
 
 /**
- * @param seed - Draws everything.
- * @returns Numbers from 0 to 1, the same for each seed.
+ * @param seed - Seed of the sequence.
+ * @returns A generator of numbers from 0 (inclusive) to 1 (exclusive); the sequence depends only on the seed.
  */
 export function randomOf(seed: number): () => number {
 	let state = seed;
 	return () => {
-		/* eslint-disable no-bitwise -- a generator works on bits */
+		/* eslint-disable no-bitwise -- the algorithm consists of bit operations */
 		state = (state + 0x6D_2B_79_F5) >>> 0;
 		let mixed = Math.imul(state ^ (state >>> 15), 1 | state);
 		mixed ^= mixed + Math.imul(mixed ^ (mixed >>> 7), 61 | mixed);
--- a/development/harness/small-installation.ts
+++ b/development/harness/small-installation.ts
@@ -1,5 +1,5 @@
 /**
- * The installation that most tests need: some entry boxes, engines and plain services over data centres.
+ * The deployment that most tests use: entry boxes, model engines and plain services spread over data centres.
  */
 import type {Table} from '../../src/table/table.js';
 import {hashKey} from '../../src/door/authentication.js';
@@ -7,7 +7,7 @@
 import {Caller} from './caller.js';
 import {Installation, type Member} from './installation.js';
 
-/** How many of each, over data centres `dc-1`, `dc-2` and so on in turn. */
+/** Number of processes of each type, assigned round-robin to the data centres `dc-1`, `dc-2` and so on. */
 export type Shape = {
 	readonly entries: number;
 	readonly engines: number;
@@ -16,7 +16,7 @@
 	readonly traits?: Partial<EngineTraits>;
 };
 
-/** API keys of the two accounts of {@link testTable}. */
+/** API keys of the two client accounts of {@link testTable}. */
 export const testKeys = {alpha: 'key-of-alpha', beta: 'key-of-beta'} as const;
 
 const models = {
@@ -26,7 +26,7 @@
 	service: 'orders', share: 1, ceiling: 10_000, priority: 1,
 } as const;
 
-/** @returns Two accounts with the same rows: chats, calls that may be repeated, and releases that may not. */
+/** @returns A table of two client accounts with the same rows: repeatable and non-repeatable kinds of a model and of a plain service. */
 export function testTable(): Table {
 	const accounts = ['alpha', 'beta'] as const;
 	return {
@@ -57,10 +57,10 @@
 }
 
 /**
- * Starts an installation and waits until it is ready.
+ * Starts a deployment and waits until it is ready.
  *
- * @param shape - How many of each.
- * @returns The installation; close it when done.
+ * @param shape - Number of processes of each type.
+ * @returns The deployment; the test has to close it.
  */
 export async function startInstallation(shape: Shape): Promise<Installation> {
 	const installation = await Installation.create();
@@ -79,9 +79,9 @@
 }
 
 /**
- * @param installation - A running one.
- * @param account - Who calls.
- * @returns A caller that goes to all entry boxes whose process runs, in turn.
+ * @param installation - A running deployment.
+ * @param account - Client account that the requests belong to.
+ * @returns A client that sends to all running entry boxes in turn.
  */
 export function callerOf(installation: Installation, account: keyof typeof testKeys = 'alpha'): Caller {
 	return Caller.create(testKeys[account], () => installation.entries.map(({box}) => box.port));
@@ -89,8 +89,8 @@
 
 /**
  * @param members - Entry boxes.
- * @param account - Who calls.
- * @returns A caller that goes to these boxes alone.
+ * @param account - Client account that the requests belong to.
+ * @returns A client that sends to these boxes only, in turn.
  */
 export function callerAt(members: readonly Member[], account: keyof typeof testKeys = 'alpha'): Caller {
 	return Caller.create(testKeys[account], () => members.map(({box}) => box.port));
--- a/development/harness/test/reset-connection.test.ts
+++ b/development/harness/test/reset-connection.test.ts
@@ -1,6 +1,6 @@
 /*
- * The process of a soak's test did not end for nine minutes, at three quarters of a core, though all its tests had passed: it stood in Node's clean-up of handles
- * (`uv_run` below `CleanupHandles`) and held one TCP socket that was no longer connected. A stand-in had reset a connection in the moment in which it was being ended.
+ * Guards against a test process that does not exit. A stand-in reset a TCP connection while the connection was ending. After all tests had passed, Node.js
+ * looped for nine minutes, at 75 % of a core, in its clean-up of handles (`uv_run` below `CleanupHandles`) on that socket, which was no longer connected.
  */
 import assert from 'node:assert/strict';
 import {spawn} from 'node:child_process';
@@ -10,7 +10,7 @@
 import {fileURLToPath} from 'node:url';
 
 const helper = fileURLToPath(new URL('../reset-connection.js', import.meta.url));
-/** Ends a connection and resets it at once. */
+/** A program that ends a connection and resets it at once. */
 const program = `
 import {connect, createServer} from 'node:net';
 import {resetConnection} from ${JSON.stringify(helper)};
@@ -24,10 +24,10 @@
 	client.on('error', () => undefined).resume().on('close', () => server.close());
 });
 `;
-/** Milliseconds after which a process that does not end by itself is ended. */
+/** Milliseconds after which a process that has not exited is killed. */
 const patience = 20_000;
 
-test('a process that resets a connection which is being ended ends by itself', async () => {
+test('a process exits by itself after it resets a connection that is ending', async () => {
 	const child = spawn(process.execPath, ['--input-type=module', '-e', program], {stdio: 'ignore'});
 	const timer = setTimeout(() => child.kill('SIGKILL'), patience);
 	const exit: readonly unknown[] = await once(child, 'exit');
