--- a/development/relay/relay-installation.ts
+++ b/development/relay/relay-installation.ts
@@ -1,5 +1,5 @@
 /**
- * A whole small deployment in one process: store, replicas and relays, on loopback. Development only.
+ * A complete small deployment in one process on loopback: metadata store, replicas and relays. Development only.
  */
 import {request, type Agent, type IncomingHttpHeaders} from 'node:http';
 import {createServer} from 'node:net';
@@ -17,10 +17,10 @@
 import {ReplicaStandin} from './replica-standin.js';
 import {StoreStandin} from './store-standin.js';
 
-/** A line that a relay logged. */
+/** An event that a relay logged. */
 export type LoggedEvent = EventFields & {readonly eventName: EventName};
 
-/** Keeps what is logged. */
+/** An event log that keeps all events in memory. */
 export class KeepingLog extends EventLog {
 	readonly lines: LoggedEvent[] = [];
 
@@ -29,7 +29,7 @@
 	}
 }
 
-/** A relay of the installation. */
+/** A relay of the deployment. */
 export type RelayMember = {
 	readonly name: string;
 	readonly node: RelayNode;
@@ -37,11 +37,11 @@
 	readonly readyPort: number;
 	readonly log: KeepingLog;
 	readonly metrics: RelayMetrics;
-	/** Ends it at once, as a kill does. */
+	/** Stops the relay at once, without draining, as a killed process does. */
 	readonly end: () => Promise<void>;
 };
 
-/** An answer that a client got; status zero where the connection ended without a whole one. */
+/** A response as its client received it; the status is 0 if the connection failed before the response began. */
 export type ClientView = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
@@ -49,7 +49,7 @@
 	readonly isWhole: boolean;
 };
 
-/** A client's request. */
+/** A request of a client. */
 export type ClientCall = {
 	readonly path: string;
 	readonly method?: string;
@@ -60,10 +60,10 @@
 	readonly signal?: AbortSignal;
 };
 
-/** A route as the platform spells it. */
+/** A route in the platform's wire format. */
 export type WireRoute = Readonly<Record<string, unknown>>;
 
-/** Milliseconds that a usual route allows. */
+/** Timeout of the default routes, in milliseconds. */
 export const routeTimeout = 2000;
 export const testHost = 'front.example';
 export const testKey = 'key-of-basin';
@@ -74,7 +74,7 @@
 
 /**
  * @param path - Path prefix.
- * @param changes - What is otherwise than usual.
+ * @param changes - Fields that differ from the default route.
  * @returns A route to the service `plain`.
  */
 export const routeTo = (path: string, changes: WireRoute = {}): WireRoute => ({
@@ -89,7 +89,7 @@
 	routeTo('/long/', {kind: 'streaming', max_attempts: 1, timeout_ms: 60_000}),
 ];
 
-/** What an installation is made of. */
+/** Parameters of a deployment. */
 export type InstallationPlan = {
 	readonly relays: number;
 	/** Ids of replicas of the service `plain`. */
@@ -99,18 +99,18 @@
 	readonly services?: ReadonlyArray<Readonly<Record<string, unknown>>>;
 	readonly bounds?: Partial<RelayBounds>;
 	readonly withDuties?: boolean;
-	/** Fingerprints of requests that run whatever they did to replicas. */
+	/** Fingerprints of requests that are exempt from quarantine, even if they crashed replicas. */
 	readonly released?: readonly string[];
 };
 
-/** Milliseconds from a body that ends a replica to its end; until its entry lapses; and until it is back. */
+/** Milliseconds from a request that crashes a replica to the crash; from the crash until the entry lapses; and from the crash until the restart. */
 const crashDelay = 60;
 const lapseDelay = 600;
 const restartDelay = 2000;
 
 /**
- * Below the ports that Linux gives to outgoing connections, from 32,768 on: one of them could hold the port of a box that starts again. Each
- * process draws from a block of its own, in turn, since a port of a box that is down seems free to others.
+ * Ports are below the range that Linux assigns to outgoing connections, which starts at 32,768: such a connection could occupy the port of a box
+ * that restarts. Each process uses its own block of ports in turn, because the port of a stopped box looks free to other processes.
  */
 const firstPort = 15_000;
 const portsInBlock = 500;
@@ -119,11 +119,11 @@
 let portsGiven = 0;
 let attempts = 0;
 
-/** The installation. */
+/** A deployment of relays and replicas for tests. */
 export class RelayInstallation {
 	/**
-	 * @param plan - What it is made of.
-	 * @returns The installation; every relay is ready.
+	 * @param plan - Parameters of the deployment.
+	 * @returns The deployment, with all relays ready.
 	 */
 	static async start(plan: InstallationPlan): Promise<RelayInstallation> {
 		const installation = new RelayInstallation(plan, await StoreStandin.start());
@@ -134,14 +134,14 @@
 	}
 
 	readonly replicas = new Map<string, ReplicaStandin>();
-	/** Every start of every replica there ever was. */
+	/** All replica processes so far; a restarted replica adds a new one. */
 	readonly everyReplica: ReplicaStandin[] = [];
-	/** What each replica last wrote of itself, whatever the store holds. */
+	/** The last entry that each replica wrote, which may differ from the store's after a fault. */
 	readonly entries = new Map<string, unknown>();
 	readonly relays: RelayMember[] = [];
 	private prepare: ((replica: ReplicaStandin) => void) | undefined;
 	private version = 0;
-	/** When each replica was started, in milliseconds since the epoch. */
+	/** Start time of each replica, in milliseconds since the Unix epoch. */
 	private readonly born = new Map<string, number>();
 	private crashMark: string | undefined;
 	private onEnd: ((id: string) => void) | undefined;
@@ -151,10 +151,10 @@
 	private constructor(private readonly plan: InstallationPlan, readonly store: StoreStandin) {}
 
 	/**
-	 * Puts a configuration in force.
+	 * Writes a new configuration to the store.
 	 *
-	 * @param changes - What is otherwise than planned.
-	 * @returns Its version.
+	 * @param changes - Top-level fields that differ from the plan.
+	 * @returns Version of the configuration.
 	 */
 	configure(changes: Readonly<Record<string, unknown>> = {}): number {
 		this.version += 3;
@@ -173,8 +173,8 @@
 
 	/**
 	 * @param id - Id of a new replica of the service `plain`.
-	 * @param entry - What its entry says otherwise than usual.
-	 * @returns The replica, listed.
+	 * @param entry - Fields of its entry that differ from the default.
+	 * @returns The replica, with its entry in the store.
 	 */
 	async addReplica(id: string, entry: Readonly<Record<string, unknown>> = {}): Promise<ReplicaStandin> {
 		const replica = await ReplicaStandin.start(id);
@@ -188,10 +188,10 @@
 	}
 
 	/**
-	 * Writes a replica's entry.
+	 * Writes a replica's entry to the store.
 	 *
 	 * @param id - Id of the replica.
-	 * @param entry - What it says otherwise than usual.
+	 * @param entry - Fields that differ from the default.
 	 */
 	list(id: string, entry: Readonly<Record<string, unknown>> = {}): void {
 		this.entries.set(id, {
@@ -200,7 +200,7 @@
 		this.store.put(replicaKind, id, this.entries.get(id));
 	}
 
-	/** @param prepare - Called for each replica of now and later. */
+	/** @param prepare - Called for each existing and each future replica. */
 	prepareReplicas(prepare: (replica: ReplicaStandin) => void): void {
 		this.prepare = prepare;
 		for (const replica of this.replicas.values()) {
@@ -209,11 +209,11 @@
 	}
 
 	/**
-	 * Lets the replicas of now and later end under a body, lose their entries as after three heartbeats, and start again under
-	 * their ids.
+	 * Makes all existing and future replicas crash when they receive a request body with a mark. After a crash, the entry lapses as it
+	 * does after three missed heartbeats, and the replica restarts under the same id.
 	 *
-	 * @param mark - What such a body holds.
-	 * @param onEnd - Called at each end with the id of the replica.
+	 * @param mark - Text that such a body contains.
+	 * @param onEnd - Called at each crash with the id of the replica.
 	 */
 	crashOn(mark: string, onEnd: (id: string) => void): void {
 		this.crashMark = mark;
@@ -223,7 +223,7 @@
 		}
 	}
 
-	/** @param id - Id of a replica that is listed no longer. */
+	/** @param id - Id of a replica whose entry is removed from the store. */
 	unlist(id: string): void {
 		this.entries.delete(id);
 		this.store.remove(replicaKind, id);
@@ -231,7 +231,7 @@
 
 	/**
 	 * @param name - Name of a new relay.
-	 * @returns The relay, ready.
+	 * @returns The relay, after it has become ready.
 	 */
 	async addRelay(name: string): Promise<RelayMember> {
 		const member = await this.startRelay(name);
@@ -242,7 +242,7 @@
 
 	/**
 	 * @param name - Name of a new relay.
-	 * @returns The relay, listening.
+	 * @returns The relay, which listens but may not be ready yet.
 	 */
 	async startRelay(name: string): Promise<RelayMember> {
 		const [front, ready, control, metricsPort] = await Promise.all(Array.from({length: 4}, async () => freePort()));
@@ -287,8 +287,8 @@
 	 * Sends a request to a relay.
 	 *
 	 * @param call - The request.
-	 * @param relay - Which relay; the first by default.
-	 * @returns What the client saw.
+	 * @param relay - The relay to send to; the first by default.
+	 * @returns The response as the client received it.
 	 */
 	async call(call: ClientCall, relay: {readonly port: number} = this.relays[0]!): Promise<ClientView> {
 		attempts++;
@@ -300,7 +300,7 @@
 		});
 	}
 
-	/** Ends everything. */
+	/** Stops all relays, replicas and the store. */
 	async close(): Promise<void> {
 		this.isClosing = true;
 		await Promise.all(this.relays.map(async ({end}) => end()));
@@ -310,7 +310,7 @@
 	}
 
 	/**
-	 * Ends a replica for a reason of its own; its entry lapses and it starts again as after a body that ends it.
+	 * Crashes a replica independently of any request. Its entry lapses and it restarts as after a crash that a request caused.
 	 *
 	 * @param id - Id of the replica.
 	 */
@@ -344,23 +344,23 @@
 }
 
 /**
- * Waits until something holds.
+ * Waits until a condition is met.
  *
- * @param holds - Asked again and again.
- * @param patience - Milliseconds after which to give up.
+ * @param holds - The condition, checked every 10 ms.
+ * @param patience - Timeout in milliseconds.
  */
 export async function until(holds: () => boolean, patience = 15_000): Promise<void> {
 	const end = performance.now() + patience;
 	while (!holds()) {
 		if (performance.now() > end) {
-			throw new Error(`did not hold within ${patience} ms: ${holds.toString()}`);
+			throw new Error(`condition not met within ${patience} ms: ${holds.toString()}`);
 		}
 
 		await pause(10);
 	}
 }
 
-/** @returns A TCP port of loopback that nobody listens on, and that no connection takes by itself; another one each time. */
+/** @returns A TCP port on loopback that is free and outside the range of outgoing connections; a different port at each call. */
 export async function freePort(): Promise<number> {
 	const port = firstPort + ((process.pid % blocks) * portsInBlock) + (portsGiven % portsInBlock);
 	portsGiven++;
--- a/development/relay/relay-settings-text.ts
+++ b/development/relay/relay-settings-text.ts
@@ -1,24 +1,24 @@
 /**
- * The settings file of a relay that runs as a process, on loopback. Development only.
+ * Creates the settings file of a relay that runs as a separate process on loopback. Development only.
  */
 import {freePort} from './relay-installation.js';
 
-/** Where a relay listens. */
+/** TCP ports that a relay listens on. */
 export type RelayPorts = {readonly front: number; readonly ready: number; readonly control: number; readonly metrics: number};
 
-/** What the settings of relays differ in. */
+/** Settings that differ between relays. */
 export type RelaySettingsPlan = {
 	readonly name: string;
 	readonly ports: RelayPorts;
 	readonly storePort: number;
-	/** Seconds that a stop may take. */
+	/** Maximum duration of a graceful stop in seconds. */
 	readonly grace: number;
-	/** Addresses of the exchange of other relays. */
+	/** Gossip addresses of other relays. */
 	readonly seeds?: readonly string[];
 	readonly isFirstStart?: boolean;
 };
 
-/** @returns Ports of loopback that nobody listens on. */
+/** @returns Free TCP ports on loopback. */
 export async function freeRelayPorts(): Promise<RelayPorts> {
 	const [front, ready, control, metrics] = await Promise.all(Array.from({length: 4}, async () => freePort()));
 	return {
@@ -27,8 +27,8 @@
 }
 
 /**
- * @param plan - What the settings say.
- * @returns The file.
+ * @param plan - The settings.
+ * @returns Content of the settings file, in YAML.
  */
 export function relaySettingsText({name, ports, storePort, grace, seeds = [], isFirstStart = true}: RelaySettingsPlan): string {
 	const at = (port: number) => `"127.0.0.1:${port}"`;
--- a/development/relay/replica-standin.ts
+++ b/development/relay/replica-standin.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in for a replica of a service on the platform, with faults. Development only.
+ * A stand-in for a replica of a service on the platform, with fault injection. Development only.
  */
 import type {Server} from 'node:http';
 import type {AddressInfo, Socket} from 'node:net';
@@ -9,40 +9,40 @@
 import {startStandin, type StandinRequest} from '../standins/standin-server.js';
 import {StreamWriter, wholeStream, type StreamConduct} from './stream-writer.js';
 
-/** What a replica does with the next requests. */
+/** How a replica responds to the following requests. */
 export type ReplicaConduct = {
-	/** Milliseconds before an answer or before the first event. */
+	/** Milliseconds before a response or before the first event of a stream. */
 	readonly delay: number;
-	/** Events of a stream; zero makes a whole answer. */
+	/** Number of events of a stream; 0 gives a plain response. */
 	readonly events: number;
 	/** Milliseconds between events. */
 	readonly gap: number;
 	/** How a stream is written. */
 	readonly stream: StreamConduct;
-	/** How the answer goes wrong. */
+	/** Fault of the response. */
 	readonly fault:
 		'none' | 'reset' | 'refuse' | 'error' | 'cut' | 'mute' | 'wrong-id' | 'extra' | 'unframed' | 'unframed-reset' | 'unframed-crash' | 'encoded' | 'cut-stream' | 'mute-stream' | 'elsewhere';
 };
 
-/** A replica turns requests away and asks for a time without any. */
+/** Load shedding: a replica refuses requests and asks for a pause with `Retry-After`. */
 export type Shedding = {
-	/** Of so many requests the last is turned away. */
+	/** Refuses every nth request. */
 	readonly every: number;
-	/** What the answer says of the time. */
+	/** Value of `Retry-After`, in seconds. */
 	readonly retryAfter: string;
 };
 
-/** A fault of a replica that a request brings about: its process ends. */
+/** A crash of a replica that a request causes. */
 export type CrashMark = {
-	/** What a body holds under which the replica ends. */
+	/** Text in a request body that makes the replica crash. */
 	readonly mark: string;
-	/** Milliseconds from the request to the end. */
+	/** Milliseconds from the request to the crash. */
 	readonly delay: number;
-	/** Called when it has ended. */
+	/** Called at the crash, before the connections are closed. */
 	readonly onEnd: () => void;
 };
 
-/** A request that a replica has run or refused. */
+/** A request that a replica received, whether it ran or was refused. */
 export type SeenRequest = {
 	readonly id: string;
 	readonly method: string;
@@ -50,21 +50,21 @@
 	readonly body: string;
 	readonly headers: Readonly<Record<string, string | readonly string[] | undefined>>;
 	readonly hasRun: boolean;
-	/** Monotonic milliseconds at which it came. */
+	/** Time of arrival, in monotonic milliseconds. */
 	readonly at: number;
-	/** Milliseconds without requests that its answer asked for; `undefined` where it was not turned away so. */
+	/** Pause in milliseconds that the response asked for; `undefined` if the request was not shed. */
 	readonly pauseAsked: number | undefined;
-	/** Whether its answer said that the replica leaves. */
+	/** Whether the response announced that the replica is leaving. */
 	readonly saidLeaving: boolean;
 	isAbandoned: boolean;
-	/** Whether it is a stream that was written to its end, as it should be, and read. */
+	/** Whether the response is a correct stream that was sent completely. */
 	isRightStream: boolean;
 };
 
 const millisecondsPerSecond = 1000;
-/** Bytes of an event that come before a cut inside it. */
+/** Number of bytes of an event that are sent before a cut inside it. */
 const partOfEvent = 14;
-/** Faults of a stream itself; with another one a request for a stream is answered as one for a whole answer. */
+/** Faults that apply to streams; with any other fault, a request for a stream gets a plain response with that fault. */
 const streamFaults: ReadonlySet<ReplicaConduct['fault']> = new Set(['none', 'cut-stream', 'mute-stream']);
 const calm: ReplicaConduct = {
 	delay: 5, events: 0, gap: 5, stream: wholeStream, fault: 'none',
@@ -73,26 +73,26 @@
 /**
  * @param replica - Id of a replica.
  * @param request - Id of a request that it ran.
- * @returns What an answer names as its maker where replicas name requests too.
+ * @returns The text by which a response identifies its producer if responses also name their request.
  */
 export const makerOf = (replica: string, request: string): string => `${replica} for ${request}`;
 
 /**
- * @param maker - Who made it.
- * @returns Body of a whole answer.
+ * @param maker - Text that identifies the producer of the response.
+ * @returns Body of a plain response.
  */
 export const wholeAnswerOf = (maker: string): string => `answer of ${maker}`;
 
 /**
  * @param replica - Id of a replica.
- * @returns The signature on its answers.
+ * @returns Value of `Server-Stamp` in its responses.
  */
 export const stampOf = (replica: string): string => `stamp-${replica}`;
 
-/** The stand-in. */
+/** The stand-in for a replica. */
 export class ReplicaStandin {
 	/**
-	 * @param id - Its id.
+	 * @param id - Id of the replica.
 	 * @returns The replica, listening on loopback.
 	 */
 	static async start(id: string): Promise<ReplicaStandin> {
@@ -104,24 +104,24 @@
 		return replica;
 	}
 
-	/** Requests in the order in which they came. */
+	/** Received requests in order of arrival. */
 	readonly seen: SeenRequest[] = [];
-	/** Connections that were opened to it. */
+	/** Number of connections opened to the replica so far. */
 	connections = 0;
 	conduct: ReplicaConduct = calm;
-	/** What its answers name as the requests a second that it takes of all boxes, as text, whatever else goes wrong; `undefined` where they name none. */
+	/** Value of `Server-Limit`: requests per second that it accepts from all boxes together, also sent with faults; `undefined` omits the header. */
 	limit: string | undefined;
-	/** Whether its answers say that it leaves. */
+	/** Whether responses announce that the replica is leaving. */
 	isLeaving = false;
-	/** How it turns requests away; `undefined` where it does not. */
+	/** How the replica sheds load; `undefined` if it does not. */
 	shedding: Shedding | undefined;
-	/** Under which body it ends; `undefined` where none ends it. */
+	/** Which request body crashes the replica; `undefined` if none does. */
 	crashMark: CrashMark | undefined;
-	/** How the stream is written that answers a body; `undefined` where the conduct tells it. */
+	/** Changes, by request body, how a stream is written; `undefined` if the conduct alone decides. */
 	scriptOf: ((body: string) => Partial<StreamConduct>) | undefined;
-	/** Events of an answer to a path under `/stream/`; zero leaves that to the conduct. */
+	/** Number of events of a response to a path under `/stream/`; if 0, the conduct decides. */
 	streamEvents = 0;
-	/** Whether answers name the request too, so that those of two requests differ. */
+	/** Whether responses also name their request, so that responses to different requests differ. */
 	namesRequests = false;
 	private server!: Server;
 	private readonly unframed = new Set<Socket>();
@@ -133,24 +133,24 @@
 		return (this.server.address() as AddressInfo).port;
 	}
 
-	/** Whether it takes connections. */
+	/** Whether the replica accepts connections. */
 	get isUp(): boolean {
 		return this.server.listening;
 	}
 
-	/** Requests that it has run. */
+	/** Requests that the replica has run. */
 	get runs(): readonly SeenRequest[] {
 		return this.seen.filter(({hasRun}) => hasRun);
 	}
 
 	/**
-	 * @param changes - What it does otherwise from now on.
+	 * @param changes - Fields that differ from the default conduct.
 	 */
 	behave(changes: Partial<ReplicaConduct>): void {
 		this.conduct = {...calm, ...changes};
 	}
 
-	/** @returns Connections that are open to it. */
+	/** @returns Number of open connections to the replica. */
 	async openConnections(): Promise<number> {
 		return new Promise(resolve => {
 			this.server.getConnections((_, count) => {
@@ -159,7 +159,7 @@
 		});
 	}
 
-	/** Closes all connections and stops. Answers without a length end by a reset: nobody could tell their end from the whole. */
+	/** Stops and closes all connections. Responses without a length end by a reset, because a close would mark them as complete. */
 	async close(): Promise<void> {
 		for (const socket of this.unframed) {
 			resetConnection(socket);
@@ -202,7 +202,7 @@
 		const {crashMark} = this;
 		if (crashMark && request.body.includes(crashMark.mark)) {
 			await pause(crashMark.delay);
-			// Several such requests at once end it once.
+			// Several such requests at once crash the replica only once.
 			if (this.server.listening) {
 				crashMark.onEnd();
 				await this.close();
@@ -278,7 +278,7 @@
 
 				socket.write(`HTTP/1.1 200 OK\r\nAttempt-Id: ${own['Attempt-Id']}\r\nServer-Stamp: ${own['Server-Stamp']}\r\n\r\n${body.slice(0, 4)}`, () => {
 					if (fault === 'unframed-crash') {
-						// At once, so that the reader finds bytes and reset together.
+						// Resets at once, so that the data and the reset arrive together.
 						reset();
 					} else {
 						setTimeout(reset, 20);
@@ -311,7 +311,7 @@
 	}
 }
 
-/** In the middle of a stream: of one from the beginning on, or of any. */
+/** @returns How to write a stream, with a fault of the stream placed at its middle event. */
 function streamOf({stream, fault, events}: ReplicaConduct): StreamConduct {
 	const middle = Math.floor(events / 2) + 1;
 	switch (fault) {
--- a/development/relay/steady-clients.ts
+++ b/development/relay/steady-clients.ts
@@ -1,32 +1,32 @@
 /**
- * Clients that send one request after another to relays in turn, until they are stopped. Development only.
+ * Clients that send sequential requests to the relays in turn until they are stopped. Development only.
  */
 import {setTimeout as pause} from 'node:timers/promises';
 import type {ClientView, RelayInstallation, RelayMember} from './relay-installation.js';
 
-/** How they send. */
+/** Parameters of the load. */
 export type SteadyLoad = {
 	readonly clients: number;
-	/** Milliseconds between two requests of a client. */
+	/** Milliseconds between a response and the next request of the same client. */
 	readonly pause: number;
-	/** Those that they send to. */
+	/** Relays that the clients send to. */
 	readonly relays: readonly RelayMember[];
-	/** @returns Headers of a request, by its relay and its number among all. */
+	/** @returns Additional headers of a request, given its relay and its number among all requests. */
 	readonly headers?: (relay: RelayMember, number: number) => Readonly<Record<string, string>>;
 };
 
-/** The clients. */
+/** A group of clients that send a steady load. */
 export class SteadyClients {
 	/**
-	 * @param installation - Where the relays are.
-	 * @param load - How they send.
-	 * @returns The clients, sending.
+	 * @param installation - Deployment of the relays.
+	 * @param load - Parameters of the load.
+	 * @returns The clients, which have begun to send.
 	 */
 	static start(installation: RelayInstallation, load: SteadyLoad): SteadyClients {
 		return new SteadyClients(installation, load);
 	}
 
-	/** What they saw, in the order of the answers. */
+	/** Responses that the clients received, in order of arrival. */
 	readonly views: ClientView[] = [];
 	private requests = 0;
 	private readonly over = new AbortController();
@@ -36,7 +36,7 @@
 		this.sending = Promise.all(Array.from({length: load.clients}, async (_, client) => this.callOn(client)));
 	}
 
-	/** @returns Ends when the last request was answered. */
+	/** Stops sending and waits for the outstanding responses. */
 	async stop(): Promise<void> {
 		this.over.abort();
 		await this.sending;
--- a/development/relay/store-standin.ts
+++ b/development/relay/store-standin.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in for the platform's metadata store and its duty calls, with faults. Development only.
+ * A stand-in for the platform's metadata store and duty calls, with fault injection. Development only.
  */
 import type {Server, ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -8,7 +8,7 @@
 	portOf, sendJson, startStandin, type StandinRequest,
 } from '../standins/standin-server.js';
 
-/** An object as the store sends it. */
+/** An object in the store's wire format. */
 type Held = {
 	readonly meta: {readonly name: string; readonly rev: number};
 	readonly spec: unknown;
@@ -23,7 +23,7 @@
 	readonly timer: NodeJS.Timeout;
 };
 
-/** A duty call that came. */
+/** A received duty call. */
 export type DutyCall = {
 	readonly path: string;
 	readonly holder: string;
@@ -31,17 +31,17 @@
 	readonly body: Readonly<Record<string, unknown>>;
 };
 
-/** What is wrong with the store. */
+/** Injected faults of the store. */
 export type StoreFaults = {
-	/** Answers nothing at all. */
+	/** No call gets a response. */
 	readonly isSilent: boolean;
-	/** Answers 503. */
+	/** All calls get status 503. */
 	readonly isBusy: boolean;
-	/** Does writes and answers nothing. */
+	/** Writes take effect, but their connection is closed without a response. */
 	readonly losesAnswers: boolean;
 };
 
-/** What the store held at one moment, to come back to. */
+/** A backup of the store. */
 export type StoreCopy = {
 	readonly revision: number;
 	readonly objects: ReadonlyMap<string, ReadonlyMap<string, Held>>;
@@ -49,19 +49,19 @@
 	readonly forgottenUpTo: number;
 };
 
-/** A way to the store for one box. */
+/** A separate listener of the store for one box. */
 export type StoreDoor = {
 	/** TCP port. */
 	readonly port: number;
-	/** HTTP status with which all calls that come by it are turned away; `undefined` where they are not. */
+	/** HTTP status with which this listener refuses all calls; `undefined` if it accepts them. */
 	turnsAway: number | undefined;
-	/** Whether calls that come by it end without an answer. */
+	/** Whether this listener closes the connection of each call without a response. */
 	isShut: boolean;
 };
 
 const noFaults: StoreFaults = {isSilent: false, isBusy: false, losesAnswers: false};
 
-/** The stand-in. */
+/** The stand-in for the metadata store. */
 export class StoreStandin {
 	/** @returns The store, listening on loopback. */
 	static async start(): Promise<StoreStandin> {
@@ -72,12 +72,12 @@
 		return store;
 	}
 
-	/** Duty calls that came, in order. */
+	/** Received duty calls, in order of arrival. */
 	readonly dutyCalls: DutyCall[] = [];
-	/** Calls of any sort that came. */
+	/** Number of received calls of any kind. */
 	calls = 0;
 	faults: StoreFaults = noFaults;
-	/** Rises each time the store comes back from a copy. */
+	/** Incremented each time the store is restored from a backup. */
 	era = 1;
 	private server!: Server;
 	private readonly doorServers: Server[] = [];
@@ -88,7 +88,7 @@
 	private watchers: readonly Watcher[] = [];
 
 	private constructor() {
-		// Made by start().
+		// Use start().
 	}
 
 	/** TCP port. */
@@ -96,7 +96,7 @@
 		return (this.server.address() as AddressInfo).port;
 	}
 
-	/** @returns Another way in, listening on loopback. */
+	/** @returns A further listener of the same store, on loopback. */
 	async openDoor(): Promise<StoreDoor> {
 		const server = await startStandin(0, async request => {
 			if (door.isShut) {
@@ -113,11 +113,11 @@
 	}
 
 	/**
-	 * Writes an object, as the operator or a replica does.
+	 * Writes an object on behalf of an operator or a replica, without a revision check.
 	 *
 	 * @param kind - Its kind.
 	 * @param name - Its name.
-	 * @param spec - What it holds.
+	 * @param spec - Its content.
 	 */
 	put(kind: string, name: string, spec: unknown): Held {
 		this.revision++;
@@ -147,20 +147,20 @@
 	/**
 	 * @param kind - Kind of an object.
 	 * @param name - Its name.
-	 * @returns What it holds.
+	 * @returns Its content; `undefined` if it does not exist.
 	 */
 	spec(kind: string, name: string): unknown {
 		return this.objects.get(kind)?.get(name)?.spec;
 	}
 
-	/** Forgets all history and cuts the watches that wait. */
+	/** Discards the change history and closes the connections of all waiting watches. */
 	forgetHistory(): void {
 		this.forgottenUpTo = this.revision;
 		this.history = [];
 		this.cutWatches();
 	}
 
-	/** @returns What the store holds now. */
+	/** @returns A backup of the current state. */
 	copy(): StoreCopy {
 		const objects = new Map([...this.objects].map(([kind, held]) => [kind, new Map(held)]));
 		return {
@@ -169,10 +169,10 @@
 	}
 
 	/**
-	 * Comes back from a copy: what was written since is gone, and revisions are given out again.
+	 * Restores a backup. Later writes are lost, and their revisions are assigned again.
 	 *
-	 * @param copy - What the store held then.
-	 * @param cutsWatches - Whether watches that wait are cut; else they wait on, as of the copy.
+	 * @param copy - The backup.
+	 * @param cutsWatches - Whether the connections of waiting watches are closed; otherwise the watches keep waiting for changes after the restore.
 	 */
 	restore({revision, objects, history, forgottenUpTo}: StoreCopy, cutsWatches = true): void {
 		this.era++;
@@ -185,7 +185,7 @@
 		}
 	}
 
-	/** Heals all faults. */
+	/** Removes all injected faults. */
 	heal(): void {
 		this.faults = noFaults;
 	}
--- a/development/relay/stream-writer.ts
+++ b/development/relay/stream-writer.ts
@@ -1,5 +1,5 @@
 /**
- * Writes a stream of events as a replica does, well or badly. Development only.
+ * Writes a stream of server-sent events as a replica does, correctly or with faults. Development only.
  */
 import {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
@@ -8,78 +8,78 @@
 
 /** How a replica writes a stream. */
 export type StreamConduct = {
-	/** In what pieces an event is written: in one, its first byte by itself, byte by byte, cut inside a character, or several events at once. */
+	/** How events are split into writes: one write per event, the first byte separately, byte by byte, cut inside a character, or two events per write. */
 	readonly pieces: 'whole' | 'first-apart' | 'bytes' | 'in-character' | 'together';
-	/** Whether the answer's end is told by its chunks, or only by that of its connection. */
+	/** Whether the response uses chunked encoding, or ends only with its connection. */
 	readonly framing: 'chunked' | 'none';
-	/** Where a run from the beginning on, or any run, ends: so many bytes into an event; `undefined` where it runs to its end. */
+	/** Event, and number of its bytes, after which the connection breaks; applies to resumed streams only with `isAnyRun`. `undefined` if it does not break. */
 	readonly breaksAt: {readonly event: number; readonly bytes: number; readonly isAnyRun?: boolean} | undefined;
-	/** Number of the event from which on nothing is written, nor ended. */
+	/** Number of the event from which nothing is written, while the connection stays open. */
 	readonly silentFrom: number | undefined;
-	/** How a connection ends that breaks. */
+	/** How a breaking connection ends. */
 	readonly ending: 'reset' | 'close';
-	/** With what a run goes on that is to go on behind an event: with the next, from the beginning, or with the one after the next where there is one. */
+	/** Where a resumed stream continues: at the next event, at the first event, or at the event after the next if there is one. */
 	readonly goesOn: 'behind' | 'anew' | 'too-far';
-	/** Number of an event that is written without an id. */
+	/** Number of the event that is written without an id. */
 	readonly nameless: number | undefined;
-	/** Number of an event that is left out. */
+	/** Number of the event that is omitted. */
 	readonly leftOut: number | undefined;
 };
 
-/** A whole stream, an event a piece. */
+/** A correct stream, with one write per event. */
 export const wholeStream: StreamConduct = {
 	pieces: 'whole', framing: 'chunked', breaksAt: undefined, silentFrom: undefined, ending: 'close', goesOn: 'behind', nameless: undefined, leftOut: undefined,
 };
 
-/** What is to be written. */
+/** The stream to write. */
 export type StreamOrder = {
 	readonly conduct: StreamConduct;
-	/** Names the events' maker in their data. */
+	/** Text in the data of the events that identifies their producer. */
 	readonly replica: string;
-	/** Events of the whole stream. */
+	/** Number of events of the whole stream. */
 	readonly events: number;
 	/** Milliseconds between events. */
 	readonly gap: number;
-	/** Number of the last event that the reader has; zero for a stream from the beginning. */
+	/** Number of the last event that the client has received; 0 for a stream from the beginning. */
 	readonly after: number;
-	/** Head of the answer, besides its type. */
+	/** Response headers besides `Content-Type`. */
 	readonly headers: Readonly<Record<string, string>>;
 };
 
-/** Milliseconds between the pieces of an event, so that each arrives by itself. */
+/** Milliseconds between the pieces of an event, so that each arrives separately. */
 const pieceGap = 1;
-/** Milliseconds for what was written to be read before a reset, which would take it back. */
+/** Milliseconds before a reset, so that the client reads the written data, which a reset would discard. */
 const resetDelay = 15;
-/** From this byte on a byte begins a character of several bytes, in UTF-8. */
+/** Lowest byte value that begins a multi-byte character in UTF-8. */
 const firstOfSeveral = 0xC0;
 
 /**
- * @param replica - Who makes it.
- * @param event - Its number.
- * @returns One event, with a character of several bytes in its data.
+ * @param replica - Text that identifies the producer.
+ * @param event - Number of the event.
+ * @returns Text of the event, with a multi-byte character in its data.
  */
 export const eventOf = (replica: string, event: number): string => `id: ${event}\ndata: ${replica}-${event} ü\n\n`;
 
-/** Writes one answer. */
+/** Writes one response. */
 export class StreamWriter {
 	/**
-	 * @param response - Where to; nothing has been sent.
-	 * @param order - What.
+	 * @param response - The response to write to; nothing has been sent yet.
+	 * @param order - The stream to write.
 	 * @returns The writer.
 	 */
 	static create(response: ServerResponse, order: StreamOrder): StreamWriter {
 		return new StreamWriter(response, order);
 	}
 
-	/** Events that go out with the next one. */
+	/** Events that are buffered until the next event is written. */
 	private held: Uint8Array = Buffer.alloc(0);
 
 	private constructor(private readonly response: ServerResponse, private readonly order: StreamOrder) {}
 
 	/**
-	 * Writes the answer to its end, or to where it breaks.
+	 * Writes the response to its end or to the point where it breaks.
 	 *
-	 * @returns Whether all went out that a replica has to write.
+	 * @returns Whether the stream was written completely and correctly.
 	 */
 	async write(): Promise<boolean> {
 		const {conduct, events, gap} = this.order;
