--- a/development/standins/event-writer.ts
+++ b/development/standins/event-writer.ts
@@ -1,29 +1,29 @@
 /**
- * Writes the events of an answer in drawn pieces, and ends inside one of them when it is drawn. Development only.
+ * Writes the events of a response in randomly cut pieces and, with a given probability, breaks the connection inside an event. Development only.
  */
 import {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
 import {setTimeout as pause} from 'node:timers/promises';
 import {resetConnection} from '../harness/reset-connection.js';
 
-/** How events are written; all draws follow from the seed and from how many answers there were before. */
+/** How events are written. All random choices depend only on the seed and the number of earlier responses. */
 export type WritingTraits = {
 	readonly seed: number;
-	/** Pieces of an event at most, cut anywhere in its bytes; 1 writes each event whole. */
+	/** Maximum number of pieces per event, cut at any byte; 1 writes each event in one piece. */
 	readonly mostPieces: number;
-	/** Part of the events inside of which an answer ends, 0 to 1. */
+	/** Probability per event, from 0 to 1, that the connection breaks inside the event. */
 	readonly broken: number;
 };
 
-/** Milliseconds between the pieces of an event, so that each arrives by itself. */
+/** Milliseconds between the pieces of an event, so that each arrives separately. */
 const pieceGap = 1;
 
-/** Writes one answer. */
+/** Writes the events of one response. */
 export class EventWriter {
 	/**
-	 * @param response - Where to.
-	 * @param traits - How.
-	 * @param random - Draws for this answer.
+	 * @param response - The response to write to.
+	 * @param traits - How events are written.
+	 * @param random - Random numbers from 0 to 1 for this response.
 	 * @returns The writer.
 	 */
 	static create(response: ServerResponse, traits: WritingTraits, random: () => number): EventWriter {
@@ -31,7 +31,7 @@
 	}
 
 	private isBroken = false;
-	/** Pieces wait for those before them. */
+	/** Completion of the last write that was queued; later writes wait for it. */
 	private last: Promise<void> | undefined;
 
 	private constructor(
@@ -50,7 +50,7 @@
 
 		const bytes = Buffer.from(event);
 		this.isBroken = this.random() < this.traits.broken;
-		// At least a byte comes, and at least one is missing.
+		// At least one byte is sent, and at least one is missing.
 		const end = this.isBroken ? 1 + Math.floor(this.random() * (bytes.length - 1)) : bytes.length;
 		const pieces = this.piecesOf(bytes.subarray(0, end));
 		if (pieces.length === 1 && this.last === undefined && !this.isBroken) {
@@ -71,7 +71,7 @@
 	}
 
 	/**
-	 * @param event - The last event of the answer.
+	 * @param event - The last event of the response.
 	 */
 	end(event: string): void {
 		if (this.isBroken) {
@@ -100,7 +100,7 @@
 		this.last = before.then(async () => this.response.destroyed ? undefined : write());
 	}
 
-	/** By a close, or by a reset. */
+	/** Closes or resets the connection, with equal probability. */
 	private breakOff(): void {
 		const {socket} = this.response;
 		if (this.random() < 1 / 2) {
--- a/development/standins/main.ts
+++ b/development/standins/main.ts
@@ -1,5 +1,5 @@
 /**
- * Starts one stand-in as a process of its own: `main.js platform|model-engine|plain-service PORT [TRAITS]`.
+ * Starts one stand-in as a separate process: `main.js platform|model-engine|plain-service PORT [TRAITS]`.
  * Prints its port as one line of JSON.
  */
 import process from 'node:process';
@@ -31,7 +31,7 @@
 
 const standin = await start();
 process.stdout.write(`${JSON.stringify({port: standin.port})}\n`);
-// A stand-in whose parent is gone must not stay behind.
+// Standard input ends when the parent process exits; the stand-in must not outlive it.
 process.stdin.once('end', () => {
 	process.exit(0);
 }).resume();
--- a/development/standins/model-engine.ts
+++ b/development/standins/model-engine.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in for a model engine: OpenAI-style chat completions with continuous batching, a prefix cache with
- * a limit, a lagged load report, resume, cancel, KV export and import, cache events with gaps, fenced
- * orders and leaving. Development only.
+ * Stand-in for a model engine: OpenAI-style chat completions with continuous batching, a bounded prefix cache,
+ * a delayed load report, resumption, cancellation, KV export and import, cache events with gaps, fenced
+ * orders and departure. Development only.
  */
 import type {Server, ServerResponse} from 'node:http';
 import {randomOf} from '../harness/seeded-random.js';
@@ -15,23 +15,23 @@
 
 /** How an engine behaves. */
 export type EngineTraits = {
-	/** Milliseconds between two steps; each running request gets a token a step. */
+	/** Milliseconds between two steps; each running request past its prompt generates one token per step. */
 	readonly step: number;
-	/** Requests that run together; others queue. */
+	/** Maximum number of requests that run concurrently; further requests queue. */
 	readonly batch: number;
-	/** Prompt tokens a step, over all requests. */
+	/** Prompt tokens processed per step, over all requests. */
 	readonly prefill: number;
-	/** Blocks of prompts kept. */
+	/** Capacity of the prefix cache in blocks. */
 	readonly cacheBlocks: number;
-	/** Milliseconds by which the load report and the cache events lag. */
+	/** Interval of the load report and delay of cache events, in milliseconds. */
 	readonly lag: number;
-	/** Whether orders of an older generation are refused. */
+	/** Whether orders of an older generation than the last accepted one are refused. */
 	readonly isFenced: boolean;
-	/** In what pieces it writes its events, and where it ends inside one. */
+	/** How events are split into pieces, and how often the connection breaks inside one. */
 	readonly writing: WritingTraits;
 };
 
-/** An engine of a size that suits a test machine. */
+/** Traits of a small engine, for test machines. */
 export const defaultEngineTraits: EngineTraits = {
 	step: 10, batch: 16, prefill: 256, cacheBlocks: 512, lag: 500, isFenced: true, writing: {seed: 1, mostPieces: 1, broken: 0},
 };
@@ -63,11 +63,12 @@
 
 type CacheEvent = {readonly sequence: number; readonly kind: 'stored' | 'evicted'; readonly block: number};
 
+/** Tokens of a response whose request has no `max_tokens`. */
 const defaultMaximumTokens = 16;
-/** Every so many cache events one is lost. */
+/** Each cache event whose sequence number is a multiple of this is lost. */
 const gapEvery = 50;
 
-/** A model engine. */
+/** The stand-in for a model engine. */
 export class ModelEngineStandin {
 	/**
 	 * @param port - TCP port, or zero for any.
@@ -81,7 +82,7 @@
 	}
 
 	server!: Server;
-	/** What was done, for oracles and measurements. */
+	/** Counters for test oracles and measurements; `prefilled`, `cached` and `generated` count tokens. */
 	readonly totals = {
 		prefilled: 0, cached: 0, generated: 0, started: 0, cancelled: 0, orders: 0,
 	};
@@ -206,7 +207,7 @@
 		});
 	}
 
-	/** Blocks that are still cached, or what was imported for this request. */
+	/** Counts the prompt tokens that need no prefill, from the prefix cache or from a KV import for this request, and caches the blocks of the prompt. */
 	private cachedTokens(id: string, messages: readonly ChatMessage[], needed: number): number {
 		const blocks = promptBlocks(messages);
 		const missing = blocks.findIndex(block => !this.cache.has(block));
@@ -251,7 +252,7 @@
 		}
 	}
 
-	/** One step of the batch: prompts first, then a token for each request that is past its prompt. */
+	/** Runs one step of the batch: spends the prefill budget on prompts and generates a token for each request that is past its prompt. */
 	private step(): void {
 		while (this.running.size < this.traits.batch && this.queue.length > 0) {
 			this.running.add(this.queue.shift()!);
@@ -365,7 +366,7 @@
 	}
 }
 
-/** @returns Tokens that another engine holds of a request; nothing where it gives no whole answer. */
+/** @returns Number of tokens that another engine has cached for a request; `undefined` if it gives no complete response. */
 async function exportedTokens({host, port, request}: {readonly request: string; readonly host: string; readonly port: number}): Promise<number | undefined> {
 	try {
 		const answer = await fetch(`http://${host}:${port}/kv/export?request=${encodeURIComponent(request)}`);
--- a/development/standins/plain-service.ts
+++ b/development/standins/plain-service.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in for a plain service: counts executions per key and answers with what it executed. Development only.
+ * Stand-in for a plain service: counts executions per idempotency key and echoes each executed call. Development only.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import type {Server} from 'node:http';
@@ -7,17 +7,17 @@
 	portOf, sendJson, startStandin, type StandinRequest,
 } from './standin-server.js';
 
-/** What the service does with a call; set by `POST /control/faults`. */
+/** Delays and faults of calls; set by `POST /control/faults`. */
 type Faults = {
-	/** Milliseconds before a call executes. */
+	/** Milliseconds between the arrival of a call and its execution. */
 	readonly before: number;
-	/** Milliseconds between execution and answer. */
+	/** Milliseconds between the execution and the response. */
 	readonly after: number;
-	/** How many of the next answers are cut off after execution. */
+	/** Number of following calls whose connection is cut after execution. */
 	readonly cutAnswers: number;
 };
 
-/** A plain service. */
+/** The stand-in for a plain service. */
 export class PlainServiceStandin {
 	/**
 	 * @param port - TCP port, or zero for any.
@@ -30,14 +30,14 @@
 	}
 
 	server!: Server;
-	/** Executions by key: the oracle for "at most once". */
+	/** Number of executions by idempotency key: the test oracle for at-most-once execution. */
 	readonly executions = new Map<string, number>();
 	private faults: Faults = {before: 2, after: 0, cutAnswers: 0};
 	private isLeaving = false;
 	private running = 0;
 
 	private constructor() {
-		// Made by create().
+		// Use create().
 	}
 
 	get port(): number {
--- a/development/standins/platform.ts
+++ b/development/standins/platform.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for the platform: Object API, box list, reclaim notices and Cloud API, with switches for
- * its faults. One process; state in memory. Development only.
+ * Stand-in for the platform: Object API, box list, reclaim notices and Cloud API, with fault injection.
+ * One process; state in memory. Development only.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import type {Server} from 'node:http';
@@ -9,29 +9,29 @@
 	portOf, sendJson, startStandin, type StandinRequest,
 } from './standin-server.js';
 
-/** Rates the brief gives. */
+/** Rate limits of the platform's API, from its specification. */
 const writesPerSecond = 100;
 const readsPerSecond = 2000;
 
-/** What can go wrong, switched by `POST /control/faults`. */
+/** Injected faults, set by `POST /control/faults`. */
 type Faults = {
-	/** The Object API answers nothing: connections are cut. */
+	/** All APIs are unavailable: connections are cut. */
 	readonly outage: boolean;
-	/** The Object API alone is out; the box list answers. */
+	/** Only the Object API is unavailable; the box list still answers. */
 	readonly objectOutage: boolean;
-	/** Milliseconds added to each call. */
+	/** Milliseconds by which each call is delayed. */
 	readonly delay: number;
-	/** How many of the next writes take effect without an answer. */
+	/** Number of following writes that take effect but get no response. */
 	readonly loseAnswers: number;
 	/** Milliseconds by which the box list lags. */
 	readonly boxListLag: number;
-	/** Starts of boxes are refused. */
+	/** Requests to start a box are refused. */
 	readonly refuseStarts: boolean;
 };
 
 type Entry = {readonly version: number; readonly value: string};
 
-/** Refills to its rate each second; a call takes one. */
+/** A token bucket: refills continuously at its rate, holds one second's tokens; each call takes one token. */
 class RateLimit {
 	private tokens: number;
 	private refilledAt = performance.now();
@@ -53,7 +53,7 @@
 	}
 }
 
-/** Something that grows and can be waited for. */
+/** Callers that wait for a change of state. */
 class Waiters {
 	private waiting = new Set<() => void>();
 
@@ -78,7 +78,7 @@
 	}
 }
 
-/** The platform. */
+/** The stand-in for the platform. */
 export class PlatformStandin {
 	/**
 	 * @param port - TCP port, or zero for any.
@@ -91,7 +91,7 @@
 	}
 
 	server!: Server;
-	/** Counted calls, for measurements. */
+	/** Number of calls by type, for measurements. */
 	readonly calls = {reads: 0, writes: 0, throttled: 0};
 	private readonly objects = new Map<string, Entry>();
 	private readonly boxes = new Map<string, Box>();
@@ -110,7 +110,7 @@
 	private listing: {version: number; boxes: Box[]} = {version: 0, boxes: []};
 
 	private constructor() {
-		// Made by create().
+		// Use create().
 	}
 
 	get port(): number {
@@ -228,7 +228,7 @@
 		});
 	}
 
-	/** Starts and stops boxes; a start is repeatable by its token. */
+	/** Starts and stops boxes; a start is idempotent by its token. */
 	private answerCloud({method, url, body, response}: StandinRequest): void {
 		if (method === 'DELETE') {
 			this.boxes.delete(url.pathname.slice('/cloud/boxes/'.length));
@@ -309,7 +309,7 @@
 		this.publishBoxes();
 	}
 
-	/** The list shows the boxes as they were some time ago. */
+	/** Publishes the box list after the injected lag. */
 	private publishBoxes(): void {
 		this.boxVersion++;
 		const listing = {version: this.boxVersion, boxes: [...this.boxes.values()]};
--- a/development/standins/standin-server.ts
+++ b/development/standins/standin-server.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP plumbing that all stand-ins share. Development only: not in the binary.
+ * HTTP server helpers that all stand-ins share. Development only: not in the binary.
  */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
@@ -8,7 +8,7 @@
 } from 'node:http';
 import type {AddressInfo} from 'node:net';
 
-/** A request with its body read. */
+/** A request whose body has been read completely. */
 export type StandinRequest = {
 	readonly method: string;
 	readonly url: URL;
@@ -18,7 +18,7 @@
 	readonly response: ServerResponse;
 };
 
-/** Answers a request; what it throws becomes a 500. */
+/** Responds to a request; an exception is reported as HTTP status 500. */
 export type StandinHandler = (request: StandinRequest) => void | Promise<void>;
 
 async function readBody(incoming: IncomingMessage): Promise<string> {
@@ -31,11 +31,11 @@
 }
 
 /**
- * Sends a JSON answer.
+ * Sends a JSON response.
  *
- * @param response - Where to.
+ * @param response - The response to send.
  * @param status - HTTP status.
- * @param value - What to send; nothing where absent.
+ * @param value - Body; the response has no body if it is `undefined`.
  */
 export function sendJson(response: ServerResponse, status: number, value?: unknown): void {
 	if (value === undefined) {
@@ -51,7 +51,7 @@
  * Starts a stand-in on loopback.
  *
  * @param port - TCP port, or zero for any.
- * @param handler - Answers each request.
+ * @param handler - Responds to each request.
  * @returns The server, listening.
  */
 export async function startStandin(port: number, handler: StandinHandler): Promise<Server> {
--- a/development/standins/test/model-engine.test.ts
+++ b/development/standins/test/model-engine.test.ts
@@ -1,5 +1,6 @@
 /**
- * The stand-in took the first piece of another engine's answer for the whole; and what writes events in pieces must write all of them.
+ * Guards against two faults of the stand-in: it took the first chunk of another engine's response for the complete response, and it may lose events
+ * that it writes in pieces.
  */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -40,7 +41,7 @@
 	return {status: answer.status, tokens: imported};
 }
 
-test('a cache is imported by the whole answer of its source, in whatever pieces it comes', async () => {
+test('a KV import reads the complete response of its source, however it is split', async () => {
 	await withEngine({}, async engine => {
 		const head = 'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n';
 		const body = '{"tokens": 41}';
@@ -56,7 +57,7 @@
 	});
 });
 
-/** @returns What came of an answer, and whether its connection ended as it should. */
+/** @returns The received text, its number of chunks, and whether the response was complete. */
 async function stream(engine: ModelEngineStandin): Promise<{readonly text: string; readonly pieces: number; readonly isWhole: boolean}> {
 	const answer = await fetch(`http://127.0.0.1:${engine.port}/v1/chat/completions`, {
 		method: 'POST',
@@ -81,7 +82,7 @@
 };
 const whole = `${Array.from({length: tokens}, (_, index) => tokenEvent(frame, index)).join('')}data: [DONE]\n\n`;
 
-test('events that are written in pieces are the same events', async () => {
+test('events that are written in pieces arrive unchanged', async () => {
 	for (const seed of [1, 2, 3]) {
 		const {text, pieces, isWhole} = await withEngine({writing: {seed, mostPieces: 6, broken: 0}}, stream);
 		assert.deepEqual([text, isWhole], [whole, true]);
@@ -89,16 +90,16 @@
 	}
 });
 
-test('an answer that is drawn to break ends inside an event', async () => {
+test('a response whose connection breaks at random ends inside an event', async () => {
 	const ends: boolean[] = [];
 	for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
 		const {text, isWhole} = await withEngine({writing: {seed, mostPieces: 3, broken: 1 / 5}}, stream);
 		assert.equal(isWhole, false);
-		// A character that was cut reads as one that stands for none.
+		// A character that was cut is decoded as U+FFFD.
 		assert.ok(whole.startsWith(text.replaceAll('\u{FFFD}', '')), text);
 		ends.push(text !== '' && !text.endsWith('\n\n'));
 	}
 
-	// A reset may take back what came just before it, so that such an end cannot be told by its reader.
+	// A reset may discard data that was sent just before it, so the client need not see a partial event in every run.
 	assert.ok(ends.includes(true), `${ends.length} ends, none inside an event`);
 });
--- a/development/standins/tokens.ts
+++ b/development/standins/tokens.ts
@@ -1,18 +1,19 @@
 /**
- * Deterministic answers: each request's tokens follow from its messages, so that a test can tell whose they are.
+ * Deterministic responses: the tokens depend only on the messages of the request, so that a test can tell which request they belong to.
  */
 import {hashText} from '../../src/base/rendezvous.js';
 
 /** A message of a chat. */
 export type ChatMessage = {readonly role: string; readonly content: string};
 
+/** Approximate number of characters per token. */
 const charactersPerToken = 4;
-/** Tokens of a prompt that are cached together. */
+/** Size of a prefix cache block in tokens. */
 export const blockTokens = 16;
 
 /**
  * @param messages - The chat.
- * @returns Its length in tokens, roughly.
+ * @returns Approximate length of the prompt in tokens.
  */
 export function countPromptTokens(messages: readonly ChatMessage[]): number {
 	return Math.ceil(messages.map(message => message.content).join('\n').length / charactersPerToken);
@@ -20,7 +21,7 @@
 
 /**
  * @param messages - The chat.
- * @returns A name for each full block of the prompt, which depends on all before it.
+ * @returns A hash for each full block of the prompt, which also covers all earlier blocks.
  */
 export function promptBlocks(messages: readonly ChatMessage[]): readonly number[] {
 	const text = messages.map(message => message.content).join('\n');
@@ -34,7 +35,7 @@
 
 /**
  * @param messages - The chat.
- * @returns The number that its answer follows from.
+ * @returns The seed that determines the tokens of the response.
  */
 export function seedOf(messages: readonly ChatMessage[]): number {
 	return hashText(JSON.stringify(messages.map(({role, content}) => [role, content])));
@@ -42,28 +43,28 @@
 
 /**
  * @param seed - From {@link seedOf}.
- * @param index - Position in the answer.
- * @returns The token's text.
+ * @param index - Position of the token in the response, from 0.
+ * @returns Text of the token.
  */
 export function tokenAt(seed: number, index: number): string {
-	// A character of several bytes, so that it can be cut inside of it.
+	// Contains a multi-byte character, so that a cut inside a character can occur.
 	return ` ${seed.toString(36)}·${index}`;
 }
 
-/** What names a token's event, besides the token. */
+/** Fields that all token events of a response share. */
 export type TokenFrame = {
-	/** Name of the answer. */
+	/** Id of the response. */
 	readonly id: string;
 	readonly model: string;
 	readonly seed: number;
-	/** Tokens of the whole answer. */
+	/** Number of tokens of the whole response. */
 	readonly end: number;
 };
 
 /**
- * @param frame - Of the answer.
- * @param index - Position in the answer.
- * @returns The event that carries that token, to the byte.
+ * @param frame - Shared fields of the response.
+ * @param index - Position of the token in the response, from 0.
+ * @returns The exact text of the server-sent event for that token, without an `id:` line.
  */
 export function tokenEvent({id, model, seed, end}: TokenFrame, index: number): string {
 	return `data: ${JSON.stringify({
@@ -77,8 +78,8 @@
 
 /**
  * @param messages - The chat.
- * @param count - Tokens asked for.
- * @returns The whole answer.
+ * @param count - Number of requested tokens.
+ * @returns Text of the whole response.
  */
 export function expectedAnswer(messages: readonly ChatMessage[], count: number): string {
 	const seed = seedOf(messages);
