--- a/development/harness/caller.ts
+++ b/development/harness/caller.ts
@@ -59,13 +59,13 @@
 type Head = {readonly incoming: IncomingMessage};
 
 const agent = new Agent({keepAlive: true, maxSockets: Infinity});
-const mostTries = 30;
+const maxAttempts = 30;
 /** Maximum number of polls for a response that another box is producing. */
-const mostLooks = 100;
+const maxPolls = 100;
 /** Milliseconds before the next attempt after a broken connection. */
-const pauseAfterCut = 100;
+const reconnectDelay = 100;
 /** Upper bound in milliseconds on the delay that `Retry-After` asks for. */
-const longestPause = 2000;
+const maxRetryDelay = 2000;
 const blankLine = '\n\n';
 const doneEvent = `data: [DONE]${blankLine}`;
 const errorStart = 'event: error\n';
@@ -93,7 +93,7 @@
 	 */
 	async chat(chat: Chat): Promise<Result> {
 		const receiver = new StreamReceiver(chat);
-		for (let tries = 1; tries <= mostTries; tries++) {
+		for (let tries = 1; tries <= maxAttempts; tries++) {
 			const ended = await this.tryChat(chat, receiver);
 			if (ended) {
 				return {
@@ -103,7 +103,7 @@
 		}
 
 		return {
-			judgement: {kind: 'lost', detail: `no end after ${mostTries} tries`}, timing: receiver.timing, tries: mostTries, restarts: receiver.restarts,
+			judgement: {kind: 'lost', detail: `no outcome after ${maxAttempts} attempts`}, timing: receiver.timing, tries: maxAttempts, restarts: receiver.restarts,
 		};
 	}
 
@@ -118,10 +118,10 @@
 		const result = (judgement: Judgement, tries: number): Result => ({
 			judgement, tries, restarts: 0, timing: {firstToken: performance.now() - startedAt, between: []},
 		});
-		for (let tries = 1; tries <= mostTries; tries++) {
+		for (let tries = 1; tries <= maxAttempts; tries++) {
 			const answer = await this.send(`/v1/services/${call.service}${call.path}`, call.body, {'Idempotency-Key': call.key});
 			if (!answer) {
-				await delay(pauseAfterCut);
+				await delay(reconnectDelay);
 				continue;
 			}
 
@@ -135,12 +135,12 @@
 			}
 
 			const problem = JSON.parse(text) as Problem;
-			if (!await comeBack(problem, answer.incoming)) {
+			if (!await waitForRetry(problem, answer.incoming)) {
 				return result({kind: 'refused', reason: problem.reason, verdict: problem.verdict}, tries);
 			}
 		}
 
-		return result({kind: 'lost', detail: `no end after ${mostTries} tries`}, mostTries);
+		return result({kind: 'lost', detail: `no outcome after ${maxAttempts} attempts`}, maxAttempts);
 	}
 
 	/** @returns The outcome, or `undefined` if another attempt is needed. */
@@ -153,7 +153,7 @@
 			...(receiver.position > 0 ? {'Last-Event-ID': String(receiver.position)} : {}),
 		});
 		if (!answer) {
-			await delay(pauseAfterCut);
+			await delay(reconnectDelay);
 			return undefined;
 		}
 
@@ -165,12 +165,12 @@
 
 		if (!chat.isStreamed) {
 			const text = await readText(incoming);
-			return text === undefined ? undefined : judgeWhole(chat, text);
+			return text === undefined ? undefined : judgeCompletion(chat, text);
 		}
 
 		const ended = await receiver.receive(incoming);
-		if (ended !== 'done' && !receiver.isWrong) {
-			await delay(pauseAfterCut);
+		if (ended !== 'done' && !receiver.hasFault) {
+			await delay(reconnectDelay);
 			return undefined;
 		}
 
@@ -184,7 +184,7 @@
 			return undefined;
 		}
 
-		if (!await comeBack(problem, incoming)) {
+		if (!await waitForRetry(problem, incoming)) {
 			return {kind: 'refused', reason: problem.reason, verdict: problem.verdict};
 		}
 
@@ -193,17 +193,17 @@
 
 	/** Polls for a response that another box is producing. */
 	private async collect(chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
-		for (let looks = 0; looks < mostLooks; looks++) {
+		for (let polls = 0; polls < maxPolls; polls++) {
 			const answer = await this.send(`/v1/requests/${chat.key}`, undefined, {});
 			const text = answer && await readText(answer.incoming);
 			if (text !== undefined && answer?.incoming.statusCode === 200) {
 				const status = JSON.parse(text) as {readonly state: string; readonly answer?: unknown};
 				if (status.state === 'finished') {
-					return judgeWhole(chat, JSON.stringify(status.answer));
+					return judgeCompletion(chat, JSON.stringify(status.answer));
 				}
 			}
 
-			await delay(pauseAfterCut);
+			await delay(reconnectDelay);
 		}
 
 		receiver.restart();
@@ -253,7 +253,7 @@
 	}
 
 	/** Whether the stream contained anything that a correct stream never contains. */
-	get isWrong(): boolean {
+	get hasFault(): boolean {
 		return this.fault !== undefined;
 	}
 
@@ -276,7 +276,7 @@
 						this.fault ??= `event after the end of the stream: "${part}"`;
 					}
 
-					ended = this.take(part + blankLine) ?? ended;
+					ended = this.handleEvent(part + blankLine) ?? ended;
 				}
 			});
 			incoming.once('close', () => {
@@ -303,7 +303,7 @@
 			: {kind: 'misdelivered', detail: `expected ${this.chat.maximumTokens} tokens, got ${this.position}`};
 	}
 
-	private take(event: string): 'done' | 'error' | undefined {
+	private handleEvent(event: string): 'done' | 'error' | undefined {
 		if (event === doneEvent) {
 			return 'done';
 		}
@@ -320,11 +320,11 @@
 		}
 
 		this.position++;
-		this.clock();
+		this.recordTokenTime();
 		return undefined;
 	}
 
-	private clock(): void {
+	private recordTokenTime(): void {
 		const now = performance.now();
 		if (this.lastAt === 0) {
 			this.timing.firstToken = now - this.startedAt;
@@ -351,18 +351,18 @@
 }
 
 /** Waits for the time in `Retry-After`, with jitter. @returns Whether to retry. */
-async function comeBack(problem: Problem, incoming: IncomingMessage): Promise<boolean> {
+async function waitForRetry(problem: Problem, incoming: IncomingMessage): Promise<boolean> {
 	const seconds = Number(incoming.headers['retry-after'] ?? Number.NaN);
 	const isWorthwhile = problem.verdict === 'not-run' || problem.reason === 'claim-held' || problem.reason === 'moved-to-peer';
 	if (!isWorthwhile || Number.isNaN(seconds)) {
 		return false;
 	}
 
-	await delay(Math.min(longestPause, seconds * 1000) * (0.5 + (Math.random() / 2)));
+	await delay(Math.min(maxRetryDelay, seconds * 1000) * (0.5 + (Math.random() / 2)));
 	return true;
 }
 
-function judgeWhole(chat: Chat, text: string): Judgement {
+function judgeCompletion(chat: Chat, text: string): Judgement {
 	const {choices} = JSON.parse(text) as {readonly choices: ReadonlyArray<{readonly message: {readonly content: string}}>};
 	const {content} = choices[0]!.message;
 	return content === expectedAnswer(chat.messages, chat.maximumTokens)
--- a/development/harness/child.ts
+++ b/development/harness/child.ts
@@ -32,12 +32,12 @@
 	readonly lines: OutputLine[] = [];
 	/** Resolves with the exit code, or with `undefined` if a signal terminated the process. */
 	readonly exited: Promise<number | undefined>;
-	private readonly waiting = new Set<() => void>();
+	private readonly waiters = new Set<() => void>();
 	private hasEnded = false;
 
 	private constructor(private readonly child: ChildProcess) {
 		createInterface({input: child.stdout!}).on('line', line => {
-			this.take(line);
+			this.handleLine(line);
 		});
 		this.exited = once(child, 'exit').then(([code]) => {
 			this.hasEnded = true;
@@ -74,7 +74,7 @@
 			}
 
 			await new Promise<void>(resolve => {
-				this.waiting.add(resolve);
+				this.waiters.add(resolve);
 			});
 		}
 	}
@@ -111,7 +111,7 @@
 		await this.exited;
 	}
 
-	private take(line: string): void {
+	private handleLine(line: string): void {
 		try {
 			this.lines.push(JSON.parse(line) as OutputLine);
 		} catch {
@@ -122,8 +122,8 @@
 	}
 
 	private wake(): void {
-		const woken = [...this.waiting];
-		this.waiting.clear();
+		const woken = [...this.waiters];
+		this.waiters.clear();
 		for (const resume of woken) {
 			resume();
 		}
--- a/development/harness/departure-fleet.ts
+++ b/development/harness/departure-fleet.ts
@@ -21,7 +21,7 @@
 import type {RouteTableView} from '../../src/routes/route-table-view.js';
 import {VirtualClock, type VirtualTime} from '../fuzz/virtual-time.js';
 import {
-	heartbeat, modelReplicaKind, ModelStore, ModelStoreDoor, type ModelReplica,
+	heartbeat, modelReplicaKind, ModelStore, ModelStoreClient, type ModelReplica,
 } from './model-metadata-store.js';
 import {randomOf} from './seeded-random.js';
 
@@ -52,7 +52,7 @@
 	readonly replicas: ReplicaDirectory;
 	readonly role: ReplicaRole;
 	readonly state: ExchangeState;
-	readonly door: ModelStoreDoor;
+	readonly door: ModelStoreClient;
 	readonly fibers: ReadonlyArray<Fiber.Fiber<unknown>>;
 	sequence: number;
 	round: number;
@@ -60,9 +60,9 @@
 
 const service = 's';
 /** Milliseconds of virtual time per simulation step. */
-const step = 20;
+const stepTime = 20;
 /** One-way delay of a datagram in milliseconds. */
-const datagramWay = 2;
+const datagramDelay = 2;
 /** Milliseconds between the monotonic clocks of two consecutive boxes. */
 const clockSpread = 100_000;
 /** Start of the simulation, in milliseconds since the Unix epoch. */
@@ -86,7 +86,7 @@
 	readonly late: LateRequest[] = [];
 	readonly random: () => number;
 	private readonly addresses: readonly MemberAddress[];
-	private isOver = false;
+	private isClosed = false;
 
 	private constructor(private readonly shape: DepartureFleetShape, private readonly time: VirtualTime, private readonly log: EventLog) {
 		this.random = randomOf(shape.seed);
@@ -96,7 +96,7 @@
 		}
 
 		this.addresses = Array.from({length: shape.boxes}, (_, index) => ({name: `edge-${index}`, host: '10.0.0.1', port: 1 + index}));
-		this.boxes = this.addresses.map((address, index) => this.start(address, index));
+		this.boxes = this.addresses.map((address, index) => this.createBox(address, index));
 		for (const box of this.boxes) {
 			this.schedule(box);
 		}
@@ -106,7 +106,7 @@
 	async pass(duration: number): Promise<void> {
 		const end = this.time.now + duration;
 		while (this.time.now < end) {
-			await this.time.advance(step);
+			await this.time.advance(stepTime);
 			this.store.pass();
 			await nextTurn();
 			for (const box of this.boxes) {
@@ -125,11 +125,11 @@
 
 	/** Stops all boxes. */
 	async close(): Promise<void> {
-		this.isOver = true;
+		this.isClosed = true;
 		await Promise.all(this.boxes.flatMap(({fibers}) => fibers.map(async fiber => Effect.runPromise(Fiber.interrupt(fiber)))));
 	}
 
-	private start(address: MemberAddress, index: number): Box {
+	private createBox(address: MemberAddress, index: number): Box {
 		const {log} = this;
 		const clock = VirtualClock.create(this.time, index * clockSpread);
 		clock.wallStep = epoch;
@@ -137,11 +137,11 @@
 		peers.learn(this.addresses);
 		const topology = ExchangeTopology.create(address, peers);
 		const replicas = ReplicaDirectory.create(clock, log);
-		const door = ModelStoreDoor.create(this.store);
-		const table = tableOf(clock);
+		const door = ModelStoreClient.create(this.store);
+		const table = createTable(clock);
 		const availability = StoreAvailability.create(clock, () => lapseTime(heartbeat));
 		const followed = {
-			link: {store: door, names} as unknown as PlatformLink, clock, log, availability, followsStore: () => topology.isAggregator,
+			link: {store: door, names: storeNames} as unknown as PlatformLink, clock, log, availability, followsStore: () => topology.isAggregator,
 		};
 		const configuration = ConfigurationRole.create({...followed, table, fallbackDelay: 3000 + (100 * index)});
 		const role = ReplicaRole.create({
@@ -150,7 +150,7 @@
 		// Contains only the parts that replica list updates use.
 		const parts = {
 			clock, log, peers, topology, availability, configuration, replicaRole: role, isStopping: () => false,
-			stretches: {applyReceived: () => undefined}, services: {replicas, table, ...otherServices},
+			stretches: {applyReceived: () => undefined}, services: {replicas, table, ...stubServices},
 		} as unknown as ExchangeParts;
 		const fibers = [role.follow(), role.sweep(), configuration.follow(), configuration.prove()].map(effect => Effect.runFork(effect));
 		return {
@@ -158,14 +158,14 @@
 		};
 	}
 
-	private fetchFor(take: (content: unknown) => void) {
+	private fetchFor(receive: (content: unknown) => void) {
 		return {
 			from: ({name}: MemberAddress) => {
 				const box = this.boxes.find(({address}) => address.name === name)!;
 				this.deliver(() => {
 					const content: unknown = structuredClone(box.role.listing);
 					this.deliver(() => {
-						take(content);
+						receive(content);
 					});
 				});
 			},
@@ -184,14 +184,14 @@
 
 	private schedule(box: Box): void {
 		setTimeout(() => {
-			if (!this.isOver) {
-				this.tell(box);
+			if (!this.isClosed) {
+				this.sendGossip(box);
 				this.schedule(box);
 			}
 		}, box.topology.pause(this.random()));
 	}
 
-	private tell(box: Box): void {
+	private sendGossip(box: Box): void {
 		const {peers, topology, state} = box;
 		peers.sweep();
 		peers.isLarge = topology.isLarge;
@@ -204,16 +204,16 @@
 			const other = this.boxes.find(({address: {name}}) => name === address.name)!;
 			const asksDigest = topology.isLarge && place === box.round % targets.length;
 			this.deliver(() => {
-				this.hear(other, box, encodeGossip({...message, ...(asksDigest ? {asksDigest} : {})}));
+				this.receiveGossip(other, box, encodeGossip({...message, ...(asksDigest ? {asksDigest} : {})}));
 			});
 		}
 	}
 
-	private hear(box: Box, sender: Box, data: Uint8Array): void {
+	private receiveGossip(box: Box, sender: Box, data: Uint8Array): void {
 		const message = decodeGossip(data)!;
 		const {peers, topology, state} = box;
-		const meeting = peers.take(message);
-		if (meeting === undefined) {
+		const contact = peers.take(message);
+		if (contact === undefined) {
 			return;
 		}
 
@@ -223,14 +223,14 @@
 			return;
 		}
 
-		state.applyMessage(message, meeting);
+		state.applyMessage(message, contact);
 		if (topology.isLarge) {
 			const isWhole = message.asksDigest === true;
 			const answer = this.messageOf(box, {
 				...state.commonUpdate(isWhole), quota: [], isWhole: false, work: [], usage: [], digest: state.digestFor(peers.named(sender.address.name)!, isWhole),
 			});
 			this.deliver(() => {
-				this.hear(sender, box, encodeGossip(answer));
+				this.receiveGossip(sender, box, encodeGossip(answer));
 			});
 		}
 	}
@@ -242,18 +242,18 @@
 		};
 	}
 
-	private deliver(happen: () => void): void {
+	private deliver(receive: () => void): void {
 		if (this.random() >= this.shape.loss) {
 			setTimeout(() => {
-				if (!this.isOver) {
-					happen();
+				if (!this.isClosed) {
+					receive();
 				}
-			}, datagramWay);
+			}, datagramDelay);
 		}
 	}
 }
 
-const names = {
+const storeNames = {
 	replicaKind: modelReplicaKind,
 	configurationKind: 'config',
 	configurationName: 'main',
@@ -264,7 +264,7 @@
 	}),
 };
 
-const otherServices = {
+const stubServices = {
 	quarantine: {collectUpdate: () => undefined},
 	statements: {updates: () => undefined},
 	quota: {
@@ -276,7 +276,7 @@
 };
 
 /** Creates a route table whose version never changes. */
-function tableOf(clock: VirtualClock): RouteTableView {
+function createTable(clock: VirtualClock): RouteTableView {
 	let provenAt = Number.NEGATIVE_INFINITY;
 	const table = {
 		version: 1,
--- a/development/harness/exchange-fleet.ts
+++ b/development/harness/exchange-fleet.ts
@@ -65,7 +65,7 @@
 
 	private constructor(private readonly shape: FleetShape, private readonly clock: Clock) {
 		const addresses = Array.from({length: shape.boxes}, (_, index) => ({name: `edge-zone-b-${index}`, host: `10.2.64.${index}`, port: 7600}));
-		this.boxes = addresses.map(address => this.boxAt(address, addresses));
+		this.boxes = addresses.map(address => this.createBox(address, addresses));
 	}
 
 	/** Milliseconds between two gossip rounds. */
@@ -77,13 +77,13 @@
 	round(): RoundTraffic {
 		const {aggregator} = this;
 		this.rounds++;
-		const others = this.boxes.filter(box => box !== aggregator);
-		const heard = others.map(box => encodeGossip({...this.headOf(box, membersNamed, false), ...box.state.localState(this.rounds % roundsBetweenWholeStates === 0), asksDigest: true}));
+		const senders = this.boxes.filter(box => box !== aggregator);
+		const requests = senders.map(box => encodeGossip({...this.headerOf(box, membersNamed, false), ...box.state.localState(this.rounds % roundsBetweenWholeStates === 0), asksDigest: true}));
 		const beganAt = performance.now();
-		const sent = heard.map((data, index) => this.answerTo(data, index % aggregatorCount === 0));
+		const responses = requests.map((data, index) => this.respondTo(data, index % aggregatorCount === 0));
 		this.spent += performance.now() - beganAt;
 		const bytesOf = (datagrams: readonly Uint8Array[]) => sumOf(datagrams.map(({length}) => length));
-		return {messages: others.length, heard: bytesOf(heard), sent: bytesOf(sent)};
+		return {messages: senders.length, heard: bytesOf(requests), sent: bytesOf(responses)};
 	}
 
 	/** Crashes all replicas; on each box, each crash has two suspects: one request that only this box sent to this replica, and one common to all. */
@@ -109,7 +109,7 @@
 		return this.boxes.find(({topology}) => topology.isAggregator)!;
 	}
 
-	private answerTo(data: Uint8Array, isWhole: boolean): Uint8Array {
+	private respondTo(data: Uint8Array, isWhole: boolean): Uint8Array {
 		const {aggregator} = this;
 		const {peers, state} = aggregator;
 		const message = decodeGossip(data)!;
@@ -120,23 +120,23 @@
 		}
 
 		return encodeGossip({
-			...this.headOf(aggregator, isWhole ? membersNamed : membersAcknowledged, isWhole),
+			...this.headerOf(aggregator, isWhole ? membersNamed : membersAcknowledged, isWhole),
 			...state.commonUpdate(isWhole),
 			quota: [], isWhole: false, work: [], usage: [],
 			digest: state.digestFor(peers.named(message.sender.name)!, isWhole),
 		});
 	}
 
-	private headOf({address, topology}: Box, named: number, isSuccession: boolean): Pick<GossipMessage, 'sender' | 'incarnation' | 'sequence' | 'uptime' | 'wall' | 'members' | 'echo'> {
+	private headerOf({address, topology}: Box, memberCount: number, isSuccession: boolean): Pick<GossipMessage, 'sender' | 'incarnation' | 'sequence' | 'uptime' | 'wall' | 'members' | 'echo'> {
 		this.sequence++;
 		return {
 			sender: address, incarnation: 'c3b40934', sequence: this.sequence, uptime: 50_000, wall: this.clock.wall(),
 			echo: {incarnation: 'c3b40934', sequence: this.sequence, age: 100},
-			members: topology.namesToTell(named, this.sequence, isSuccession).map(peer => peer.address),
+			members: topology.namesToTell(memberCount, this.sequence, isSuccession).map(peer => peer.address),
 		};
 	}
 
-	private boxAt(address: MemberAddress, addresses: readonly MemberAddress[]): Box {
+	private createBox(address: MemberAddress, addresses: readonly MemberAddress[]): Box {
 		const {clock, shape} = this;
 		const log: EventLog = SilentEventLog.create();
 		const peers = PeerTable.create(address.name, clock, log);
--- a/development/harness/fault-proxy.ts
+++ b/development/harness/fault-proxy.ts
@@ -40,8 +40,8 @@
 	dropped = 0;
 	private readonly server: Server;
 	private readonly pairs = new Set<Pair>();
-	private current: ProxyFault = {kind: 'none'};
-	private held: Array<() => void> = [];
+	private currentFault: ProxyFault = {kind: 'none'};
+	private heldWrites: Array<() => void> = [];
 
 	private constructor(private readonly targetPort: number) {
 		this.server = createServer(caller => {
@@ -56,21 +56,21 @@
 
 	/** The current fault. */
 	get fault(): ProxyFault {
-		return this.current;
+		return this.currentFault;
 	}
 
 	/** Changes the fault. The end of a freeze forwards the data that it held back. */
 	set fault(fault: ProxyFault) {
-		this.current = fault;
+		this.currentFault = fault;
 		if (fault.kind === 'cut') {
 			this.cutAll();
 		}
 
 		if (fault.kind !== 'freeze') {
-			const released = this.held;
-			this.held = [];
-			for (const pass of released) {
-				pass();
+			const released = this.heldWrites;
+			this.heldWrites = [];
+			for (const forward of released) {
+				forward();
 			}
 		}
 	}
@@ -87,11 +87,11 @@
 			target.destroy();
 		}
 
-		this.held = [];
+		this.heldWrites = [];
 	}
 
 	private accept(caller: Socket): void {
-		if (this.current.kind === 'cut') {
+		if (this.currentFault.kind === 'cut') {
 			caller.destroy();
 			return;
 		}
@@ -99,7 +99,7 @@
 		const target = connect(this.targetPort, '127.0.0.1');
 		const pair: Pair = {caller, target};
 		this.pairs.add(pair);
-		const end = () => {
+		const closePair = () => {
 			caller.destroy();
 			target.destroy();
 			this.pairs.delete(pair);
@@ -108,8 +108,8 @@
 		for (const socket of [caller, target]) {
 			socket.setNoDelay(true);
 			// Forwards delayed data before the close.
-			socket.on('error', end).on('close', () => {
-				this.pass(end);
+			socket.on('error', closePair).on('close', () => {
+				this.pass(closePair);
 			});
 		}
 
@@ -117,12 +117,12 @@
 			this.pass(() => target.write(chunk));
 		});
 		target.on('data', (chunk: Uint8Array) => {
-			this.passAnswer(pair, chunk);
+			this.forwardResponse(pair, chunk);
 		});
 	}
 
-	private passAnswer({caller, target}: Pair, chunk: Uint8Array): void {
-		switch (this.current.kind) {
+	private forwardResponse({caller, target}: Pair, chunk: Uint8Array): void {
+		switch (this.currentFault.kind) {
 			case 'drop-answers': {
 				this.dropped++;
 				caller.destroy();
@@ -142,14 +142,14 @@
 	}
 
 	private pass(write: () => unknown): void {
-		switch (this.current.kind) {
+		switch (this.currentFault.kind) {
 			case 'freeze': {
-				this.held.push(write);
+				this.heldWrites.push(write);
 				break;
 			}
 
 			case 'delay': {
-				setTimeout(write, this.current.milliseconds);
+				setTimeout(write, this.currentFault.milliseconds);
 				break;
 			}
 
--- a/development/harness/installation.ts
+++ b/development/harness/installation.ts
@@ -95,7 +95,7 @@
 		const child = Child.start(daemonProgram, ['serve', '--settings', file], options.nodeOptions);
 		const started = await child.line(line => line.eventName === 'boxStarted');
 		const peerPort = started.peers as number;
-		return this.list({
+		return this.register({
 			...this.describe(name, options.dataCentre, started.callers as number),
 			role: 'entry',
 			peerPort: await options.proxyPeers?.(peerPort) ?? peerPort,
@@ -181,9 +181,9 @@
 		const child = Child.start(standinProgram, [role, '0', JSON.stringify(options.traits ?? {})]);
 		const {port} = await child.line(line => 'port' in line);
 		this.directPorts.set(name, port as number);
-		const seenPort = await options.proxy?.(port as number) ?? port as number;
-		return this.list({
-			...this.describe(name, options.dataCentre, seenPort),
+		const advertisedPort = await options.proxy?.(port as number) ?? port as number;
+		return this.register({
+			...this.describe(name, options.dataCentre, advertisedPort),
 			role,
 			pool: options.pool as PoolName,
 			price: options.price ?? 1,
@@ -203,7 +203,7 @@
 		};
 	}
 
-	private async list(box: Box, child: Child, operatorsPort: number): Promise<Member> {
+	private async register(box: Box, child: Child, operatorsPort: number): Promise<Member> {
 		const member: Member = {box, child, operatorsPort};
 		this.members.set(box.id, member);
 		await control(this.platformPort, 'boxes', box);
@@ -212,9 +212,9 @@
 }
 
 /** Milliseconds between two checks of a condition. */
-const lookInterval = 25;
+const checkInterval = 25;
 /** Timeout in milliseconds for a condition; generous, so that a slow machine does not fail a test. */
-const longestWait = 60_000;
+const conditionTimeout = 60_000;
 
 /**
  * Waits for a condition, not for a time.
@@ -222,7 +222,7 @@
  * @param isMet - The condition; one that throws is not met.
  */
 export async function until(isMet: () => Promise<boolean> | boolean): Promise<void> {
-	const endsAt = performance.now() + longestWait;
+	const endsAt = performance.now() + conditionTimeout;
 	while (performance.now() < endsAt) {
 		try {
 			if (await isMet()) {
@@ -233,11 +233,11 @@
 		}
 
 		await new Promise(resolve => {
-			setTimeout(resolve, lookInterval);
+			setTimeout(resolve, checkInterval);
 		});
 	}
 
-	throw new Error(`condition not met within ${longestWait} ms: ${String(isMet)}`);
+	throw new Error(`condition not met within ${conditionTimeout} ms: ${String(isMet)}`);
 }
 
 /**
--- a/development/harness/limit-fleet.ts
+++ b/development/harness/limit-fleet.ts
@@ -48,31 +48,31 @@
 	readonly statements: ReplicaStatements;
 	readonly incarnation: string;
 	/** Time in milliseconds at which this box first received a response that announced a limit. */
-	toldAt: number;
+	limitReceivedAt: number;
 	sequence: number;
 	round: number;
 	nextRoundAt: number;
 };
 
 /** A scheduled event. */
-type Event = {readonly at: number; readonly happen: () => void};
+type ScheduledEvent = {readonly at: number; readonly run: () => void};
 
 /** Milliseconds of virtual time per simulation step. */
-const step = 20;
+const stepTime = 20;
 /** Share of datagrams that are lost. */
 const lossShare = 0.1;
 /** One-way delay of a datagram in milliseconds. */
-const datagramWay = 5;
+const datagramDelay = 5;
 /** Milliseconds from the arrival of a request at the replica to the arrival of the response at the box. */
-const answerTime = 60;
+const responseTime = 60;
 /** Milliseconds after receiving a limit from which a box must comply with it. */
-const toldTime = 500;
+const limitGracePeriod = 500;
 /** Maximum difference in milliseconds between the wall clocks of two boxes. */
 const clockSpread = 400;
 /** Start of the simulation, in milliseconds since the Unix epoch. */
 const epoch = 1_764_700_000_000;
 const service = 's';
-const unusual = {
+const defaultFields = {
 	version: 1, isStopping: false, storeAge: 100, departed: [], quota: [], work: [], usage: [], isWhole: true,
 } as const;
 
@@ -88,26 +88,26 @@
 
 	/** Arrival times of all requests at the replica, in milliseconds. */
 	readonly arrivals: number[] = [];
-	/** Arrival times of requests from boxes that received a limit from the replica at least {@link toldTime} earlier. */
-	readonly arrivalsFromTold: number[] = [];
+	/** Arrival times of requests from boxes that received a limit from the replica at least {@link limitGracePeriod} earlier. */
+	readonly arrivalsFromInformedBoxes: number[] = [];
 	now = 10_000;
 	private readonly random: () => number;
 	private readonly addresses: readonly MemberAddress[];
 	private readonly boxes: Box[];
-	private events: Event[] = [];
+	private events: ScheduledEvent[] = [];
 	private answers = 0;
 
 	private constructor(private readonly shape: LimitFleetShape) {
 		this.random = randomOf(shape.seed);
 		this.addresses = Array.from({length: shape.boxes}, (_, index) => ({name: `edge-${index}`, host: '10.0.0.1', port: 1 + index}));
-		this.boxes = this.addresses.map((_, index) => this.start(index));
+		this.boxes = this.addresses.map((_, index) => this.createBox(index));
 	}
 
 	/** @param time - Milliseconds of virtual time to advance. */
 	pass(time: number): void {
 		const end = this.now + time;
 		while (this.now < end) {
-			this.now += step;
+			this.now += stepTime;
 			this.step();
 		}
 	}
@@ -115,13 +115,13 @@
 	/**
 	 * @param span - Length of the window in milliseconds.
 	 * @param since - Time in milliseconds from which requests are counted.
-	 * @returns The maximum number of {@link arrivalsFromTold} in any such window.
+	 * @returns The maximum number of {@link arrivalsFromInformedBoxes} in any such window.
 	 */
 	mostWithin(span: number, since: number): number {
-		return mostWithin(this.arrivalsFromTold.filter(at => at >= since), span);
+		return mostWithin(this.arrivalsFromInformedBoxes.filter(at => at >= since), span);
 	}
 
-	private start(index: number): Box {
+	private createBox(index: number): Box {
 		const address = this.addresses[index]!;
 		const clock = new MovedClock(this.now);
 		clock.shift = epoch + ((this.random() - 0.5) * clockSpread);
@@ -146,7 +146,7 @@
 		});
 		return {
 			index, address, clock, peers, topology, demands, stretches, replicas, limits, statements,
-			incarnation: String(this.now), toldAt: Number.POSITIVE_INFINITY, sequence: 0, round: index, nextRoundAt: this.now + (this.random() * 200),
+			incarnation: String(this.now), limitReceivedAt: Number.POSITIVE_INFINITY, sequence: 0, round: index, nextRoundAt: this.now + (this.random() * 200),
 		};
 	}
 
@@ -154,27 +154,27 @@
 		for (const {index, clock} of this.boxes) {
 			clock.now = this.now;
 			const startsAt = this.shape.startsAt?.(index) ?? Number.POSITIVE_INFINITY;
-			if (startsAt <= this.now && startsAt > this.now - step) {
-				this.boxes[index] = this.start(index);
+			if (startsAt <= this.now && startsAt > this.now - stepTime) {
+				this.boxes[index] = this.createBox(index);
 			}
 		}
 
 		const due = this.events.filter(({at}) => at <= this.now);
 		this.events = this.events.filter(({at}) => at > this.now);
-		for (const {happen} of due) {
-			happen();
+		for (const {run} of due) {
+			run();
 		}
 
 		for (const box of this.boxes) {
 			this.serve(box);
 			if (box.nextRoundAt <= this.now) {
-				this.tell(box);
+				this.sendGossip(box);
 			}
 		}
 	}
 
 	private serve(box: Box): void {
-		if (this.random() >= this.shape.demandOf(box.index) * step / 1000) {
+		if (this.random() >= this.shape.demandOf(box.index) * stepTime / 1000) {
 			return;
 		}
 
@@ -194,17 +194,17 @@
 		const sentAt = this.now;
 		const arrivesAt = this.now + (this.shape.wayOf?.(this.random()) ?? 1);
 		this.events.push({
-			at: arrivesAt, happen: () => {
+			at: arrivesAt, run: () => {
 				this.arrivals.push(this.now);
-				if (box.toldAt <= this.now - toldTime) {
-					this.arrivalsFromTold.push(this.now);
+				if (box.limitReceivedAt <= this.now - limitGracePeriod) {
+					this.arrivalsFromInformedBoxes.push(this.now);
 				}
 
 				this.answers++;
 				const limit = this.shape.limitAt(this.now, this.answers);
 				this.events.push({
-					at: this.now + answerTime, happen: () => {
-						box.toldAt = limit === undefined ? box.toldAt : Math.min(box.toldAt, this.now);
+					at: this.now + responseTime, run: () => {
+						box.limitReceivedAt = limit === undefined ? box.limitReceivedAt : Math.min(box.limitReceivedAt, this.now);
 						box.limits.recordResponse(replica, limit, sentAt);
 					},
 				});
@@ -212,7 +212,7 @@
 		});
 	}
 
-	private tell(box: Box): void {
+	private sendGossip(box: Box): void {
 		const {peers, topology} = box;
 		peers.sweep();
 		peers.isLarge = topology.isLarge;
@@ -221,19 +221,19 @@
 		box.nextRoundAt = this.now + topology.pause(this.random());
 		const isWhole = !topology.isLarge || box.round % roundsBetweenWholeStates === 0;
 		box.limits.openDueSlots();
-		const told = box.statements.updates(isWhole, ['answer'], topology.isLarge ? maxStatementsPerMessage.large : maxStatementsPerMessage.small);
-		const message = this.messageOf(box, {demand: box.demands.snapshots, ...(told ? {statements: told} : {})});
+		const updates = box.statements.updates(isWhole, ['answer'], topology.isLarge ? maxStatementsPerMessage.large : maxStatementsPerMessage.small);
+		const message = this.messageOf(box, {demand: box.demands.snapshots, ...(updates ? {statements: updates} : {})});
 		const targets = topology.targets(box.round);
 		for (const [place, {address}] of targets.entries()) {
 			peers.noteTold(address.name);
 			const other = this.boxes.find(({address: {name}}) => name === address.name)!;
 			this.deliver(box, other, () => {
-				this.hear(other, box, message, place === box.round % targets.length);
+				this.receiveGossip(other, box, message, place === box.round % targets.length);
 			});
 		}
 	}
 
-	private hear(box: Box, sender: Box, message: GossipMessage, isAsked: boolean): void {
+	private receiveGossip(box: Box, sender: Box, message: GossipMessage, isAsked: boolean): void {
 		const {
 			peers, limits, statements, stretches, topology,
 		} = box;
@@ -249,14 +249,14 @@
 		}
 
 		if (topology.isLarge) {
-			const told = statements.updates(isAsked, ['answer', 'box'], maxStatementsPerMessage.large);
+			const updates = statements.updates(isAsked, ['answer', 'box'], maxStatementsPerMessage.large);
 			const answer = this.messageOf(box, {
 				wall: peers.commonTime,
-				...(told ? {statements: told} : {}),
+				...(updates ? {statements: updates} : {}),
 				digest: {boxes: peers.knownBoxes, ...(topology.isAggregator ? {stretches: stretches.stretchesFor(sender.address.name, limits.services)} : {})},
 			});
 			this.deliver(box, sender, () => {
-				this.hear(sender, box, answer, false);
+				this.receiveGossip(sender, box, answer, false);
 			});
 		}
 	}
@@ -264,14 +264,14 @@
 	private messageOf(box: Box, parts: Partial<GossipMessage>): GossipMessage {
 		box.sequence++;
 		return {
-			...unusual, sender: box.address, incarnation: box.incarnation, sequence: box.sequence, uptime: box.peers.uptime, wall: box.peers.ownTime, members: [], ...parts,
+			...defaultFields, sender: box.address, incarnation: box.incarnation, sequence: box.sequence, uptime: box.peers.uptime, wall: box.peers.ownTime, members: [], ...parts,
 		};
 	}
 
-	private deliver(from: Box, to: Box, happen: () => void): void {
+	private deliver(from: Box, to: Box, receive: () => void): void {
 		const isReached = this.shape.reach?.(from.index, to.index, this.now) ?? true;
 		if (isReached && this.random() > lossShare) {
-			this.events.push({at: this.now + datagramWay, happen});
+			this.events.push({at: this.now + datagramDelay, run: receive});
 		}
 	}
 }
--- a/development/harness/model-metadata-store.ts
+++ b/development/harness/model-metadata-store.ts
@@ -25,7 +25,7 @@
 	/** Gets no response and fails after the timeout. */
 	| 'silent';
 
-type Happened = Change & {readonly at: number};
+type RecordedChange = Change & {readonly at: number};
 
 /** The actual state of a replica, which may differ from its entry in the store. */
 export type ModelReplica = {
@@ -38,7 +38,7 @@
 	nextWriteAt: number;
 };
 
-type Waiting = {readonly wake: () => void; readonly refuse: () => void};
+type WaitingWatch = {readonly wake: () => void; readonly refuse: () => void};
 
 /** A simulated metadata store. */
 export class ModelStore {
@@ -58,8 +58,8 @@
 	/** Number of calls that were answered. */
 	answers = 0;
 	readonly entries = new Map<string, StoredObject>();
-	history: readonly Happened[] = [];
-	private waiting: readonly Waiting[] = [];
+	history: readonly RecordedChange[] = [];
+	private waiting: readonly WaitingWatch[] = [];
 
 	private constructor(readonly now: () => number, private readonly random: () => number) {}
 
@@ -92,7 +92,7 @@
 	/** @param fault - How all calls fail from now on, including waiting watches. */
 	goAway(fault: CallFault): void {
 		this.outage = fault;
-		const waiting = this.takeWaiting();
+		const waiting = this.removeAllWatches();
 		if (fault === 'refused') {
 			for (const {refuse} of waiting) {
 				refuse();
@@ -106,7 +106,7 @@
 		for (const replica of this.replicas) {
 			if (replica.isAlive && replica.nextWriteAt <= now) {
 				replica.nextWriteAt += heartbeat * (0.9 + (0.1 * this.random()));
-				this.beat(replica);
+				this.sendHeartbeat(replica);
 			}
 
 			if (this.entries.has(replica.id) && now - replica.writtenAt > heartbeat * heartbeatsToLapse) {
@@ -116,7 +116,7 @@
 	}
 
 	/** @param waiting - A watch to wake at the next change. */
-	join(waiting: Waiting): void {
+	addWatch(waiting: WaitingWatch): void {
 		this.waiting = [...this.waiting, waiting];
 	}
 
@@ -124,16 +124,16 @@
 	 * @param waiting - A watch.
 	 * @returns Whether it still waits; a watch that no longer waits gets no response.
 	 */
-	holds(waiting: Waiting): boolean {
+	hasWatch(waiting: WaitingWatch): boolean {
 		return this.waiting.includes(waiting);
 	}
 
 	/** @param waiting - A watch to remove. */
-	withdraw(waiting: Waiting): void {
+	removeWatch(waiting: WaitingWatch): void {
 		this.waiting = this.waiting.filter(other => other !== waiting);
 	}
 
-	private beat(replica: ModelReplica): void {
+	private sendHeartbeat(replica: ModelReplica): void {
 		if (this.outage) {
 			return;
 		}
@@ -148,25 +148,25 @@
 		this.revision++;
 		const object = {name: id, revision: this.revision, spec: {isDraining: state === 'draining'}};
 		this.entries.set(id, object);
-		this.happen({object, isGone: false, at: this.revision});
+		this.recordChange({object, isGone: false, at: this.revision});
 	}
 
 	private remove(id: string): void {
 		this.revision++;
 		this.entries.delete(id);
-		this.happen({object: {name: id, revision: this.revision, spec: null}, isGone: true, at: this.revision});
+		this.recordChange({object: {name: id, revision: this.revision, spec: null}, isGone: true, at: this.revision});
 	}
 
-	private happen(change: Happened): void {
+	private recordChange(change: RecordedChange): void {
 		this.history = [...this.history, change];
 		if (!this.outage) {
-			for (const {wake} of this.takeWaiting()) {
+			for (const {wake} of this.removeAllWatches()) {
 				wake();
 			}
 		}
 	}
 
-	private takeWaiting(): readonly Waiting[] {
+	private removeAllWatches(): readonly WaitingWatch[] {
 		const {waiting} = this;
 		this.waiting = [];
 		return waiting;
@@ -174,19 +174,19 @@
 }
 
 /** One box's connection to the simulated store. */
-export class ModelStoreDoor extends MetadataStore {
+export class ModelStoreClient extends MetadataStore {
 	/**
 	 * @param store - The store.
 	 * @returns A connection without faults.
 	 */
-	static create(store: ModelStore): ModelStoreDoor {
-		return new ModelStoreDoor(store);
+	static create(store: ModelStore): ModelStoreClient {
+		return new ModelStoreClient(store);
 	}
 
 	override readonly era = 0;
 	/** How the next call fails; `undefined` if it succeeds. */
-	private next: CallFault | undefined;
-	private waiting: Waiting | undefined;
+	private nextFault: CallFault | undefined;
+	private waiting: WaitingWatch | undefined;
 
 	private constructor(private readonly store: ModelStore) {
 		super();
@@ -195,11 +195,11 @@
 	/** @param fault - How the waiting watch of replicas fails, or the next call if no watch waits. */
 	loseAnswer(fault: CallFault): void {
 		if (!this.waiting) {
-			this.next = fault;
+			this.nextFault = fault;
 			return;
 		}
 
-		this.store.withdraw(this.waiting);
+		this.store.removeWatch(this.waiting);
 		if (fault === 'refused') {
 			this.waiting.refuse();
 		}
@@ -236,41 +236,41 @@
 
 	private untilChange(kind: string, wait: number): Effect.Effect<void, StoreUnavailable> {
 		return Effect.callback<void, StoreUnavailable>(resume => {
-			const waiting: Waiting = {
+			const waiting: WaitingWatch = {
 				wake() {
-					end(Effect.void);
+					finish(Effect.void);
 				},
 				refuse() {
-					end(Effect.fail(unavailable('cut')));
+					finish(Effect.fail(unavailable('cut')));
 				},
 			};
 			const due = setTimeout(() => {
-				if (this.store.holds(waiting)) {
-					end(Effect.void);
+				if (this.store.hasWatch(waiting)) {
+					finish(Effect.void);
 				}
 			}, wait);
 			const timeout = setTimeout(() => {
-				end(Effect.fail(unavailable('timeout')));
+				finish(Effect.fail(unavailable('timeout')));
 			}, wait + answerTimeout);
-			const end = (outcome: Effect.Effect<void, StoreUnavailable>) => {
+			const finish = (outcome: Effect.Effect<void, StoreUnavailable>) => {
 				clearTimeout(due);
 				clearTimeout(timeout);
-				this.store.withdraw(waiting);
+				this.store.removeWatch(waiting);
 				this.waiting = this.waiting === waiting ? undefined : this.waiting;
 				resume(outcome);
 			};
 
-			this.store.join(waiting);
+			this.store.addWatch(waiting);
 			if (kind === modelReplicaKind) {
 				this.waiting = waiting;
 			}
 		});
 	}
 
-	private call<Answer>(answer: () => Answer, isLosable = true): Effect.Effect<Answer, StoreUnavailable> {
+	private call<Answer>(answer: () => Answer, canFail = true): Effect.Effect<Answer, StoreUnavailable> {
 		return Effect.suspend(() => {
-			const fault = this.store.outage ?? (isLosable ? this.next : undefined);
-			this.next = isLosable ? undefined : this.next;
+			const fault = this.store.outage ?? (canFail ? this.nextFault : undefined);
+			this.nextFault = canFail ? undefined : this.nextFault;
 			if (fault === 'silent') {
 				return Effect.sleep(answerTimeout).pipe(Effect.andThen(Effect.fail(unavailable('timeout'))));
 			}
--- a/development/harness/moved-clock.ts
+++ b/development/harness/moved-clock.ts
@@ -8,7 +8,7 @@
 	/** Offset of the wall clock from the monotonic clock, in milliseconds. */
 	shift = 0;
 
-	private wokenAt = Number.NEGATIVE_INFINITY;
+	private resumedAt = Number.NEGATIVE_INFINITY;
 
 	/** @param now - Initial monotonic time in milliseconds. */
 	constructor(public now = 0) {
@@ -24,13 +24,13 @@
 	}
 
 	override lastResumedAt(): number {
-		return this.wokenAt;
+		return this.resumedAt;
 	}
 
 	/** @param time - Milliseconds for which the machine is suspended; only the wall clock advances meanwhile. */
 	suspend(time: number): void {
 		this.shift += time;
 		this.now++;
-		this.wokenAt = this.now;
+		this.resumedAt = this.now;
 	}
 }
--- a/development/harness/test/caller.test.ts
+++ b/development/harness/test/caller.test.ts
@@ -43,7 +43,7 @@
 	assert.equal(await judge(...events, done), 'answered');
 });
 
-const wrong: Readonly<Record<string, readonly string[]>> = {
+const faultyStreams: Readonly<Record<string, readonly string[]>> = {
 	'with an event appended to a part of the previous one': [events[0]!, `${events[1]!.slice(0, 1)}${events[1]!}`, events[2]!, events[3]!, done],
 	'with an event appended to a truncated copy of itself': [events[0]!, `${events[1]!.slice(0, -20)}${events[1]!}`, events[2]!, events[3]!, done],
 	'with an event without an id': [events[0]!, tokenEvent(frame, 1), events[2]!, events[3]!, done],
@@ -58,7 +58,7 @@
 	'that ends before the last token': [events[0]!, done],
 };
 
-for (const [name, parts] of Object.entries(wrong)) {
+for (const [name, parts] of Object.entries(faultyStreams)) {
 	test(`a stream ${name} counts as misdelivered`, async () => {
 		assert.equal(await judge(...parts), 'misdelivered');
 	});
--- a/development/harness/test/reset-connection.test.ts
+++ b/development/harness/test/reset-connection.test.ts
@@ -25,11 +25,11 @@
 });
 `;
 /** Milliseconds after which a process that has not exited is killed. */
-const patience = 20_000;
+const exitTimeout = 20_000;
 
 test('a process exits by itself after it resets a connection that is ending', async () => {
 	const child = spawn(process.execPath, ['--input-type=module', '-e', program], {stdio: 'ignore'});
-	const timer = setTimeout(() => child.kill('SIGKILL'), patience);
+	const timer = setTimeout(() => child.kill('SIGKILL'), exitTimeout);
 	const exit: readonly unknown[] = await once(child, 'exit');
 	clearTimeout(timer);
 	assert.equal(exit[0], 0);
