--- a/development/relay/relay-installation.ts
+++ b/development/relay/relay-installation.ts
@@ -116,7 +116,7 @@
 const portsInBlock = 500;
 const blocks = 34;
 
-let portsGiven = 0;
+let assignedPorts = 0;
 let attempts = 0;
 
 /** A deployment of relays and replicas for tests. */
@@ -142,9 +142,9 @@
 	private prepare: ((replica: ReplicaStandin) => void) | undefined;
 	private version = 0;
 	/** Start time of each replica, in milliseconds since the Unix epoch. */
-	private readonly born = new Map<string, number>();
+	private readonly startTimes = new Map<string, number>();
 	private crashMark: string | undefined;
-	private onEnd: ((id: string) => void) | undefined;
+	private onCrash: ((id: string) => void) | undefined;
 	private restarts: ReadonlyArray<Promise<void>> = [];
 	private isClosing = false;
 
@@ -181,8 +181,8 @@
 		this.replicas.set(id, replica);
 		this.everyReplica.push(replica);
 		this.prepare?.(replica);
-		this.born.set(id, Date.now());
-		this.arm(id, replica);
+		this.startTimes.set(id, Date.now());
+		this.setCrashMark(id, replica);
 		this.list(id, entry);
 		return replica;
 	}
@@ -195,7 +195,7 @@
 	 */
 	list(id: string, entry: Readonly<Record<string, unknown>> = {}): void {
 		this.entries.set(id, {
-			service: 'plain', addr: `127.0.0.1:${this.replicas.get(id)!.port}`, zone: 'zone-1', slots: 8, state: 'ready', seq: 1, born: this.born.get(id), version: 1, ...entry,
+			service: 'plain', addr: `127.0.0.1:${this.replicas.get(id)!.port}`, zone: 'zone-1', slots: 8, state: 'ready', seq: 1, born: this.startTimes.get(id), version: 1, ...entry,
 		});
 		this.store.put(replicaKind, id, this.entries.get(id));
 	}
@@ -213,13 +213,13 @@
 	 * does after three missed heartbeats, and the replica restarts under the same id.
 	 *
 	 * @param mark - Text that such a body contains.
-	 * @param onEnd - Called at each crash with the id of the replica.
+	 * @param onCrash - Called at each crash with the id of the replica.
 	 */
-	crashOn(mark: string, onEnd: (id: string) => void): void {
+	crashOn(mark: string, onCrash: (id: string) => void): void {
 		this.crashMark = mark;
-		this.onEnd = onEnd;
+		this.onCrash = onCrash;
 		for (const [id, replica] of this.replicas) {
-			this.arm(id, replica);
+			this.setCrashMark(id, replica);
 		}
 	}
 
@@ -319,12 +319,12 @@
 		await this.replicas.get(id)!.close();
 	}
 
-	private arm(id: string, replica: ReplicaStandin): void {
+	private setCrashMark(id: string, replica: ReplicaStandin): void {
 		const {crashMark: mark} = this;
 		if (mark !== undefined) {
 			replica.crashMark = {
-				mark, delay: crashDelay, onEnd: () => {
-					this.onEnd?.(id);
+				mark, delay: crashDelay, onCrash: () => {
+					this.onCrash?.(id);
 					this.restarts = [...this.restarts, this.restart(id)];
 				},
 			};
@@ -346,14 +346,14 @@
 /**
  * Waits until a condition is met.
  *
- * @param holds - The condition, checked every 10 ms.
- * @param patience - Timeout in milliseconds.
+ * @param isMet - The condition, checked every 10 ms.
+ * @param timeout - Timeout in milliseconds.
  */
-export async function until(holds: () => boolean, patience = 15_000): Promise<void> {
-	const end = performance.now() + patience;
-	while (!holds()) {
+export async function until(isMet: () => boolean, timeout = 15_000): Promise<void> {
+	const end = performance.now() + timeout;
+	while (!isMet()) {
 		if (performance.now() > end) {
-			throw new Error(`condition not met within ${patience} ms: ${holds.toString()}`);
+			throw new Error(`condition not met within ${timeout} ms: ${isMet.toString()}`);
 		}
 
 		await pause(10);
@@ -362,8 +362,8 @@
 
 /** @returns A TCP port on loopback that is free and outside the range of outgoing connections; a different port at each call. */
 export async function freePort(): Promise<number> {
-	const port = firstPort + ((process.pid % blocks) * portsInBlock) + (portsGiven % portsInBlock);
-	portsGiven++;
+	const port = firstPort + ((process.pid % blocks) * portsInBlock) + (assignedPorts % portsInBlock);
+	assignedPorts++;
 	const server = createServer();
 	const isFree = await new Promise<boolean>(resolve => {
 		server.once('error', () => {
--- a/development/relay/replica-standin.ts
+++ b/development/relay/replica-standin.ts
@@ -39,7 +39,7 @@
 	/** Milliseconds from the request to the crash. */
 	readonly delay: number;
 	/** Called at the crash, before the connections are closed. */
-	readonly onEnd: () => void;
+	readonly onCrash: () => void;
 };
 
 /** A request that a replica received, whether it ran or was refused. */
@@ -63,10 +63,10 @@
 
 const millisecondsPerSecond = 1000;
 /** Number of bytes of an event that are sent before a cut inside it. */
-const partOfEvent = 14;
+const cutEventBytes = 14;
 /** Faults that apply to streams; with any other fault, a request for a stream gets a plain response with that fault. */
 const streamFaults: ReadonlySet<ReplicaConduct['fault']> = new Set(['none', 'cut-stream', 'mute-stream']);
-const calm: ReplicaConduct = {
+const defaultConduct: ReplicaConduct = {
 	delay: 5, events: 0, gap: 5, stream: wholeStream, fault: 'none',
 };
 
@@ -108,7 +108,7 @@
 	readonly seen: SeenRequest[] = [];
 	/** Number of connections opened to the replica so far. */
 	connections = 0;
-	conduct: ReplicaConduct = calm;
+	conduct: ReplicaConduct = defaultConduct;
 	/** Value of `Server-Limit`: requests per second that it accepts from all boxes together, also sent with faults; `undefined` omits the header. */
 	limit: string | undefined;
 	/** Whether responses announce that the replica is leaving. */
@@ -124,7 +124,7 @@
 	/** Whether responses also name their request, so that responses to different requests differ. */
 	namesRequests = false;
 	private server!: Server;
-	private readonly unframed = new Set<Socket>();
+	private readonly unframedSockets = new Set<Socket>();
 
 	private constructor(readonly id: string) {}
 
@@ -147,7 +147,7 @@
 	 * @param changes - Fields that differ from the default conduct.
 	 */
 	behave(changes: Partial<ReplicaConduct>): void {
-		this.conduct = {...calm, ...changes};
+		this.conduct = {...defaultConduct, ...changes};
 	}
 
 	/** @returns Number of open connections to the replica. */
@@ -161,7 +161,7 @@
 
 	/** Stops and closes all connections. Responses without a length end by a reset, because a close would mark them as complete. */
 	async close(): Promise<void> {
-		for (const socket of this.unframed) {
+		for (const socket of this.unframedSockets) {
 			resetConnection(socket);
 		}
 
@@ -187,7 +187,7 @@
 		response.once('close', () => {
 			seen.isAbandoned = !response.writableFinished;
 		});
-		const own = {
+		const commonHeaders = {
 			'Attempt-Id': id,
 			'Server-Stamp': stampOf(this.id),
 			...(this.limit === undefined ? {} : {'Server-Limit': this.limit}),
@@ -195,7 +195,7 @@
 			...(isShed ? {'Retry-After': shedding.retryAfter} : {}),
 		};
 		if (!hasRun) {
-			response.writeHead(isElsewhere ? 421 : 503, {...own, 'Not-Executed': '1', 'Content-Length': '0'}).end();
+			response.writeHead(isElsewhere ? 421 : 503, {...commonHeaders, 'Not-Executed': '1', 'Content-Length': '0'}).end();
 			return;
 		}
 
@@ -204,7 +204,7 @@
 			await pause(crashMark.delay);
 			// Several such requests at once crash the replica only once.
 			if (this.server.listening) {
-				crashMark.onEnd();
+				crashMark.onCrash();
 				await this.close();
 			}
 
@@ -214,18 +214,18 @@
 		await pause(conduct.delay);
 		const events = this.streamEvents > 0 && request.url.pathname.startsWith('/stream/') ? this.streamEvents : conduct.events;
 		if (events > 0 && streamFaults.has(conduct.fault)) {
-			const isRight = await this.stream(request, {...conduct, events}, own);
+			const isRight = await this.stream(request, {...conduct, events}, commonHeaders);
 			response.once('finish', () => {
 				seen.isRightStream = isRight;
 			});
 			return;
 		}
 
-		this.answerWhole(request, conduct, own);
+		this.answerPlain(request, conduct, commonHeaders);
 	}
 
-	private answerWhole({response, incoming}: StandinRequest, {fault}: ReplicaConduct, own: Readonly<Record<string, string>>): void {
-		const body = wholeAnswerOf(this.makerFor(own['Attempt-Id']!));
+	private answerPlain({response, incoming}: StandinRequest, {fault}: ReplicaConduct, commonHeaders: Readonly<Record<string, string>>): void {
+		const body = wholeAnswerOf(this.producerFor(commonHeaders['Attempt-Id']!));
 		const length = {'Content-Length': String(body.length)};
 		switch (fault) {
 			case 'mute': {
@@ -238,34 +238,34 @@
 			}
 
 			case 'cut': {
-				response.writeHead(200, {...own, 'Content-Length': String(body.length + 10)});
+				response.writeHead(200, {...commonHeaders, 'Content-Length': String(body.length + 10)});
 				response.write(body, () => response.socket?.destroy());
 				return;
 			}
 
 			case 'wrong-id': {
-				response.writeHead(200, {...own, ...length, 'Attempt-Id': 'another'}).end(body);
+				response.writeHead(200, {...commonHeaders, ...length, 'Attempt-Id': 'another'}).end(body);
 				return;
 			}
 
 			case 'encoded': {
-				response.writeHead(200, {...own, ...length, 'Content-Encoding': 'gzip'}).end(body);
+				response.writeHead(200, {...commonHeaders, ...length, 'Content-Encoding': 'gzip'}).end(body);
 				return;
 			}
 
 			case 'error': {
-				response.writeHead(500, {...own, ...length}).end(body);
+				response.writeHead(500, {...commonHeaders, ...length}).end(body);
 				return;
 			}
 
 			case 'extra': {
-				response.writeHead(200, {...own, ...length}).end(body);
+				response.writeHead(200, {...commonHeaders, ...length}).end(body);
 				response.socket?.write('HTTP/1.1 200 OK\r\nAttempt-Id: late\r\nContent-Length: 4\r\n\r\nlate');
 				return;
 			}
 
 			case 'unframed': {
-				response.socket?.end(`HTTP/1.1 200 OK\r\nAttempt-Id: ${own['Attempt-Id']}\r\nServer-Stamp: ${own['Server-Stamp']}\r\n\r\n${body}`);
+				response.socket?.end(`HTTP/1.1 200 OK\r\nAttempt-Id: ${commonHeaders['Attempt-Id']}\r\nServer-Stamp: ${commonHeaders['Server-Stamp']}\r\n\r\n${body}`);
 				return;
 			}
 
@@ -276,7 +276,7 @@
 					resetConnection(socket);
 				};
 
-				socket.write(`HTTP/1.1 200 OK\r\nAttempt-Id: ${own['Attempt-Id']}\r\nServer-Stamp: ${own['Server-Stamp']}\r\n\r\n${body.slice(0, 4)}`, () => {
+				socket.write(`HTTP/1.1 200 OK\r\nAttempt-Id: ${commonHeaders['Attempt-Id']}\r\nServer-Stamp: ${commonHeaders['Server-Stamp']}\r\n\r\n${body.slice(0, 4)}`, () => {
 					if (fault === 'unframed-crash') {
 						// Resets at once, so that the data and the reset arrive together.
 						reset();
@@ -288,35 +288,35 @@
 			}
 
 			default: {
-				response.writeHead(200, {...own, ...length}).end(body);
+				response.writeHead(200, {...commonHeaders, ...length}).end(body);
 			}
 		}
 	}
 
-	private makerFor(request: string): string {
+	private producerFor(request: string): string {
 		return this.namesRequests ? makerOf(this.id, request) : this.id;
 	}
 
-	private async stream({response, headers, body, incoming: {socket}}: StandinRequest, conduct: ReplicaConduct, own: Readonly<Record<string, string>>): Promise<boolean> {
+	private async stream({response, headers, body, incoming: {socket}}: StandinRequest, conduct: ReplicaConduct, commonHeaders: Readonly<Record<string, string>>): Promise<boolean> {
 		const {events, gap} = conduct;
-		const script = {...streamOf(conduct), ...this.scriptOf?.(body)};
+		const script = {...streamConductOf(conduct), ...this.scriptOf?.(body)};
 		if (script.framing === 'none') {
-			this.unframed.add(socket);
-			socket.once('close', () => this.unframed.delete(socket));
+			this.unframedSockets.add(socket);
+			socket.once('close', () => this.unframedSockets.delete(socket));
 		}
 
 		return StreamWriter.create(response, {
-			conduct: script, replica: this.makerFor(own['Attempt-Id']!), events, gap, after: Number(headers[header.lastEvent] ?? 0), headers: own,
+			conduct: script, replica: this.producerFor(commonHeaders['Attempt-Id']!), events, gap, after: Number(headers[header.lastEvent] ?? 0), headers: commonHeaders,
 		}).write();
 	}
 }
 
 /** @returns How to write a stream, with a fault of the stream placed at its middle event. */
-function streamOf({stream, fault, events}: ReplicaConduct): StreamConduct {
+function streamConductOf({stream, fault, events}: ReplicaConduct): StreamConduct {
 	const middle = Math.floor(events / 2) + 1;
 	switch (fault) {
 		case 'cut-stream': {
-			return {...stream, breaksAt: {event: middle, bytes: partOfEvent}};
+			return {...stream, breaksAt: {event: middle, bytes: cutEventBytes}};
 		}
 
 		case 'mute-stream': {
--- a/development/relay/steady-clients.ts
+++ b/development/relay/steady-clients.ts
@@ -29,22 +29,22 @@
 	/** Responses that the clients received, in order of arrival. */
 	readonly views: ClientView[] = [];
 	private requests = 0;
-	private readonly over = new AbortController();
+	private readonly stopping = new AbortController();
 	private readonly sending: Promise<unknown>;
 
 	private constructor(private readonly installation: RelayInstallation, private readonly load: SteadyLoad) {
-		this.sending = Promise.all(Array.from({length: load.clients}, async (_, client) => this.callOn(client)));
+		this.sending = Promise.all(Array.from({length: load.clients}, async (_, client) => this.sendRequests(client)));
 	}
 
 	/** Stops sending and waits for the outstanding responses. */
 	async stop(): Promise<void> {
-		this.over.abort();
+		this.stopping.abort();
 		await this.sending;
 	}
 
-	private async callOn(client: number): Promise<void> {
+	private async sendRequests(client: number): Promise<void> {
 		const {relays, headers, pause: interval} = this.load;
-		for (let count = 0; !this.over.signal.aborted; count++) {
+		for (let count = 0; !this.stopping.signal.aborted; count++) {
 			const relay = relays[(client + count) % relays.length]!;
 			this.requests++;
 			this.views.push(await this.installation.call({path: `/calls/${client}`, headers: headers?.(relay, this.requests)}, relay));
--- a/development/relay/store-standin.ts
+++ b/development/relay/store-standin.ts
@@ -9,12 +9,12 @@
 } from '../standins/standin-server.js';
 
 /** An object in the store's wire format. */
-type Held = {
+type StoredObject = {
 	readonly meta: {readonly name: string; readonly rev: number};
 	readonly spec: unknown;
 };
 
-type Happened = {readonly kind: string; readonly object: Held; readonly gone: boolean; readonly rev: number};
+type RecordedChange = {readonly kind: string; readonly object: StoredObject; readonly gone: boolean; readonly rev: number};
 
 type Watcher = {
 	readonly kind: string;
@@ -44,8 +44,8 @@
 /** A backup of the store. */
 export type StoreCopy = {
 	readonly revision: number;
-	readonly objects: ReadonlyMap<string, ReadonlyMap<string, Held>>;
-	readonly history: readonly Happened[];
+	readonly objects: ReadonlyMap<string, ReadonlyMap<string, StoredObject>>;
+	readonly history: readonly RecordedChange[];
 	readonly forgottenUpTo: number;
 };
 
@@ -80,10 +80,10 @@
 	/** Incremented each time the store is restored from a backup. */
 	era = 1;
 	private server!: Server;
-	private readonly doorServers: Server[] = [];
+	private readonly listenerServers: Server[] = [];
 	private revision = 1;
-	private objects = new Map<string, Map<string, Held>>();
-	private history: readonly Happened[] = [];
+	private objects = new Map<string, Map<string, StoredObject>>();
+	private history: readonly RecordedChange[] = [];
 	private forgottenUpTo = 0;
 	private watchers: readonly Watcher[] = [];
 
@@ -107,7 +107,7 @@
 				sendJson(request.response, door.turnsAway);
 			}
 		});
-		this.doorServers.push(server);
+		this.listenerServers.push(server);
 		const door: StoreDoor = {port: portOf(server), turnsAway: undefined, isShut: false};
 		return door;
 	}
@@ -119,13 +119,13 @@
 	 * @param name - Its name.
 	 * @param spec - Its content.
 	 */
-	put(kind: string, name: string, spec: unknown): Held {
+	put(kind: string, name: string, spec: unknown): StoredObject {
 		this.revision++;
-		const held: Held = {meta: {name, rev: this.revision}, spec};
-		const objects = this.objects.get(kind) ?? new Map<string, Held>();
+		const held: StoredObject = {meta: {name, rev: this.revision}, spec};
+		const objects = this.objects.get(kind) ?? new Map<string, StoredObject>();
 		this.objects.set(kind, objects);
 		objects.set(name, held);
-		this.happen(kind, held, false);
+		this.recordChange(kind, held, false);
 		return held;
 	}
 
@@ -140,7 +140,7 @@
 		if (held) {
 			this.revision++;
 			this.objects.get(kind)!.delete(name);
-			this.happen(kind, {...held, meta: {name, rev: this.revision}}, true);
+			this.recordChange(kind, {...held, meta: {name, rev: this.revision}}, true);
 		}
 	}
 
@@ -192,7 +192,7 @@
 
 	/** Closes all connections and stops. */
 	async close(): Promise<void> {
-		await Promise.all([this.server, ...this.doorServers].map(async server => {
+		await Promise.all([this.server, ...this.listenerServers].map(async server => {
 			server.closeAllConnections();
 			await new Promise(resolve => {
 				server.close(resolve);
@@ -209,7 +209,7 @@
 		this.watchers = [];
 	}
 
-	private happen(kind: string, object: Held, gone: boolean): void {
+	private recordChange(kind: string, object: StoredObject, gone: boolean): void {
 		this.history = [...this.history.slice(-500), {
 			kind, object, gone, rev: this.revision,
 		}];
@@ -235,7 +235,7 @@
 		}
 
 		if (url.pathname === path.usage || url.pathname === path.scale) {
-			this.takeDuty(request);
+			this.recordDutyCall(request);
 			return;
 		}
 
@@ -248,7 +248,7 @@
 		this.write(request, kind, name);
 	}
 
-	private takeDuty({url, headers, body, response}: StandinRequest): void {
+	private recordDutyCall({url, headers, body, response}: StandinRequest): void {
 		this.dutyCalls.push({
 			path: url.pathname, holder: String(headers[header.holder]), fence: Number(headers[header.fence]), body: JSON.parse(body) as DutyCall['body'],
 		});
@@ -298,12 +298,12 @@
 		sendJson(response, 200, {events, at: this.revision});
 	}
 
-	private write(request: StandinRequest, kind: string, named: string | undefined): void {
+	private write(request: StandinRequest, kind: string, nameInPath: string | undefined): void {
 		const {method, url, body, response} = request;
 		if (method === 'DELETE') {
-			const isCurrent = this.objects.get(kind)?.get(named ?? '')?.meta.rev === Number(url.searchParams.get('rev'));
+			const isCurrent = this.objects.get(kind)?.get(nameInPath ?? '')?.meta.rev === Number(url.searchParams.get('rev'));
 			if (isCurrent) {
-				this.remove(kind, named ?? '');
+				this.remove(kind, nameInPath ?? '');
 			}
 
 			sendJson(response, isCurrent ? 200 : 409, {});
@@ -311,7 +311,7 @@
 		}
 
 		const {meta, spec} = JSON.parse(body) as {readonly meta: {readonly name?: string; readonly rev?: number}; readonly spec: unknown};
-		const name = named ?? meta.name ?? '';
+		const name = nameInPath ?? meta.name ?? '';
 		const held = this.objects.get(kind)?.get(name);
 		const isConflict = method === 'POST' ? held !== undefined : held?.meta.rev !== meta.rev;
 		if (isConflict) {
--- a/development/relay/stream-writer.ts
+++ b/development/relay/stream-writer.ts
@@ -51,7 +51,7 @@
 /** Milliseconds before a reset, so that the client reads the written data, which a reset would discard. */
 const resetDelay = 15;
 /** Lowest byte value that begins a multi-byte character in UTF-8. */
-const firstOfSeveral = 0xC0;
+const minLeadByte = 0xC0;
 
 /**
  * @param replica - Text that identifies the producer.
@@ -72,7 +72,7 @@
 	}
 
 	/** Events that are buffered until the next event is written. */
-	private held: Uint8Array = Buffer.alloc(0);
+	private buffered: Uint8Array = Buffer.alloc(0);
 
 	private constructor(private readonly response: ServerResponse, private readonly order: StreamOrder) {}
 
@@ -84,7 +84,7 @@
 	async write(): Promise<boolean> {
 		const {conduct, events, gap} = this.order;
 		this.begin();
-		for (const [index, event] of this.numbers.entries()) {
+		for (const [index, event] of this.eventNumbers.entries()) {
 			if (this.response.destroyed || event >= (conduct.silentFrom ?? Number.POSITIVE_INFINITY)) {
 				return false;
 			}
@@ -95,10 +95,10 @@
 			}
 
 			const isHeld = conduct.pieces === 'together' && index % 2 === 0 && event < events && event + 1 !== conduct.breaksAt?.event;
-			this.held = Buffer.concat([this.held, Buffer.from(this.textOf(event))]);
+			this.buffered = Buffer.concat([this.buffered, Buffer.from(this.textOf(event))]);
 			if (!isHeld) {
-				await this.writePieces(this.held);
-				this.held = Buffer.alloc(0);
+				await this.writePieces(this.buffered);
+				this.buffered = Buffer.alloc(0);
 				await pause(gap);
 			}
 		}
@@ -109,11 +109,11 @@
 
 	private get isRight(): boolean {
 		const {conduct: {nameless}, after, events} = this.order;
-		const {numbers} = this;
+		const {eventNumbers: numbers} = this;
 		return numbers.length === events - after && numbers.every((event, index) => event === after + index + 1 && event !== nameless);
 	}
 
-	private get numbers(): readonly number[] {
+	private get eventNumbers(): readonly number[] {
 		const {conduct: {goesOn, leftOut}, after, events} = this.order;
 		const skipped = goesOn === 'too-far' && after > 0 && after + 1 < events ? 1 : 0;
 		const first = goesOn === 'anew' ? 1 : after + 1 + skipped;
@@ -138,17 +138,17 @@
 	}
 
 	private async writePieces(bytes: Uint8Array): Promise<void> {
-		const ends = this.endsOfPieces(bytes);
+		const ends = this.pieceEnds(bytes);
 		for (const [index, end] of ends.entries()) {
 			const piece = bytes.subarray(ends[index - 1] ?? 0, end);
 			if (piece.length > 0 && !this.response.destroyed) {
-				this.put(piece);
+				this.writeBytes(piece);
 				await pause(ends.length > 1 ? pieceGap : 0);
 			}
 		}
 	}
 
-	private endsOfPieces(bytes: Uint8Array): readonly number[] {
+	private pieceEnds(bytes: Uint8Array): readonly number[] {
 		switch (this.order.conduct.pieces) {
 			case 'first-apart': {
 				return [1, bytes.length];
@@ -159,7 +159,7 @@
 			}
 
 			case 'in-character': {
-				return [bytes.findIndex(byte => byte >= firstOfSeveral) + 1, bytes.length];
+				return [bytes.findIndex(byte => byte >= minLeadByte) + 1, bytes.length];
 			}
 
 			default: {
@@ -168,7 +168,7 @@
 		}
 	}
 
-	private put(piece: Uint8Array): void {
+	private writeBytes(piece: Uint8Array): void {
 		if (this.order.conduct.framing === 'chunked') {
 			this.response.write(piece);
 		} else {
