--- a/development/standins/event-writer.ts
+++ b/development/standins/event-writer.ts
@@ -32,7 +32,7 @@
 
 	private isBroken = false;
 	/** Completion of the last write that was queued; later writes wait for it. */
-	private last: Promise<void> | undefined;
+	private lastWrite: Promise<void> | undefined;
 
 	private constructor(
 		private readonly response: ServerResponse,
@@ -53,12 +53,12 @@
 		// At least one byte is sent, and at least one is missing.
 		const end = this.isBroken ? 1 + Math.floor(this.random() * (bytes.length - 1)) : bytes.length;
 		const pieces = this.piecesOf(bytes.subarray(0, end));
-		if (pieces.length === 1 && this.last === undefined && !this.isBroken) {
+		if (pieces.length === 1 && this.lastWrite === undefined && !this.isBroken) {
 			this.response.write(bytes);
 			return;
 		}
 
-		this.afterThose(async () => {
+		this.enqueue(async () => {
 			for (const piece of pieces) {
 				this.response.write(piece);
 				await pause(pieceGap);
@@ -78,12 +78,12 @@
 			return;
 		}
 
-		if (this.last === undefined) {
+		if (this.lastWrite === undefined) {
 			this.response.end(event);
 			return;
 		}
 
-		this.afterThose(async () => {
+		this.enqueue(async () => {
 			this.response.end(event);
 		});
 	}
@@ -95,9 +95,9 @@
 		return ends.map((end, index) => bytes.subarray(ends[index - 1] ?? 0, end)).filter(({length}) => length > 0);
 	}
 
-	private afterThose(write: () => Promise<void>): void {
-		const before = this.last ?? Promise.resolve();
-		this.last = before.then(async () => this.response.destroyed ? undefined : write());
+	private enqueue(write: () => Promise<void>): void {
+		const before = this.lastWrite ?? Promise.resolve();
+		this.lastWrite = before.then(async () => this.response.destroyed ? undefined : write());
 	}
 
 	/** Closes or resets the connection, with equal probability. */
--- a/development/standins/model-engine.ts
+++ b/development/standins/model-engine.ts
@@ -153,7 +153,7 @@
 			}
 
 			case '/orders': {
-				this.obey(JSON.parse(body) as {readonly generation: number}, response);
+				this.handleOrder(JSON.parse(body) as {readonly generation: number}, response);
 				break;
 			}
 
@@ -337,7 +337,7 @@
 	}
 
 	private async importCache(from: {readonly request: string; readonly host: string; readonly port: number}, response: ServerResponse): Promise<void> {
-		const tokens = await exportedTokens(from);
+		const tokens = await fetchExportedTokens(from);
 		if (tokens !== undefined) {
 			this.imported.set(from.request, tokens);
 		}
@@ -345,7 +345,7 @@
 		sendJson(response, tokens === undefined ? 502 : 200, {tokens});
 	}
 
-	private obey(order: {readonly generation: number}, response: ServerResponse): void {
+	private handleOrder(order: {readonly generation: number}, response: ServerResponse): void {
 		if (this.traits.isFenced && order.generation < this.generation) {
 			sendJson(response, 409, {error: 'a newer generation has given orders'});
 			return;
@@ -367,7 +367,7 @@
 }
 
 /** @returns Number of tokens that another engine has cached for a request; `undefined` if it gives no complete response. */
-async function exportedTokens({host, port, request}: {readonly request: string; readonly host: string; readonly port: number}): Promise<number | undefined> {
+async function fetchExportedTokens({host, port, request}: {readonly request: string; readonly host: string; readonly port: number}): Promise<number | undefined> {
 	try {
 		const answer = await fetch(`http://${host}:${port}/kv/export?request=${encodeURIComponent(request)}`);
 		const {tokens} = await answer.json() as {readonly tokens?: number};
--- a/development/standins/platform.ts
+++ b/development/standins/platform.ts
@@ -40,7 +40,7 @@
 		this.tokens = rate;
 	}
 
-	take(): boolean {
+	tryAcquire(): boolean {
 		const now = performance.now();
 		this.tokens = Math.min(this.rate, this.tokens + ((now - this.refilledAt) / 1000 * this.rate));
 		this.refilledAt = now;
@@ -136,7 +136,7 @@
 		}
 
 		const limit = request.method === 'GET' ? this.readLimit : this.writeLimit;
-		if (!limit.take()) {
+		if (!limit.tryAcquire()) {
 			this.calls.throttled++;
 			sendJson(request.response, 429, {error: 'rate limit'});
 			return;
