--- a/development/harness/fault-proxy.ts
+++ b/development/harness/fault-proxy.ts
@@ -69,8 +69,8 @@
 		if (fault.kind !== 'freeze') {
 			const released = this.heldWrites;
 			this.heldWrites = [];
-			for (const forward of released) {
-				forward();
+			for (const write of released) {
+				write();
 			}
 		}
 	}
@@ -109,12 +109,12 @@
 			socket.setNoDelay(true);
 			// Forwards delayed data before the close.
 			socket.on('error', closePair).on('close', () => {
-				this.pass(closePair);
+				this.forward(closePair);
 			});
 		}
 
 		caller.on('data', (chunk: Uint8Array) => {
-			this.pass(() => target.write(chunk));
+			this.forward(() => target.write(chunk));
 		});
 		target.on('data', (chunk: Uint8Array) => {
 			this.forwardResponse(pair, chunk);
@@ -136,12 +136,12 @@
 			}
 
 			default: {
-				this.pass(() => caller.write(chunk));
+				this.forward(() => caller.write(chunk));
 			}
 		}
 	}
 
-	private pass(write: () => unknown): void {
+	private forward(write: () => unknown): void {
 		switch (this.currentFault.kind) {
 			case 'freeze': {
 				this.heldWrites.push(write);
--- a/development/relay/relay-installation.ts
+++ b/development/relay/relay-installation.ts
@@ -274,12 +274,12 @@
 				yield * Effect.never;
 			})));
 		});
-		const end = async () => {
+		const kill = async () => {
 			await Effect.runPromise(Fiber.interrupt(fiber!));
 		};
 
 		return {
-			name, node, port: front!, readyPort: ready!, log, metrics, end,
+			name, node, port: front!, readyPort: ready!, log, metrics, end: kill,
 		};
 	}
 
@@ -303,7 +303,7 @@
 	/** Stops all relays, replicas and the store. */
 	async close(): Promise<void> {
 		this.isClosing = true;
-		await Promise.all(this.relays.map(async ({end}) => end()));
+		await Promise.all(this.relays.map(async ({end: kill}) => kill()));
 		await Promise.all(this.restarts);
 		await Promise.all([...this.replicas.values()].map(async replica => replica.close()));
 		await this.store.close();
