--- a/development/harness/caller.ts
+++ b/development/harness/caller.ts
@@ -81,7 +81,7 @@
 		return new Caller(apiKey, ports);
 	}
 
-	private turn = 0;
+	private requestCount = 0;
 
 	private constructor(private readonly apiKey: string, private readonly ports: () => readonly number[]) {}
 
@@ -94,7 +94,7 @@
 	async chat(chat: Chat): Promise<Result> {
 		const receiver = new StreamReceiver(chat);
 		for (let tries = 1; tries <= maxAttempts; tries++) {
-			const ended = await this.tryChat(chat, receiver);
+			const ended = await this.attemptChat(chat, receiver);
 			if (ended) {
 				return {
 					judgement: ended, timing: receiver.timing, tries, restarts: receiver.restarts,
@@ -144,7 +144,7 @@
 	}
 
 	/** @returns The outcome, or `undefined` if another attempt is needed. */
-	private async tryChat(chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
+	private async attemptChat(chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
 		const body = JSON.stringify({
 			model: chat.model, messages: chat.messages, max_tokens: chat.maximumTokens, stream: chat.isStreamed,
 		});
@@ -160,7 +160,7 @@
 		const {incoming} = answer;
 		if (incoming.statusCode !== 200) {
 			const text = await readText(incoming);
-			return text === undefined ? undefined : this.afterRefusal(JSON.parse(text) as Problem, incoming, chat, receiver);
+			return text === undefined ? undefined : this.handleRefusal(JSON.parse(text) as Problem, incoming, chat, receiver);
 		}
 
 		if (!chat.isStreamed) {
@@ -177,7 +177,7 @@
 		return receiver.judge();
 	}
 
-	private async afterRefusal(problem: Problem, incoming: IncomingMessage, chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
+	private async handleRefusal(problem: Problem, incoming: IncomingMessage, chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
 		if (problem.reason === 'record-lost') {
 			// Discards the partial response and requests it again: a record may be lost if its box stops without notice.
 			receiver.restart();
@@ -212,8 +212,8 @@
 
 	private async send(path: string, body: string | undefined, headers: Readonly<Record<string, string>>): Promise<Head | undefined> {
 		const ports = this.ports();
-		this.turn++;
-		const port = ports[this.turn % Math.max(1, ports.length)];
+		this.requestCount++;
+		const port = ports[this.requestCount % Math.max(1, ports.length)];
 		if (port === undefined) {
 			return undefined;
 		}
--- a/development/harness/model-metadata-store.ts
+++ b/development/harness/model-metadata-store.ts
@@ -223,15 +223,15 @@
 	}
 
 	override create(): Effect.Effect<StoredObject, StoreUnavailable | RevisionConflict> {
-		return Effect.die('boxes write nothing here');
+		return Effect.die('the simulated boxes do not write to the store');
 	}
 
 	override replace(): Effect.Effect<StoredObject, StoreUnavailable | RevisionConflict> {
-		return Effect.die('boxes write nothing here');
+		return Effect.die('the simulated boxes do not write to the store');
 	}
 
 	override remove(): Effect.Effect<void, StoreUnavailable | RevisionConflict> {
-		return Effect.die('boxes write nothing here');
+		return Effect.die('the simulated boxes do not write to the store');
 	}
 
 	private untilChange(kind: string, wait: number): Effect.Effect<void, StoreUnavailable> {
