--- a/development/relay/relay-installation.ts
+++ b/development/relay/relay-installation.ts
@@ -81,7 +81,7 @@
 	name: `r${path}`, host: testHost, path_prefix: path, kind: 'idempotent', timeout_ms: routeTimeout, goal_ms: 200, priority: 1, service: 'plain', max_attempts: 2, public: false, ...changes,
 });
 
-const usualRoutes = [
+const defaultRoutes = [
 	routeTo('/calls/'),
 	routeTo('/once/', {kind: 'non_idempotent', max_attempts: 1}),
 	routeTo('/stream/', {kind: 'streaming', resumable: true}),
@@ -160,7 +160,7 @@
 		this.version += 3;
 		this.store.put(configurationKind, configurationName, {
 			version: this.version,
-			routes: this.plan.routes ?? usualRoutes,
+			routes: this.plan.routes ?? defaultRoutes,
 			services: this.plan.services ?? [{name: 'plain', max_conns: 100}],
 			limits: {max_body_bytes: 4_194_304, header_timeout_ms: 3000, idle_timeout_ms: 15_000},
 			tenants: [{
