--- a/development/harness/caller.ts
+++ b/development/harness/caller.ts
@@ -1,6 +1,6 @@
 /**
- * A caller that behaves as docs/CALLERS.md asks: it names its requests, resumes streams, comes back when told
- * to, and checks every answer against what the stand-ins must have said.
+ * A client that follows docs/CALLERS.md: it sends an idempotency key with each request, resumes streams, retries after
+ * the time in `Retry-After`, and compares every response with the deterministic output of the stand-ins.
  */
 import {
 	Agent, request, type IncomingMessage,
@@ -10,34 +10,34 @@
 	expectedAnswer, seedOf, tokenEvent, type ChatMessage, type TokenFrame,
 } from '../standins/tokens.js';
 
-/** How a request ended, as its caller judges. */
+/** The outcome of a request, as its caller classifies it. */
 export type Judgement =
 	| {readonly kind: 'answered'}
 	| {readonly kind: 'refused'; readonly reason: string; readonly verdict: string}
-	/** Accepted, and then without an answer. */
+	/** The request was accepted but never answered. */
 	| {readonly kind: 'lost'; readonly detail: string}
-	/** Another request's answer, or parts missing or twice. */
+	/** The response belongs to another request, or has missing or duplicate parts. */
 	| {readonly kind: 'misdelivered'; readonly detail: string};
 
-/** What was measured on the way. */
+/** Latencies of a request. */
 export type Timing = {
-	/** Milliseconds to the first token. */
+	/** Milliseconds from the start of the request to the first token. */
 	readonly firstToken: number;
 	/** Milliseconds between tokens. */
 	readonly between: readonly number[];
 };
 
-/** An answer and how it was judged. */
+/** The outcome of a request with its measurements. */
 export type Result = {
 	readonly judgement: Judgement;
 	readonly timing: Timing;
-	/** Tries it took. */
+	/** Number of attempts, including the first. */
 	readonly tries: number;
-	/** Times the answer so far had to be dropped and asked for anew. */
+	/** Number of times a partial response was discarded and requested again from the beginning. */
 	readonly restarts: number;
 };
 
-/** A chat to ask for. */
+/** A chat completion request. */
 export type Chat = {
 	readonly model: string;
 	readonly messages: readonly ChatMessage[];
@@ -46,7 +46,7 @@
 	readonly key: string;
 };
 
-/** A call to make. */
+/** A call of a plain service. */
 export type Call = {
 	readonly service: string;
 	readonly path: string;
@@ -59,40 +59,42 @@
 type Head = {readonly incoming: IncomingMessage};
 
 const agent = new Agent({keepAlive: true, maxSockets: Infinity});
-const mostTries = 30;
-/** Looks for an answer that is being made at another box. */
-const mostLooks = 100;
-const pauseAfterCut = 100;
-const longestPause = 2000;
+const maxAttempts = 30;
+/** Maximum number of polls for a response that another box is producing. */
+const maxPolls = 100;
+/** Milliseconds before the next attempt after a broken connection. */
+const reconnectDelay = 100;
+/** Upper bound in milliseconds on the delay that `Retry-After` asks for. */
+const maxRetryDelay = 2000;
 const blankLine = '\n\n';
 const doneEvent = `data: [DONE]${blankLine}`;
 const errorStart = 'event: error\n';
 
-/** Calls through whatever entry boxes a balancer would choose. */
+/** Sends requests to the entry boxes in turn, as a load balancer does. */
 export class Caller {
 	/**
-	 * @param apiKey - Of its client account.
-	 * @param ports - Callers' ports of the boxes that are ready; asked anew for each try.
+	 * @param apiKey - API key of the client account.
+	 * @param ports - Returns the client-facing TCP ports of the ready boxes; called for each attempt.
 	 * @returns The caller.
 	 */
 	static create(apiKey: string, ports: () => readonly number[]): Caller {
 		return new Caller(apiKey, ports);
 	}
 
-	private turn = 0;
+	private requestCount = 0;
 
 	private constructor(private readonly apiKey: string, private readonly ports: () => readonly number[]) {}
 
 	/**
-	 * Asks for a chat completion until it is answered or refused for good.
+	 * Requests a chat completion and retries until it is answered or permanently refused.
 	 *
-	 * @param chat - What to ask for.
+	 * @param chat - The request.
 	 * @returns How it ended.
 	 */
 	async chat(chat: Chat): Promise<Result> {
 		const receiver = new StreamReceiver(chat);
-		for (let tries = 1; tries <= mostTries; tries++) {
-			const ended = await this.tryChat(chat, receiver);
+		for (let tries = 1; tries <= maxAttempts; tries++) {
+			const ended = await this.attemptChat(chat, receiver);
 			if (ended) {
 				return {
 					judgement: ended, timing: receiver.timing, tries, restarts: receiver.restarts,
@@ -101,14 +103,14 @@
 		}
 
 		return {
-			judgement: {kind: 'lost', detail: `no end after ${mostTries} tries`}, timing: receiver.timing, tries: mostTries, restarts: receiver.restarts,
+			judgement: {kind: 'lost', detail: `no outcome after ${maxAttempts} attempts`}, timing: receiver.timing, tries: maxAttempts, restarts: receiver.restarts,
 		};
 	}
 
 	/**
-	 * Calls a plain service; asks again only where it was told that the call did not run.
+	 * Calls a plain service; retries after a refusal only if it says that the call did not run.
 	 *
-	 * @param call - What to call.
+	 * @param call - The call.
 	 * @returns How it ended.
 	 */
 	async call(call: Call): Promise<Result> {
@@ -116,10 +118,10 @@
 		const result = (judgement: Judgement, tries: number): Result => ({
 			judgement, tries, restarts: 0, timing: {firstToken: performance.now() - startedAt, between: []},
 		});
-		for (let tries = 1; tries <= mostTries; tries++) {
+		for (let tries = 1; tries <= maxAttempts; tries++) {
 			const answer = await this.send(`/v1/services/${call.service}${call.path}`, call.body, {'Idempotency-Key': call.key});
 			if (!answer) {
-				await delay(pauseAfterCut);
+				await delay(reconnectDelay);
 				continue;
 			}
 
@@ -133,16 +135,16 @@
 			}
 
 			const problem = JSON.parse(text) as Problem;
-			if (!await comeBack(problem, answer.incoming)) {
+			if (!await waitForRetry(problem, answer.incoming)) {
 				return result({kind: 'refused', reason: problem.reason, verdict: problem.verdict}, tries);
 			}
 		}
 
-		return result({kind: 'lost', detail: `no end after ${mostTries} tries`}, mostTries);
+		return result({kind: 'lost', detail: `no outcome after ${maxAttempts} attempts`}, maxAttempts);
 	}
 
-	/** @returns How it ended, or nothing to try again. */
-	private async tryChat(chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
+	/** @returns The outcome, or `undefined` if another attempt is needed. */
+	private async attemptChat(chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
 		const body = JSON.stringify({
 			model: chat.model, messages: chat.messages, max_tokens: chat.maximumTokens, stream: chat.isStreamed,
 		});
@@ -151,57 +153,57 @@
 			...(receiver.position > 0 ? {'Last-Event-ID': String(receiver.position)} : {}),
 		});
 		if (!answer) {
-			await delay(pauseAfterCut);
+			await delay(reconnectDelay);
 			return undefined;
 		}
 
 		const {incoming} = answer;
 		if (incoming.statusCode !== 200) {
 			const text = await readText(incoming);
-			return text === undefined ? undefined : this.afterRefusal(JSON.parse(text) as Problem, incoming, chat, receiver);
+			return text === undefined ? undefined : this.handleRefusal(JSON.parse(text) as Problem, incoming, chat, receiver);
 		}
 
 		if (!chat.isStreamed) {
 			const text = await readText(incoming);
-			return text === undefined ? undefined : judgeWhole(chat, text);
+			return text === undefined ? undefined : judgeCompletion(chat, text);
 		}
 
 		const ended = await receiver.receive(incoming);
-		if (ended !== 'done' && !receiver.isWrong) {
-			await delay(pauseAfterCut);
+		if (ended !== 'done' && !receiver.hasFault) {
+			await delay(reconnectDelay);
 			return undefined;
 		}
 
 		return receiver.judge();
 	}
 
-	private async afterRefusal(problem: Problem, incoming: IncomingMessage, chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
+	private async handleRefusal(problem: Problem, incoming: IncomingMessage, chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
 		if (problem.reason === 'record-lost') {
-			// The answer so far is dropped and asked for anew; nothing was promised without a notice.
+			// Discards the partial response and requests it again: a record may be lost if its box stops without notice.
 			receiver.restart();
 			return undefined;
 		}
 
-		if (!await comeBack(problem, incoming)) {
+		if (!await waitForRetry(problem, incoming)) {
 			return {kind: 'refused', reason: problem.reason, verdict: problem.verdict};
 		}
 
 		return problem.reason === 'moved-to-peer' && !chat.isStreamed ? this.collect(chat, receiver) : undefined;
 	}
 
-	/** Fetches an answer that is being made at another box. */
+	/** Polls for a response that another box is producing. */
 	private async collect(chat: Chat, receiver: StreamReceiver): Promise<Judgement | undefined> {
-		for (let looks = 0; looks < mostLooks; looks++) {
+		for (let polls = 0; polls < maxPolls; polls++) {
 			const answer = await this.send(`/v1/requests/${chat.key}`, undefined, {});
 			const text = answer && await readText(answer.incoming);
 			if (text !== undefined && answer?.incoming.statusCode === 200) {
 				const status = JSON.parse(text) as {readonly state: string; readonly answer?: unknown};
 				if (status.state === 'finished') {
-					return judgeWhole(chat, JSON.stringify(status.answer));
+					return judgeCompletion(chat, JSON.stringify(status.answer));
 				}
 			}
 
-			await delay(pauseAfterCut);
+			await delay(reconnectDelay);
 		}
 
 		receiver.restart();
@@ -210,8 +212,8 @@
 
 	private async send(path: string, body: string | undefined, headers: Readonly<Record<string, string>>): Promise<Head | undefined> {
 		const ports = this.ports();
-		this.turn++;
-		const port = ports[this.turn % Math.max(1, ports.length)];
+		this.requestCount++;
+		const port = ports[this.requestCount % Math.max(1, ports.length)];
 		if (port === undefined) {
 			return undefined;
 		}
@@ -233,7 +235,7 @@
 	}
 }
 
-/** Puts a stream together over as many connections as it takes. */
+/** Assembles one stream from any number of connections. */
 class StreamReceiver {
 	position = 0;
 	restarts = 0;
@@ -245,13 +247,13 @@
 	private lastAt = 0;
 
 	constructor(private readonly chat: Chat) {
-		// Callers may write the kind behind the name of the service; engines are told the service.
+		// A client may append the kind to the service name; engines receive the service name alone.
 		const [model = ''] = chat.model.split(':', 1);
 		this.frame = {model, seed: seedOf(chat.messages), end: chat.maximumTokens};
 	}
 
-	/** Whether something came that no stream may hold. */
-	get isWrong(): boolean {
+	/** Whether the stream contained anything that a correct stream never contains. */
+	get hasFault(): boolean {
 		return this.fault !== undefined;
 	}
 
@@ -271,16 +273,16 @@
 				rest = parts.pop()!;
 				for (const part of parts) {
 					if (ended !== 'cut') {
-						this.fault ??= `"${part}" behind the end of the stream`;
+						this.fault ??= `event after the end of the stream: "${part}"`;
 					}
 
-					ended = this.take(part + blankLine) ?? ended;
+					ended = this.handleEvent(part + blankLine) ?? ended;
 				}
 			});
 			incoming.once('close', () => {
-				// What HTTP tells as whole must be it; only a connection that breaks may leave part of an event.
+				// A complete HTTP response must end with the final event; only a broken connection may leave a partial event.
 				if (incoming.complete && (ended === 'cut' || rest !== '')) {
-					this.fault ??= `ended as whole after event ${this.position}, with "${rest}" left`;
+					this.fault ??= `HTTP response complete after event ${this.position}, without the final event; unparsed rest: "${rest}"`;
 				}
 
 				resolve(ended);
@@ -301,7 +303,7 @@
 			: {kind: 'misdelivered', detail: `expected ${this.chat.maximumTokens} tokens, got ${this.position}`};
 	}
 
-	private take(event: string): 'done' | 'error' | undefined {
+	private handleEvent(event: string): 'done' | 'error' | undefined {
 		if (event === doneEvent) {
 			return 'done';
 		}
@@ -310,19 +312,19 @@
 			return 'error';
 		}
 
-		// The name of the answer is the engine's; everything else of the event is known, and it is the same name in all of them.
+		// The engine chooses the response id, which is the same in all events; the rest of each event is known in advance.
 		this.answerId ??= /"id":"(?<id>chatcmpl-[\w\-]+)"/v.exec(event)?.groups?.id;
 		const expected = `id: ${this.position + 1}\n${tokenEvent({...this.frame, id: this.answerId ?? ''}, this.position)}`;
 		if (event !== expected) {
-			this.fault ??= `after event ${this.position}: ${JSON.stringify(event)}`;
+			this.fault ??= `unexpected event after event ${this.position}: ${JSON.stringify(event)}`;
 		}
 
 		this.position++;
-		this.clock();
+		this.recordTokenTime();
 		return undefined;
 	}
 
-	private clock(): void {
+	private recordTokenTime(): void {
 		const now = performance.now();
 		if (this.lastAt === 0) {
 			this.timing.firstToken = now - this.startedAt;
@@ -348,19 +350,19 @@
 	}
 }
 
-/** Waits as long as it was told to. @returns Whether to ask again. */
-async function comeBack(problem: Problem, incoming: IncomingMessage): Promise<boolean> {
+/** Waits for the time in `Retry-After`, with jitter. @returns Whether to retry. */
+async function waitForRetry(problem: Problem, incoming: IncomingMessage): Promise<boolean> {
 	const seconds = Number(incoming.headers['retry-after'] ?? Number.NaN);
 	const isWorthwhile = problem.verdict === 'not-run' || problem.reason === 'claim-held' || problem.reason === 'moved-to-peer';
 	if (!isWorthwhile || Number.isNaN(seconds)) {
 		return false;
 	}
 
-	await delay(Math.min(longestPause, seconds * 1000) * (0.5 + (Math.random() / 2)));
+	await delay(Math.min(maxRetryDelay, seconds * 1000) * (0.5 + (Math.random() / 2)));
 	return true;
 }
 
-function judgeWhole(chat: Chat, text: string): Judgement {
+function judgeCompletion(chat: Chat, text: string): Judgement {
 	const {choices} = JSON.parse(text) as {readonly choices: ReadonlyArray<{readonly message: {readonly content: string}}>};
 	const {content} = choices[0]!.message;
 	return content === expectedAnswer(chat.messages, chat.maximumTokens)
@@ -372,5 +374,5 @@
 	const {key, body} = JSON.parse(text) as {readonly key: string; readonly body: string};
 	return key === call.key && body === call.body
 		? {kind: 'answered'}
-		: {kind: 'misdelivered', detail: `asked as ${call.key}, answered as ${key}`};
+		: {kind: 'misdelivered', detail: `sent key ${call.key}, response has key ${key}`};
 }
--- a/development/harness/departure-fleet.ts
+++ b/development/harness/departure-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Boxes that follow the list of replicas in virtual time: they tell each other what they know, lose datagrams and answers of the store, and would send to
- * each replica whenever they may. Development only.
+ * Simulates in virtual time boxes that watch the replica list, exchange gossip, and lose datagrams and responses of the store. Each box continuously
+ * sends to every replica that its directory lists as ready. Development only.
  */
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import * as Effect from 'effect/Effect';
@@ -21,26 +21,26 @@
 import type {RouteTableView} from '../../src/routes/route-table-view.js';
 import {VirtualClock, type VirtualTime} from '../fuzz/virtual-time.js';
 import {
-	heartbeat, modelReplicaKind, ModelStore, ModelStoreDoor, type ModelReplica,
+	heartbeat, modelReplicaKind, ModelStore, ModelStoreClient, type ModelReplica,
 } from './model-metadata-store.js';
 import {randomOf} from './seeded-random.js';
 
-/** What the fleet is like. */
+/** Parameters of the simulated fleet. */
 export type DepartureFleetShape = {
 	readonly boxes: number;
 	readonly replicas: number;
-	/** Milliseconds from the store's acknowledgement that a replica leaves, from which on it gets nothing. */
+	/** Milliseconds after the store acknowledges a replica's departure, after which the replica must receive no request. */
 	readonly bound: number;
-	/** Share of datagrams that are lost. */
+	/** Share of datagrams that are lost, from 0 to 1. */
 	readonly loss: number;
 	readonly seed: number;
 };
 
-/** A request that reached a replica too late. */
+/** A request that was sent to a replica later than the bound allows. */
 export type LateRequest = {
 	readonly box: string;
 	readonly replica: string;
-	/** Milliseconds after the store had acknowledged that it leaves. */
+	/** Milliseconds since the store acknowledged the replica's departure. */
 	readonly after: number;
 };
 
@@ -52,24 +52,28 @@
 	readonly replicas: ReplicaDirectory;
 	readonly role: ReplicaRole;
 	readonly state: ExchangeState;
-	readonly door: ModelStoreDoor;
+	readonly door: ModelStoreClient;
 	readonly fibers: ReadonlyArray<Fiber.Fiber<unknown>>;
 	sequence: number;
 	round: number;
 };
 
 const service = 's';
-const step = 20;
-const datagramWay = 2;
+/** Milliseconds of virtual time per simulation step. */
+const stepTime = 20;
+/** One-way delay of a datagram in milliseconds. */
+const datagramDelay = 2;
+/** Milliseconds between the monotonic clocks of two consecutive boxes. */
 const clockSpread = 100_000;
+/** Start of the simulation, in milliseconds since the Unix epoch. */
 const epoch = 1_764_700_000_000;
 
-/** The fleet. */
+/** A simulated fleet whose replicas depart. */
 export class DepartureFleet {
 	/**
-	 * @param shape - What it is like.
-	 * @param time - Virtual time, started.
-	 * @param log - Where the boxes write.
+	 * @param shape - Parameters of the fleet.
+	 * @param time - Virtual time, already started.
+	 * @param log - Event log of all boxes.
 	 * @returns A fleet that has just started.
 	 */
 	static create(shape: DepartureFleetShape, time: VirtualTime, log: EventLog = SilentEventLog.create()): DepartureFleet {
@@ -78,11 +82,11 @@
 
 	readonly store: ModelStore;
 	readonly boxes: readonly Box[];
-	/** Requests that came later than the bound allows. */
+	/** Requests that were sent later than the bound allows. */
 	readonly late: LateRequest[] = [];
 	readonly random: () => number;
 	private readonly addresses: readonly MemberAddress[];
-	private isOver = false;
+	private isClosed = false;
 
 	private constructor(private readonly shape: DepartureFleetShape, private readonly time: VirtualTime, private readonly log: EventLog) {
 		this.random = randomOf(shape.seed);
@@ -92,17 +96,17 @@
 		}
 
 		this.addresses = Array.from({length: shape.boxes}, (_, index) => ({name: `edge-${index}`, host: '10.0.0.1', port: 1 + index}));
-		this.boxes = this.addresses.map((address, index) => this.start(address, index));
+		this.boxes = this.addresses.map((address, index) => this.createBox(address, index));
 		for (const box of this.boxes) {
 			this.schedule(box);
 		}
 	}
 
-	/** @param duration - Milliseconds that pass; each box sends to every replica that it may send to all the while. */
+	/** @param duration - Milliseconds of virtual time to advance; in each step, every box sends to all replicas that it lists as ready. */
 	async pass(duration: number): Promise<void> {
 		const end = this.time.now + duration;
 		while (this.time.now < end) {
-			await this.time.advance(step);
+			await this.time.advance(stepTime);
 			this.store.pass();
 			await nextTurn();
 			for (const box of this.boxes) {
@@ -113,19 +117,19 @@
 
 	/**
 	 * @param replica - A replica.
-	 * @returns How many boxes would send to it.
+	 * @returns Number of boxes that list it as ready.
 	 */
 	usersOf({id}: ModelReplica): number {
 		return this.boxes.filter(({replicas}) => replicas.ready(service).some(({entry}) => entry.id === id)).length;
 	}
 
-	/** Ends everything. */
+	/** Stops all boxes. */
 	async close(): Promise<void> {
-		this.isOver = true;
+		this.isClosed = true;
 		await Promise.all(this.boxes.flatMap(({fibers}) => fibers.map(async fiber => Effect.runPromise(Fiber.interrupt(fiber)))));
 	}
 
-	private start(address: MemberAddress, index: number): Box {
+	private createBox(address: MemberAddress, index: number): Box {
 		const {log} = this;
 		const clock = VirtualClock.create(this.time, index * clockSpread);
 		clock.wallStep = epoch;
@@ -133,19 +137,20 @@
 		peers.learn(this.addresses);
 		const topology = ExchangeTopology.create(address, peers);
 		const replicas = ReplicaDirectory.create(clock, log);
-		const door = ModelStoreDoor.create(this.store);
-		const table = tableOf(clock);
+		const door = ModelStoreClient.create(this.store);
+		const table = createTable(clock);
 		const availability = StoreAvailability.create(clock, () => lapseTime(heartbeat));
 		const followed = {
-			link: {store: door, names} as unknown as PlatformLink, clock, log, availability, followsStore: () => topology.isAggregator,
+			link: {store: door, names: storeNames} as unknown as PlatformLink, clock, log, availability, followsStore: () => topology.isAggregator,
 		};
 		const configuration = ConfigurationRole.create({...followed, table, fallbackDelay: 3000 + (100 * index)});
 		const role = ReplicaRole.create({
 			...followed, replicas, drain: () => this.shape.bound, fallbackDelay: 4500 + (100 * index), openFetch: (_, take) => this.fetchFor(take),
 		});
-		// Only what the list of replicas needs is there.
+		// Contains only the parts that replica list updates use.
 		const parts = {
-			clock, log, peers, topology, availability, configuration, replicaRole: role, isStopping: () => false, stretches: {applyReceived: () => undefined}, services: {replicas, table, ...otherServices},
+			clock, log, peers, topology, availability, configuration, replicaRole: role, isStopping: () => false,
+			stretches: {applyReceived: () => undefined}, services: {replicas, table, ...stubServices},
 		} as unknown as ExchangeParts;
 		const fibers = [role.follow(), role.sweep(), configuration.follow(), configuration.prove()].map(effect => Effect.runFork(effect));
 		return {
@@ -153,14 +158,14 @@
 		};
 	}
 
-	private fetchFor(take: (content: unknown) => void) {
+	private fetchFor(receive: (content: unknown) => void) {
 		return {
 			from: ({name}: MemberAddress) => {
 				const box = this.boxes.find(({address}) => address.name === name)!;
 				this.deliver(() => {
 					const content: unknown = structuredClone(box.role.listing);
 					this.deliver(() => {
-						take(content);
+						receive(content);
 					});
 				});
 			},
@@ -179,14 +184,14 @@
 
 	private schedule(box: Box): void {
 		setTimeout(() => {
-			if (!this.isOver) {
-				this.tell(box);
+			if (!this.isClosed) {
+				this.sendGossip(box);
 				this.schedule(box);
 			}
 		}, box.topology.pause(this.random()));
 	}
 
-	private tell(box: Box): void {
+	private sendGossip(box: Box): void {
 		const {peers, topology, state} = box;
 		peers.sweep();
 		peers.isLarge = topology.isLarge;
@@ -199,16 +204,16 @@
 			const other = this.boxes.find(({address: {name}}) => name === address.name)!;
 			const asksDigest = topology.isLarge && place === box.round % targets.length;
 			this.deliver(() => {
-				this.hear(other, box, encodeGossip({...message, ...(asksDigest ? {asksDigest} : {})}));
+				this.receiveGossip(other, box, encodeGossip({...message, ...(asksDigest ? {asksDigest} : {})}));
 			});
 		}
 	}
 
-	private hear(box: Box, sender: Box, data: Uint8Array): void {
+	private receiveGossip(box: Box, sender: Box, data: Uint8Array): void {
 		const message = decodeGossip(data)!;
 		const {peers, topology, state} = box;
-		const meeting = peers.take(message);
-		if (meeting === undefined) {
+		const contact = peers.take(message);
+		if (contact === undefined) {
 			return;
 		}
 
@@ -218,14 +223,14 @@
 			return;
 		}
 
-		state.applyMessage(message, meeting);
+		state.applyMessage(message, contact);
 		if (topology.isLarge) {
 			const isWhole = message.asksDigest === true;
 			const answer = this.messageOf(box, {
 				...state.commonUpdate(isWhole), quota: [], isWhole: false, work: [], usage: [], digest: state.digestFor(peers.named(sender.address.name)!, isWhole),
 			});
 			this.deliver(() => {
-				this.hear(sender, box, encodeGossip(answer));
+				this.receiveGossip(sender, box, encodeGossip(answer));
 			});
 		}
 	}
@@ -237,18 +242,18 @@
 		};
 	}
 
-	private deliver(happen: () => void): void {
+	private deliver(receive: () => void): void {
 		if (this.random() >= this.shape.loss) {
 			setTimeout(() => {
-				if (!this.isOver) {
-					happen();
+				if (!this.isClosed) {
+					receive();
 				}
-			}, datagramWay);
+			}, datagramDelay);
 		}
 	}
 }
 
-const names = {
+const storeNames = {
 	replicaKind: modelReplicaKind,
 	configurationKind: 'config',
 	configurationName: 'main',
@@ -259,7 +264,7 @@
 	}),
 };
 
-const otherServices = {
+const stubServices = {
 	quarantine: {collectUpdate: () => undefined},
 	statements: {updates: () => undefined},
 	quota: {
@@ -270,8 +275,8 @@
 	limits: {services: [], openDueSlots: () => undefined},
 };
 
-/** A configuration that never changes. */
-function tableOf(clock: VirtualClock): RouteTableView {
+/** Creates a route table whose version never changes. */
+function createTable(clock: VirtualClock): RouteTableView {
 	let provenAt = Number.NEGATIVE_INFINITY;
 	const table = {
 		version: 1,
--- a/development/harness/fault-proxy.ts
+++ b/development/harness/fault-proxy.ts
@@ -1,32 +1,32 @@
 /**
- * A TCP proxy that injects faults into what passes: delays, cuts, freezes, half-closes, and answers dropped
- * after the request went through. Development only.
+ * A TCP proxy that injects faults: delays, cut connections, freezes, half-closed connections, and responses dropped
+ * after the request was forwarded. Development only.
  */
 import {once} from 'node:events';
 import {
 	connect, createServer, type AddressInfo, type Server, type Socket,
 } from 'node:net';
 
-/** What the proxy does to what passes, until changed. */
+/** The fault that the proxy injects until it is changed. */
 export type ProxyFault =
 	| {readonly kind: 'none'}
-	/** Bytes are held back by some milliseconds, both ways. */
+	/** Data is delayed in both directions. */
 	| {readonly kind: 'delay'; readonly milliseconds: number}
-	/** Connections are refused, and open ones are cut. */
+	/** New connections are closed at once, and open ones are destroyed. */
 	| {readonly kind: 'cut'}
-	/** Connections stay open, and nothing passes. */
+	/** Connections stay open, but no data is forwarded. */
 	| {readonly kind: 'freeze'}
-	/** What callers send passes; the answer closes the connection instead of passing. */
+	/** Requests are forwarded; the first bytes of a response close the connection and are dropped. */
 	| {readonly kind: 'drop-answers'}
-	/** The answer's side closes after its first bytes. */
+	/** The response direction closes after half of the first chunk. */
 	| {readonly kind: 'half-close'};
 
 type Pair = {readonly caller: Socket; readonly target: Socket};
 
-/** Stands before one port. */
+/** A proxy in front of one TCP port. */
 export class FaultProxy {
 	/**
-	 * @param targetPort - TCP port on loopback that it stands before.
+	 * @param targetPort - TCP port on loopback to forward to.
 	 * @returns The proxy, listening.
 	 */
 	static async create(targetPort: number): Promise<FaultProxy> {
@@ -36,12 +36,12 @@
 		return proxy;
 	}
 
-	/** Answers that were dropped. */
+	/** Number of response chunks that were dropped. */
 	dropped = 0;
 	private readonly server: Server;
 	private readonly pairs = new Set<Pair>();
-	private current: ProxyFault = {kind: 'none'};
-	private held: Array<() => void> = [];
+	private currentFault: ProxyFault = {kind: 'none'};
+	private heldWrites: Array<() => void> = [];
 
 	private constructor(private readonly targetPort: number) {
 		this.server = createServer(caller => {
@@ -49,33 +49,33 @@
 		});
 	}
 
-	/** TCP port it listens on. */
+	/** TCP port that the proxy listens on. */
 	get port(): number {
 		return (this.server.address() as AddressInfo).port;
 	}
 
-	/** What is injected now. */
+	/** The current fault. */
 	get fault(): ProxyFault {
-		return this.current;
+		return this.currentFault;
 	}
 
-	/** Changes what is injected. What a freeze held back passes when it ends. */
+	/** Changes the fault. The end of a freeze forwards the data that it held back. */
 	set fault(fault: ProxyFault) {
-		this.current = fault;
+		this.currentFault = fault;
 		if (fault.kind === 'cut') {
 			this.cutAll();
 		}
 
 		if (fault.kind !== 'freeze') {
-			const released = this.held;
-			this.held = [];
-			for (const pass of released) {
-				pass();
+			const released = this.heldWrites;
+			this.heldWrites = [];
+			for (const write of released) {
+				write();
 			}
 		}
 	}
 
-	/** Closes the proxy and all that passes. */
+	/** Closes the proxy and all its connections. */
 	close(): void {
 		this.cutAll();
 		this.server.close();
@@ -87,11 +87,11 @@
 			target.destroy();
 		}
 
-		this.held = [];
+		this.heldWrites = [];
 	}
 
 	private accept(caller: Socket): void {
-		if (this.current.kind === 'cut') {
+		if (this.currentFault.kind === 'cut') {
 			caller.destroy();
 			return;
 		}
@@ -99,7 +99,7 @@
 		const target = connect(this.targetPort, '127.0.0.1');
 		const pair: Pair = {caller, target};
 		this.pairs.add(pair);
-		const end = () => {
+		const closePair = () => {
 			caller.destroy();
 			target.destroy();
 			this.pairs.delete(pair);
@@ -107,22 +107,22 @@
 
 		for (const socket of [caller, target]) {
 			socket.setNoDelay(true);
-			// What is held back still passes before the end does.
-			socket.on('error', end).on('close', () => {
-				this.pass(end);
+			// Forwards delayed data before the close.
+			socket.on('error', closePair).on('close', () => {
+				this.forward(closePair);
 			});
 		}
 
 		caller.on('data', (chunk: Uint8Array) => {
-			this.pass(() => target.write(chunk));
+			this.forward(() => target.write(chunk));
 		});
 		target.on('data', (chunk: Uint8Array) => {
-			this.passAnswer(pair, chunk);
+			this.forwardResponse(pair, chunk);
 		});
 	}
 
-	private passAnswer({caller, target}: Pair, chunk: Uint8Array): void {
-		switch (this.current.kind) {
+	private forwardResponse({caller, target}: Pair, chunk: Uint8Array): void {
+		switch (this.currentFault.kind) {
 			case 'drop-answers': {
 				this.dropped++;
 				caller.destroy();
@@ -136,20 +136,20 @@
 			}
 
 			default: {
-				this.pass(() => caller.write(chunk));
+				this.forward(() => caller.write(chunk));
 			}
 		}
 	}
 
-	private pass(write: () => unknown): void {
-		switch (this.current.kind) {
+	private forward(write: () => unknown): void {
+		switch (this.currentFault.kind) {
 			case 'freeze': {
-				this.held.push(write);
+				this.heldWrites.push(write);
 				break;
 			}
 
 			case 'delay': {
-				setTimeout(write, this.current.milliseconds);
+				setTimeout(write, this.currentFault.milliseconds);
 				break;
 			}
 
--- a/development/harness/limit-fleet.ts
+++ b/development/harness/limit-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Boxes before one replica that names a limit, in virtual time: they tell each other what they hear, lose datagrams, start, end and are cut off from each
- * other, and all of them would send to that replica whenever they may. Development only.
+ * Simulates in virtual time boxes that share one replica with a rate limit. The boxes exchange the limit by gossip, lose datagrams, restart and are
+ * partitioned from each other; each sends to the replica whenever its share of the limit allows. Development only.
  */
 import {SilentEventLog} from '../../src/base/event-log.js';
 import {ExchangeTopology} from '../../src/gossip/exchange-topology.js';
@@ -19,18 +19,18 @@
 import {MovedClock} from './moved-clock.js';
 import {randomOf} from './seeded-random.js';
 
-/** What the fleet is like. */
+/** Parameters of the simulated fleet. */
 export type LimitFleetShape = {
 	readonly boxes: number;
-	/** Requests a second at a box that could go to the replica. */
+	/** Requests per second that arrive at a box for the replica's service. */
 	readonly demandOf: (box: number) => number;
-	/** What the replica names in an answer, by the time in milliseconds and how many it has given. */
+	/** The limit that a response announces, in requests per second, given the time in milliseconds and the number of responses so far. */
 	readonly limitAt: (now: number, answers: number) => number | 'unreadable' | undefined;
-	/** Whether two boxes reach each other. */
+	/** Whether a datagram from the first box reaches the second at that time; always by default. */
 	readonly reach?: (left: number, right: number, now: number) => boolean;
-	/** Milliseconds from its sending to the arrival of a request; a link may hold some up. */
+	/** Network delay of a request in milliseconds, drawn from a random number from 0 to 1; 1 ms by default. */
 	readonly wayOf?: (random: number) => number;
-	/** Milliseconds at which a box starts anew. */
+	/** Time in milliseconds at which a box restarts. */
 	readonly startsAt?: (box: number) => number | undefined;
 	readonly seed: number;
 };
@@ -47,76 +47,81 @@
 	readonly limits: ReplicaLimits;
 	readonly statements: ReplicaStatements;
 	readonly incarnation: string;
-	/** When an answer to this box first named a limit. */
-	toldAt: number;
+	/** Time in milliseconds at which this box first received a response that announced a limit. */
+	limitReceivedAt: number;
 	sequence: number;
 	round: number;
 	nextRoundAt: number;
 };
 
-/** What is under way. */
-type Event = {readonly at: number; readonly happen: () => void};
+/** A scheduled event. */
+type ScheduledEvent = {readonly at: number; readonly run: () => void};
 
-const step = 20;
+/** Milliseconds of virtual time per simulation step. */
+const stepTime = 20;
+/** Share of datagrams that are lost. */
 const lossShare = 0.1;
-const datagramWay = 5;
-const answerTime = 60;
-/** Milliseconds from which on a box that was told has to keep to a limit. */
-const toldTime = 500;
-/** Milliseconds by which wall clocks differ. */
+/** One-way delay of a datagram in milliseconds. */
+const datagramDelay = 5;
+/** Milliseconds from the arrival of a request at the replica to the arrival of the response at the box. */
+const responseTime = 60;
+/** Milliseconds after receiving a limit from which a box must comply with it. */
+const limitGracePeriod = 500;
+/** Maximum difference in milliseconds between the wall clocks of two boxes. */
 const clockSpread = 400;
+/** Start of the simulation, in milliseconds since the Unix epoch. */
 const epoch = 1_764_700_000_000;
 const service = 's';
-const unusual = {
+const defaultFields = {
 	version: 1, isStopping: false, storeAge: 100, departed: [], quota: [], work: [], usage: [], isWhole: true,
 } as const;
 
-/** The fleet. */
+/** A simulated fleet that shares a rate-limited replica. */
 export class LimitFleet {
 	/**
-	 * @param shape - What it is like.
+	 * @param shape - Parameters of the fleet.
 	 * @returns A fleet that has just started.
 	 */
 	static create(shape: LimitFleetShape): LimitFleet {
 		return new LimitFleet(shape);
 	}
 
-	/** Milliseconds at which requests came to the replica. */
+	/** Arrival times of all requests at the replica, in milliseconds. */
 	readonly arrivals: number[] = [];
-	/** The same of those from boxes that it had told of its limit half a second before or earlier. */
-	readonly arrivalsFromTold: number[] = [];
+	/** Arrival times of requests from boxes that received a limit from the replica at least {@link limitGracePeriod} earlier. */
+	readonly arrivalsFromInformedBoxes: number[] = [];
 	now = 10_000;
 	private readonly random: () => number;
 	private readonly addresses: readonly MemberAddress[];
 	private readonly boxes: Box[];
-	private events: Event[] = [];
+	private events: ScheduledEvent[] = [];
 	private answers = 0;
 
 	private constructor(private readonly shape: LimitFleetShape) {
 		this.random = randomOf(shape.seed);
 		this.addresses = Array.from({length: shape.boxes}, (_, index) => ({name: `edge-${index}`, host: '10.0.0.1', port: 1 + index}));
-		this.boxes = this.addresses.map((_, index) => this.start(index));
+		this.boxes = this.addresses.map((_, index) => this.createBox(index));
 	}
 
-	/** @param time - Milliseconds that pass. */
+	/** @param time - Milliseconds of virtual time to advance. */
 	pass(time: number): void {
 		const end = this.now + time;
 		while (this.now < end) {
-			this.now += step;
+			this.now += stepTime;
 			this.step();
 		}
 	}
 
 	/**
-	 * @param span - Milliseconds.
-	 * @param since - Milliseconds from which on requests count.
-	 * @returns The most requests from boxes that had been told that came in any such span.
+	 * @param span - Length of the window in milliseconds.
+	 * @param since - Time in milliseconds from which requests are counted.
+	 * @returns The maximum number of {@link arrivalsFromInformedBoxes} in any such window.
 	 */
 	mostWithin(span: number, since: number): number {
-		return mostWithin(this.arrivalsFromTold.filter(at => at >= since), span);
+		return mostWithin(this.arrivalsFromInformedBoxes.filter(at => at >= since), span);
 	}
 
-	private start(index: number): Box {
+	private createBox(index: number): Box {
 		const address = this.addresses[index]!;
 		const clock = new MovedClock(this.now);
 		clock.shift = epoch + ((this.random() - 0.5) * clockSpread);
@@ -141,7 +146,7 @@
 		});
 		return {
 			index, address, clock, peers, topology, demands, stretches, replicas, limits, statements,
-			incarnation: String(this.now), toldAt: Number.POSITIVE_INFINITY, sequence: 0, round: index, nextRoundAt: this.now + (this.random() * 200),
+			incarnation: String(this.now), limitReceivedAt: Number.POSITIVE_INFINITY, sequence: 0, round: index, nextRoundAt: this.now + (this.random() * 200),
 		};
 	}
 
@@ -149,27 +154,27 @@
 		for (const {index, clock} of this.boxes) {
 			clock.now = this.now;
 			const startsAt = this.shape.startsAt?.(index) ?? Number.POSITIVE_INFINITY;
-			if (startsAt <= this.now && startsAt > this.now - step) {
-				this.boxes[index] = this.start(index);
+			if (startsAt <= this.now && startsAt > this.now - stepTime) {
+				this.boxes[index] = this.createBox(index);
 			}
 		}
 
 		const due = this.events.filter(({at}) => at <= this.now);
 		this.events = this.events.filter(({at}) => at > this.now);
-		for (const {happen} of due) {
-			happen();
+		for (const {run} of due) {
+			run();
 		}
 
 		for (const box of this.boxes) {
 			this.serve(box);
 			if (box.nextRoundAt <= this.now) {
-				this.tell(box);
+				this.sendGossip(box);
 			}
 		}
 	}
 
 	private serve(box: Box): void {
-		if (this.random() >= this.shape.demandOf(box.index) * step / 1000) {
+		if (this.random() >= this.shape.demandOf(box.index) * stepTime / 1000) {
 			return;
 		}
 
@@ -189,17 +194,17 @@
 		const sentAt = this.now;
 		const arrivesAt = this.now + (this.shape.wayOf?.(this.random()) ?? 1);
 		this.events.push({
-			at: arrivesAt, happen: () => {
+			at: arrivesAt, run: () => {
 				this.arrivals.push(this.now);
-				if (box.toldAt <= this.now - toldTime) {
-					this.arrivalsFromTold.push(this.now);
+				if (box.limitReceivedAt <= this.now - limitGracePeriod) {
+					this.arrivalsFromInformedBoxes.push(this.now);
 				}
 
 				this.answers++;
 				const limit = this.shape.limitAt(this.now, this.answers);
 				this.events.push({
-					at: this.now + answerTime, happen: () => {
-						box.toldAt = limit === undefined ? box.toldAt : Math.min(box.toldAt, this.now);
+					at: this.now + responseTime, run: () => {
+						box.limitReceivedAt = limit === undefined ? box.limitReceivedAt : Math.min(box.limitReceivedAt, this.now);
 						box.limits.recordResponse(replica, limit, sentAt);
 					},
 				});
@@ -207,7 +212,7 @@
 		});
 	}
 
-	private tell(box: Box): void {
+	private sendGossip(box: Box): void {
 		const {peers, topology} = box;
 		peers.sweep();
 		peers.isLarge = topology.isLarge;
@@ -216,19 +221,19 @@
 		box.nextRoundAt = this.now + topology.pause(this.random());
 		const isWhole = !topology.isLarge || box.round % roundsBetweenWholeStates === 0;
 		box.limits.openDueSlots();
-		const told = box.statements.updates(isWhole, ['answer'], topology.isLarge ? maxStatementsPerMessage.large : maxStatementsPerMessage.small);
-		const message = this.messageOf(box, {demand: box.demands.snapshots, ...(told ? {statements: told} : {})});
+		const updates = box.statements.updates(isWhole, ['answer'], topology.isLarge ? maxStatementsPerMessage.large : maxStatementsPerMessage.small);
+		const message = this.messageOf(box, {demand: box.demands.snapshots, ...(updates ? {statements: updates} : {})});
 		const targets = topology.targets(box.round);
 		for (const [place, {address}] of targets.entries()) {
 			peers.noteTold(address.name);
 			const other = this.boxes.find(({address: {name}}) => name === address.name)!;
 			this.deliver(box, other, () => {
-				this.hear(other, box, message, place === box.round % targets.length);
+				this.receiveGossip(other, box, message, place === box.round % targets.length);
 			});
 		}
 	}
 
-	private hear(box: Box, sender: Box, message: GossipMessage, isAsked: boolean): void {
+	private receiveGossip(box: Box, sender: Box, message: GossipMessage, isAsked: boolean): void {
 		const {
 			peers, limits, statements, stretches, topology,
 		} = box;
@@ -244,14 +249,14 @@
 		}
 
 		if (topology.isLarge) {
-			const told = statements.updates(isAsked, ['answer', 'box'], maxStatementsPerMessage.large);
+			const updates = statements.updates(isAsked, ['answer', 'box'], maxStatementsPerMessage.large);
 			const answer = this.messageOf(box, {
 				wall: peers.commonTime,
-				...(told ? {statements: told} : {}),
+				...(updates ? {statements: updates} : {}),
 				digest: {boxes: peers.knownBoxes, ...(topology.isAggregator ? {stretches: stretches.stretchesFor(sender.address.name, limits.services)} : {})},
 			});
 			this.deliver(box, sender, () => {
-				this.hear(sender, box, answer, false);
+				this.receiveGossip(sender, box, answer, false);
 			});
 		}
 	}
@@ -259,14 +264,14 @@
 	private messageOf(box: Box, parts: Partial<GossipMessage>): GossipMessage {
 		box.sequence++;
 		return {
-			...unusual, sender: box.address, incarnation: box.incarnation, sequence: box.sequence, uptime: box.peers.uptime, wall: box.peers.ownTime, members: [], ...parts,
+			...defaultFields, sender: box.address, incarnation: box.incarnation, sequence: box.sequence, uptime: box.peers.uptime, wall: box.peers.ownTime, members: [], ...parts,
 		};
 	}
 
-	private deliver(from: Box, to: Box, happen: () => void): void {
+	private deliver(from: Box, to: Box, receive: () => void): void {
 		const isReached = this.shape.reach?.(from.index, to.index, this.now) ?? true;
 		if (isReached && this.random() > lossShare) {
-			this.events.push({at: this.now + datagramWay, happen});
+			this.events.push({at: this.now + datagramDelay, run: receive});
 		}
 	}
 }
--- a/development/harness/model-metadata-store.ts
+++ b/development/harness/model-metadata-store.ts
@@ -1,33 +1,36 @@
 /**
- * A metadata store and the replicas that keep their entries in it, in virtual time, with a way to it for each box that can fail by itself. Development only.
+ * Simulates in virtual time a metadata store and the replicas that register in it. Each box has its own connection, which can fail separately. Development only.
  */
 import * as Effect from 'effect/Effect';
 import {
 	type HistoryGone, MetadataStore, StoreUnavailable, type Change, type Changes, type Listing, type RevisionConflict, type StoredObject,
 } from '../../src/follow/metadata-store.js';
 
-/** Kind of the replicas' entries. */
+/** Object kind of the replicas' entries. */
 export const modelReplicaKind = 'servers';
 const configuration: StoredObject = {name: 'main', revision: 1, spec: {}};
+/** Milliseconds until a call is answered. */
 const answerTime = 4;
+/** Milliseconds after which a call without a response fails; for a watch, in addition to its wait. */
 const answerTimeout = 900;
-/** Milliseconds between two writes of a replica, and writes without which its entry lapses. */
+/** Maximum milliseconds between two heartbeat writes of a replica. */
 export const heartbeat = 1200;
+/** Number of missed heartbeats after which an entry lapses. */
 const heartbeatsToLapse = 3;
 
-/** What becomes of calls. */
+/** How calls fail. */
 export type CallFault =
-	/** Refused at once, also where a call waits. */
+	/** Fails without waiting for the timeout; a waiting watch fails at once. */
 	| 'refused'
-	/** Never answered. */
+	/** Gets no response and fails after the timeout. */
 	| 'silent';
 
-type Happened = Change & {readonly at: number};
+type RecordedChange = Change & {readonly at: number};
 
-/** A replica as it is, whatever the store holds. */
+/** The actual state of a replica, which may differ from its entry in the store. */
 export type ModelReplica = {
 	readonly id: string;
-	/** Milliseconds at which the store took that it leaves. */
+	/** Time in milliseconds at which the store accepted the replica's departure; `undefined` before that. */
 	leftAt: number | undefined;
 	isAlive: boolean;
 	state: 'ready' | 'draining';
@@ -35,13 +38,13 @@
 	nextWriteAt: number;
 };
 
-type Waiting = {readonly wake: () => void; readonly refuse: () => void};
+type WaitingWatch = {readonly wake: () => void; readonly refuse: () => void};
 
-/** The store. */
+/** A simulated metadata store. */
 export class ModelStore {
 	/**
 	 * @param now - Virtual time in milliseconds.
-	 * @param random - For the moments of heartbeats.
+	 * @param random - Random numbers from 0 to 1, for the times of heartbeats.
 	 * @returns A store without entries.
 	 */
 	static create(now: () => number, random: () => number): ModelStore {
@@ -49,14 +52,14 @@
 	}
 
 	readonly replicas: ModelReplica[] = [];
-	/** Present while nobody reaches it, replicas neither. */
+	/** How calls fail during an outage, in which neither boxes nor replicas reach the store; `undefined` otherwise. */
 	outage: CallFault | undefined;
 	revision = 1;
-	/** Calls that were answered. */
+	/** Number of calls that were answered. */
 	answers = 0;
 	readonly entries = new Map<string, StoredObject>();
-	history: readonly Happened[] = [];
-	private waiting: readonly Waiting[] = [];
+	history: readonly RecordedChange[] = [];
+	private waiting: readonly WaitingWatch[] = [];
 
 	private constructor(readonly now: () => number, private readonly random: () => number) {}
 
@@ -70,10 +73,10 @@
 	}
 
 	/**
-	 * Lets a replica leave.
+	 * Makes a replica depart.
 	 *
 	 * @param replica - The replica.
-	 * @param how - Whether its entry says so before it goes.
+	 * @param how - `draining` marks its entry as draining and leaves the replica running; `removed` stops it and removes its entry.
 	 */
 	leave(replica: ModelReplica, how: 'draining' | 'removed'): void {
 		replica.leftAt = this.now();
@@ -86,10 +89,10 @@
 		}
 	}
 
-	/** @param fault - What becomes of all calls from now on, those that wait too. */
+	/** @param fault - How all calls fail from now on, including waiting watches. */
 	goAway(fault: CallFault): void {
 		this.outage = fault;
-		const waiting = this.takeWaiting();
+		const waiting = this.removeAllWatches();
 		if (fault === 'refused') {
 			for (const {refuse} of waiting) {
 				refuse();
@@ -97,13 +100,13 @@
 		}
 	}
 
-	/** Replicas write as they are due, and entries that were not written for long lapse, also while the store is away. */
+	/** Writes the heartbeats that are due and removes entries whose heartbeats are missing, even during an outage. */
 	pass(): void {
 		const now = this.now();
 		for (const replica of this.replicas) {
 			if (replica.isAlive && replica.nextWriteAt <= now) {
 				replica.nextWriteAt += heartbeat * (0.9 + (0.1 * this.random()));
-				this.beat(replica);
+				this.sendHeartbeat(replica);
 			}
 
 			if (this.entries.has(replica.id) && now - replica.writtenAt > heartbeat * heartbeatsToLapse) {
@@ -112,25 +115,25 @@
 		}
 	}
 
-	/** @param waiting - A watch that waits. */
-	join(waiting: Waiting): void {
+	/** @param waiting - A watch to wake at the next change. */
+	addWatch(waiting: WaitingWatch): void {
 		this.waiting = [...this.waiting, waiting];
 	}
 
 	/**
 	 * @param waiting - A watch.
-	 * @returns Whether it still waits; it is never answered where it does not.
+	 * @returns Whether it still waits; a watch that no longer waits gets no response.
 	 */
-	holds(waiting: Waiting): boolean {
+	hasWatch(waiting: WaitingWatch): boolean {
 		return this.waiting.includes(waiting);
 	}
 
-	/** @param waiting - A watch that waits no longer. */
-	withdraw(waiting: Waiting): void {
+	/** @param waiting - A watch to remove. */
+	removeWatch(waiting: WaitingWatch): void {
 		this.waiting = this.waiting.filter(other => other !== waiting);
 	}
 
-	private beat(replica: ModelReplica): void {
+	private sendHeartbeat(replica: ModelReplica): void {
 		if (this.outage) {
 			return;
 		}
@@ -145,58 +148,58 @@
 		this.revision++;
 		const object = {name: id, revision: this.revision, spec: {isDraining: state === 'draining'}};
 		this.entries.set(id, object);
-		this.happen({object, isGone: false, at: this.revision});
+		this.recordChange({object, isGone: false, at: this.revision});
 	}
 
 	private remove(id: string): void {
 		this.revision++;
 		this.entries.delete(id);
-		this.happen({object: {name: id, revision: this.revision, spec: null}, isGone: true, at: this.revision});
+		this.recordChange({object: {name: id, revision: this.revision, spec: null}, isGone: true, at: this.revision});
 	}
 
-	private happen(change: Happened): void {
+	private recordChange(change: RecordedChange): void {
 		this.history = [...this.history, change];
 		if (!this.outage) {
-			for (const {wake} of this.takeWaiting()) {
+			for (const {wake} of this.removeAllWatches()) {
 				wake();
 			}
 		}
 	}
 
-	private takeWaiting(): readonly Waiting[] {
+	private removeAllWatches(): readonly WaitingWatch[] {
 		const {waiting} = this;
 		this.waiting = [];
 		return waiting;
 	}
 }
 
-/** One box's way to the store. */
-export class ModelStoreDoor extends MetadataStore {
+/** One box's connection to the simulated store. */
+export class ModelStoreClient extends MetadataStore {
 	/**
 	 * @param store - The store.
-	 * @returns A way that works.
+	 * @returns A connection without faults.
 	 */
-	static create(store: ModelStore): ModelStoreDoor {
-		return new ModelStoreDoor(store);
+	static create(store: ModelStore): ModelStoreClient {
+		return new ModelStoreClient(store);
 	}
 
 	override readonly era = 0;
-	/** What becomes of its next call, or of the one that waits. */
-	private next: CallFault | undefined;
-	private waiting: Waiting | undefined;
+	/** How the next call fails; `undefined` if it succeeds. */
+	private nextFault: CallFault | undefined;
+	private waiting: WaitingWatch | undefined;
 
 	private constructor(private readonly store: ModelStore) {
 		super();
 	}
 
-	/** @param fault - What becomes of the watch of replicas that waits; of the next call where none does. */
+	/** @param fault - How the waiting watch of replicas fails, or the next call if no watch waits. */
 	loseAnswer(fault: CallFault): void {
 		if (!this.waiting) {
-			this.next = fault;
+			this.nextFault = fault;
 			return;
 		}
 
-		this.store.withdraw(this.waiting);
+		this.store.removeWatch(this.waiting);
 		if (fault === 'refused') {
 			this.waiting.refuse();
 		}
@@ -220,54 +223,54 @@
 	}
 
 	override create(): Effect.Effect<StoredObject, StoreUnavailable | RevisionConflict> {
-		return Effect.die('boxes write nothing here');
+		return Effect.die('the simulated boxes do not write to the store');
 	}
 
 	override replace(): Effect.Effect<StoredObject, StoreUnavailable | RevisionConflict> {
-		return Effect.die('boxes write nothing here');
+		return Effect.die('the simulated boxes do not write to the store');
 	}
 
 	override remove(): Effect.Effect<void, StoreUnavailable | RevisionConflict> {
-		return Effect.die('boxes write nothing here');
+		return Effect.die('the simulated boxes do not write to the store');
 	}
 
 	private untilChange(kind: string, wait: number): Effect.Effect<void, StoreUnavailable> {
 		return Effect.callback<void, StoreUnavailable>(resume => {
-			const waiting: Waiting = {
+			const waiting: WaitingWatch = {
 				wake() {
-					end(Effect.void);
+					finish(Effect.void);
 				},
 				refuse() {
-					end(Effect.fail(unavailable('cut')));
+					finish(Effect.fail(unavailable('cut')));
 				},
 			};
 			const due = setTimeout(() => {
-				if (this.store.holds(waiting)) {
-					end(Effect.void);
+				if (this.store.hasWatch(waiting)) {
+					finish(Effect.void);
 				}
 			}, wait);
 			const timeout = setTimeout(() => {
-				end(Effect.fail(unavailable('timeout')));
+				finish(Effect.fail(unavailable('timeout')));
 			}, wait + answerTimeout);
-			const end = (outcome: Effect.Effect<void, StoreUnavailable>) => {
+			const finish = (outcome: Effect.Effect<void, StoreUnavailable>) => {
 				clearTimeout(due);
 				clearTimeout(timeout);
-				this.store.withdraw(waiting);
+				this.store.removeWatch(waiting);
 				this.waiting = this.waiting === waiting ? undefined : this.waiting;
 				resume(outcome);
 			};
 
-			this.store.join(waiting);
+			this.store.addWatch(waiting);
 			if (kind === modelReplicaKind) {
 				this.waiting = waiting;
 			}
 		});
 	}
 
-	private call<Answer>(answer: () => Answer, isLosable = true): Effect.Effect<Answer, StoreUnavailable> {
+	private call<Answer>(answer: () => Answer, canFail = true): Effect.Effect<Answer, StoreUnavailable> {
 		return Effect.suspend(() => {
-			const fault = this.store.outage ?? (isLosable ? this.next : undefined);
-			this.next = isLosable ? undefined : this.next;
+			const fault = this.store.outage ?? (canFail ? this.nextFault : undefined);
+			this.nextFault = canFail ? undefined : this.nextFault;
 			if (fault === 'silent') {
 				return Effect.sleep(answerTimeout).pipe(Effect.andThen(Effect.fail(unavailable('timeout'))));
 			}
--- a/development/relay/relay-installation.ts
+++ b/development/relay/relay-installation.ts
@@ -1,5 +1,5 @@
 /**
- * A whole small deployment in one process: store, replicas and relays, on loopback. Development only.
+ * A complete small deployment in one process on loopback: metadata store, replicas and relays. Development only.
  */
 import {request, type Agent, type IncomingHttpHeaders} from 'node:http';
 import {createServer} from 'node:net';
@@ -17,10 +17,10 @@
 import {ReplicaStandin} from './replica-standin.js';
 import {StoreStandin} from './store-standin.js';
 
-/** A line that a relay logged. */
+/** An event that a relay logged. */
 export type LoggedEvent = EventFields & {readonly eventName: EventName};
 
-/** Keeps what is logged. */
+/** An event log that keeps all events in memory. */
 export class KeepingLog extends EventLog {
 	readonly lines: LoggedEvent[] = [];
 
@@ -29,7 +29,7 @@
 	}
 }
 
-/** A relay of the installation. */
+/** A relay of the deployment. */
 export type RelayMember = {
 	readonly name: string;
 	readonly node: RelayNode;
@@ -37,11 +37,11 @@
 	readonly readyPort: number;
 	readonly log: KeepingLog;
 	readonly metrics: RelayMetrics;
-	/** Ends it at once, as a kill does. */
+	/** Stops the relay at once, without draining, as a killed process does. */
 	readonly end: () => Promise<void>;
 };
 
-/** An answer that a client got; status zero where the connection ended without a whole one. */
+/** A response as its client received it; the status is 0 if the connection failed before the response began. */
 export type ClientView = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
@@ -49,7 +49,7 @@
 	readonly isWhole: boolean;
 };
 
-/** A client's request. */
+/** A request of a client. */
 export type ClientCall = {
 	readonly path: string;
 	readonly method?: string;
@@ -60,10 +60,10 @@
 	readonly signal?: AbortSignal;
 };
 
-/** A route as the platform spells it. */
+/** A route in the platform's wire format. */
 export type WireRoute = Readonly<Record<string, unknown>>;
 
-/** Milliseconds that a usual route allows. */
+/** Timeout of the default routes, in milliseconds. */
 export const routeTimeout = 2000;
 export const testHost = 'front.example';
 export const testKey = 'key-of-basin';
@@ -74,14 +74,14 @@
 
 /**
  * @param path - Path prefix.
- * @param changes - What is otherwise than usual.
+ * @param changes - Fields that differ from the default route.
  * @returns A route to the service `plain`.
  */
 export const routeTo = (path: string, changes: WireRoute = {}): WireRoute => ({
 	name: `r${path}`, host: testHost, path_prefix: path, kind: 'idempotent', timeout_ms: routeTimeout, goal_ms: 200, priority: 1, service: 'plain', max_attempts: 2, public: false, ...changes,
 });
 
-const usualRoutes = [
+const defaultRoutes = [
 	routeTo('/calls/'),
 	routeTo('/once/', {kind: 'non_idempotent', max_attempts: 1}),
 	routeTo('/stream/', {kind: 'streaming', resumable: true}),
@@ -89,7 +89,7 @@
 	routeTo('/long/', {kind: 'streaming', max_attempts: 1, timeout_ms: 60_000}),
 ];
 
-/** What an installation is made of. */
+/** Parameters of a deployment. */
 export type InstallationPlan = {
 	readonly relays: number;
 	/** Ids of replicas of the service `plain`. */
@@ -99,31 +99,31 @@
 	readonly services?: ReadonlyArray<Readonly<Record<string, unknown>>>;
 	readonly bounds?: Partial<RelayBounds>;
 	readonly withDuties?: boolean;
-	/** Fingerprints of requests that run whatever they did to replicas. */
+	/** Fingerprints of requests that are exempt from quarantine, even if they crashed replicas. */
 	readonly released?: readonly string[];
 };
 
-/** Milliseconds from a body that ends a replica to its end; until its entry lapses; and until it is back. */
+/** Milliseconds from a request that crashes a replica to the crash; from the crash until the entry lapses; and from the crash until the restart. */
 const crashDelay = 60;
 const lapseDelay = 600;
 const restartDelay = 2000;
 
 /**
- * Below the ports that Linux gives to outgoing connections, from 32,768 on: one of them could hold the port of a box that starts again. Each
- * process draws from a block of its own, in turn, since a port of a box that is down seems free to others.
+ * Ports are below the range that Linux assigns to outgoing connections, which starts at 32,768: such a connection could occupy the port of a box
+ * that restarts. Each process uses its own block of ports in turn, because the port of a stopped box looks free to other processes.
  */
 const firstPort = 15_000;
 const portsInBlock = 500;
 const blocks = 34;
 
-let portsGiven = 0;
+let assignedPorts = 0;
 let attempts = 0;
 
-/** The installation. */
+/** A deployment of relays and replicas for tests. */
 export class RelayInstallation {
 	/**
-	 * @param plan - What it is made of.
-	 * @returns The installation; every relay is ready.
+	 * @param plan - Parameters of the deployment.
+	 * @returns The deployment, with all relays ready.
 	 */
 	static async start(plan: InstallationPlan): Promise<RelayInstallation> {
 		const installation = new RelayInstallation(plan, await StoreStandin.start());
@@ -134,33 +134,33 @@
 	}
 
 	readonly replicas = new Map<string, ReplicaStandin>();
-	/** Every start of every replica there ever was. */
+	/** All replica processes so far; a restarted replica adds a new one. */
 	readonly everyReplica: ReplicaStandin[] = [];
-	/** What each replica last wrote of itself, whatever the store holds. */
+	/** The last entry that each replica wrote, which may differ from the store's after a fault. */
 	readonly entries = new Map<string, unknown>();
 	readonly relays: RelayMember[] = [];
 	private prepare: ((replica: ReplicaStandin) => void) | undefined;
 	private version = 0;
-	/** When each replica was started, in milliseconds since the epoch. */
-	private readonly born = new Map<string, number>();
+	/** Start time of each replica, in milliseconds since the Unix epoch. */
+	private readonly startTimes = new Map<string, number>();
 	private crashMark: string | undefined;
-	private onEnd: ((id: string) => void) | undefined;
+	private onCrash: ((id: string) => void) | undefined;
 	private restarts: ReadonlyArray<Promise<void>> = [];
 	private isClosing = false;
 
 	private constructor(private readonly plan: InstallationPlan, readonly store: StoreStandin) {}
 
 	/**
-	 * Puts a configuration in force.
+	 * Writes a new configuration to the store.
 	 *
-	 * @param changes - What is otherwise than planned.
-	 * @returns Its version.
+	 * @param changes - Top-level fields that differ from the plan.
+	 * @returns Version of the configuration.
 	 */
 	configure(changes: Readonly<Record<string, unknown>> = {}): number {
 		this.version += 3;
 		this.store.put(configurationKind, configurationName, {
 			version: this.version,
-			routes: this.plan.routes ?? usualRoutes,
+			routes: this.plan.routes ?? defaultRoutes,
 			services: this.plan.services ?? [{name: 'plain', max_conns: 100}],
 			limits: {max_body_bytes: 4_194_304, header_timeout_ms: 3000, idle_timeout_ms: 15_000},
 			tenants: [{
@@ -173,34 +173,34 @@
 
 	/**
 	 * @param id - Id of a new replica of the service `plain`.
-	 * @param entry - What its entry says otherwise than usual.
-	 * @returns The replica, listed.
+	 * @param entry - Fields of its entry that differ from the default.
+	 * @returns The replica, with its entry in the store.
 	 */
 	async addReplica(id: string, entry: Readonly<Record<string, unknown>> = {}): Promise<ReplicaStandin> {
 		const replica = await ReplicaStandin.start(id);
 		this.replicas.set(id, replica);
 		this.everyReplica.push(replica);
 		this.prepare?.(replica);
-		this.born.set(id, Date.now());
-		this.arm(id, replica);
+		this.startTimes.set(id, Date.now());
+		this.setCrashMark(id, replica);
 		this.list(id, entry);
 		return replica;
 	}
 
 	/**
-	 * Writes a replica's entry.
+	 * Writes a replica's entry to the store.
 	 *
 	 * @param id - Id of the replica.
-	 * @param entry - What it says otherwise than usual.
+	 * @param entry - Fields that differ from the default.
 	 */
 	list(id: string, entry: Readonly<Record<string, unknown>> = {}): void {
 		this.entries.set(id, {
-			service: 'plain', addr: `127.0.0.1:${this.replicas.get(id)!.port}`, zone: 'zone-1', slots: 8, state: 'ready', seq: 1, born: this.born.get(id), version: 1, ...entry,
+			service: 'plain', addr: `127.0.0.1:${this.replicas.get(id)!.port}`, zone: 'zone-1', slots: 8, state: 'ready', seq: 1, born: this.startTimes.get(id), version: 1, ...entry,
 		});
 		this.store.put(replicaKind, id, this.entries.get(id));
 	}
 
-	/** @param prepare - Called for each replica of now and later. */
+	/** @param prepare - Called for each existing and each future replica. */
 	prepareReplicas(prepare: (replica: ReplicaStandin) => void): void {
 		this.prepare = prepare;
 		for (const replica of this.replicas.values()) {
@@ -209,21 +209,21 @@
 	}
 
 	/**
-	 * Lets the replicas of now and later end under a body, lose their entries as after three heartbeats, and start again under
-	 * their ids.
+	 * Makes all existing and future replicas crash when they receive a request body with a mark. After a crash, the entry lapses as it
+	 * does after three missed heartbeats, and the replica restarts under the same id.
 	 *
-	 * @param mark - What such a body holds.
-	 * @param onEnd - Called at each end with the id of the replica.
+	 * @param mark - Text that such a body contains.
+	 * @param onCrash - Called at each crash with the id of the replica.
 	 */
-	crashOn(mark: string, onEnd: (id: string) => void): void {
+	crashOn(mark: string, onCrash: (id: string) => void): void {
 		this.crashMark = mark;
-		this.onEnd = onEnd;
+		this.onCrash = onCrash;
 		for (const [id, replica] of this.replicas) {
-			this.arm(id, replica);
+			this.setCrashMark(id, replica);
 		}
 	}
 
-	/** @param id - Id of a replica that is listed no longer. */
+	/** @param id - Id of a replica whose entry is removed from the store. */
 	unlist(id: string): void {
 		this.entries.delete(id);
 		this.store.remove(replicaKind, id);
@@ -231,7 +231,7 @@
 
 	/**
 	 * @param name - Name of a new relay.
-	 * @returns The relay, ready.
+	 * @returns The relay, after it has become ready.
 	 */
 	async addRelay(name: string): Promise<RelayMember> {
 		const member = await this.startRelay(name);
@@ -242,7 +242,7 @@
 
 	/**
 	 * @param name - Name of a new relay.
-	 * @returns The relay, listening.
+	 * @returns The relay, which listens but may not be ready yet.
 	 */
 	async startRelay(name: string): Promise<RelayMember> {
 		const [front, ready, control, metricsPort] = await Promise.all(Array.from({length: 4}, async () => freePort()));
@@ -274,12 +274,12 @@
 				yield * Effect.never;
 			})));
 		});
-		const end = async () => {
+		const kill = async () => {
 			await Effect.runPromise(Fiber.interrupt(fiber!));
 		};
 
 		return {
-			name, node, port: front!, readyPort: ready!, log, metrics, end,
+			name, node, port: front!, readyPort: ready!, log, metrics, end: kill,
 		};
 	}
 
@@ -287,8 +287,8 @@
 	 * Sends a request to a relay.
 	 *
 	 * @param call - The request.
-	 * @param relay - Which relay; the first by default.
-	 * @returns What the client saw.
+	 * @param relay - The relay to send to; the first by default.
+	 * @returns The response as the client received it.
 	 */
 	async call(call: ClientCall, relay: {readonly port: number} = this.relays[0]!): Promise<ClientView> {
 		attempts++;
@@ -300,17 +300,17 @@
 		});
 	}
 
-	/** Ends everything. */
+	/** Stops all relays, replicas and the store. */
 	async close(): Promise<void> {
 		this.isClosing = true;
-		await Promise.all(this.relays.map(async ({end}) => end()));
+		await Promise.all(this.relays.map(async ({end: kill}) => kill()));
 		await Promise.all(this.restarts);
 		await Promise.all([...this.replicas.values()].map(async replica => replica.close()));
 		await this.store.close();
 	}
 
 	/**
-	 * Ends a replica for a reason of its own; its entry lapses and it starts again as after a body that ends it.
+	 * Crashes a replica independently of any request. Its entry lapses and it restarts as after a crash that a request caused.
 	 *
 	 * @param id - Id of the replica.
 	 */
@@ -319,12 +319,12 @@
 		await this.replicas.get(id)!.close();
 	}
 
-	private arm(id: string, replica: ReplicaStandin): void {
+	private setCrashMark(id: string, replica: ReplicaStandin): void {
 		const {crashMark: mark} = this;
 		if (mark !== undefined) {
 			replica.crashMark = {
-				mark, delay: crashDelay, onEnd: () => {
-					this.onEnd?.(id);
+				mark, delay: crashDelay, onCrash: () => {
+					this.onCrash?.(id);
 					this.restarts = [...this.restarts, this.restart(id)];
 				},
 			};
@@ -344,26 +344,26 @@
 }
 
 /**
- * Waits until something holds.
+ * Waits until a condition is met.
  *
- * @param holds - Asked again and again.
- * @param patience - Milliseconds after which to give up.
+ * @param isMet - The condition, checked every 10 ms.
+ * @param timeout - Timeout in milliseconds.
  */
-export async function until(holds: () => boolean, patience = 15_000): Promise<void> {
-	const end = performance.now() + patience;
-	while (!holds()) {
+export async function until(isMet: () => boolean, timeout = 15_000): Promise<void> {
+	const end = performance.now() + timeout;
+	while (!isMet()) {
 		if (performance.now() > end) {
-			throw new Error(`did not hold within ${patience} ms: ${holds.toString()}`);
+			throw new Error(`condition not met within ${timeout} ms: ${isMet.toString()}`);
 		}
 
 		await pause(10);
 	}
 }
 
-/** @returns A TCP port of loopback that nobody listens on, and that no connection takes by itself; another one each time. */
+/** @returns A TCP port on loopback that is free and outside the range of outgoing connections; a different port at each call. */
 export async function freePort(): Promise<number> {
-	const port = firstPort + ((process.pid % blocks) * portsInBlock) + (portsGiven % portsInBlock);
-	portsGiven++;
+	const port = firstPort + ((process.pid % blocks) * portsInBlock) + (assignedPorts % portsInBlock);
+	assignedPorts++;
 	const server = createServer();
 	const isFree = await new Promise<boolean>(resolve => {
 		server.once('error', () => {
--- a/development/relay/replica-standin.ts
+++ b/development/relay/replica-standin.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in for a replica of a service on the platform, with faults. Development only.
+ * A stand-in for a replica of a service on the platform, with fault injection. Development only.
  */
 import type {Server} from 'node:http';
 import type {AddressInfo, Socket} from 'node:net';
@@ -9,40 +9,40 @@
 import {startStandin, type StandinRequest} from '../standins/standin-server.js';
 import {StreamWriter, wholeStream, type StreamConduct} from './stream-writer.js';
 
-/** What a replica does with the next requests. */
+/** How a replica responds to the following requests. */
 export type ReplicaConduct = {
-	/** Milliseconds before an answer or before the first event. */
+	/** Milliseconds before a response or before the first event of a stream. */
 	readonly delay: number;
-	/** Events of a stream; zero makes a whole answer. */
+	/** Number of events of a stream; 0 gives a plain response. */
 	readonly events: number;
 	/** Milliseconds between events. */
 	readonly gap: number;
 	/** How a stream is written. */
 	readonly stream: StreamConduct;
-	/** How the answer goes wrong. */
+	/** Fault of the response. */
 	readonly fault:
 		'none' | 'reset' | 'refuse' | 'error' | 'cut' | 'mute' | 'wrong-id' | 'extra' | 'unframed' | 'unframed-reset' | 'unframed-crash' | 'encoded' | 'cut-stream' | 'mute-stream' | 'elsewhere';
 };
 
-/** A replica turns requests away and asks for a time without any. */
+/** Load shedding: a replica refuses requests and asks for a pause with `Retry-After`. */
 export type Shedding = {
-	/** Of so many requests the last is turned away. */
+	/** Refuses every nth request. */
 	readonly every: number;
-	/** What the answer says of the time. */
+	/** Value of `Retry-After`, in seconds. */
 	readonly retryAfter: string;
 };
 
-/** A fault of a replica that a request brings about: its process ends. */
+/** A crash of a replica that a request causes. */
 export type CrashMark = {
-	/** What a body holds under which the replica ends. */
+	/** Text in a request body that makes the replica crash. */
 	readonly mark: string;
-	/** Milliseconds from the request to the end. */
+	/** Milliseconds from the request to the crash. */
 	readonly delay: number;
-	/** Called when it has ended. */
-	readonly onEnd: () => void;
+	/** Called at the crash, before the connections are closed. */
+	readonly onCrash: () => void;
 };
 
-/** A request that a replica has run or refused. */
+/** A request that a replica received, whether it ran or was refused. */
 export type SeenRequest = {
 	readonly id: string;
 	readonly method: string;
@@ -50,49 +50,49 @@
 	readonly body: string;
 	readonly headers: Readonly<Record<string, string | readonly string[] | undefined>>;
 	readonly hasRun: boolean;
-	/** Monotonic milliseconds at which it came. */
+	/** Time of arrival, in monotonic milliseconds. */
 	readonly at: number;
-	/** Milliseconds without requests that its answer asked for; `undefined` where it was not turned away so. */
+	/** Pause in milliseconds that the response asked for; `undefined` if the request was not shed. */
 	readonly pauseAsked: number | undefined;
-	/** Whether its answer said that the replica leaves. */
+	/** Whether the response announced that the replica is leaving. */
 	readonly saidLeaving: boolean;
 	isAbandoned: boolean;
-	/** Whether it is a stream that was written to its end, as it should be, and read. */
+	/** Whether the response is a correct stream that was sent completely. */
 	isRightStream: boolean;
 };
 
 const millisecondsPerSecond = 1000;
-/** Bytes of an event that come before a cut inside it. */
-const partOfEvent = 14;
-/** Faults of a stream itself; with another one a request for a stream is answered as one for a whole answer. */
+/** Number of bytes of an event that are sent before a cut inside it. */
+const cutEventBytes = 14;
+/** Faults that apply to streams; with any other fault, a request for a stream gets a plain response with that fault. */
 const streamFaults: ReadonlySet<ReplicaConduct['fault']> = new Set(['none', 'cut-stream', 'mute-stream']);
-const calm: ReplicaConduct = {
+const defaultConduct: ReplicaConduct = {
 	delay: 5, events: 0, gap: 5, stream: wholeStream, fault: 'none',
 };
 
 /**
  * @param replica - Id of a replica.
  * @param request - Id of a request that it ran.
- * @returns What an answer names as its maker where replicas name requests too.
+ * @returns The text by which a response identifies its producer if responses also name their request.
  */
 export const makerOf = (replica: string, request: string): string => `${replica} for ${request}`;
 
 /**
- * @param maker - Who made it.
- * @returns Body of a whole answer.
+ * @param maker - Text that identifies the producer of the response.
+ * @returns Body of a plain response.
  */
 export const wholeAnswerOf = (maker: string): string => `answer of ${maker}`;
 
 /**
  * @param replica - Id of a replica.
- * @returns The signature on its answers.
+ * @returns Value of `Server-Stamp` in its responses.
  */
 export const stampOf = (replica: string): string => `stamp-${replica}`;
 
-/** The stand-in. */
+/** The stand-in for a replica. */
 export class ReplicaStandin {
 	/**
-	 * @param id - Its id.
+	 * @param id - Id of the replica.
 	 * @returns The replica, listening on loopback.
 	 */
 	static async start(id: string): Promise<ReplicaStandin> {
@@ -104,27 +104,27 @@
 		return replica;
 	}
 
-	/** Requests in the order in which they came. */
+	/** Received requests in order of arrival. */
 	readonly seen: SeenRequest[] = [];
-	/** Connections that were opened to it. */
+	/** Number of connections opened to the replica so far. */
 	connections = 0;
-	conduct: ReplicaConduct = calm;
-	/** What its answers name as the requests a second that it takes of all boxes, as text, whatever else goes wrong; `undefined` where they name none. */
+	conduct: ReplicaConduct = defaultConduct;
+	/** Value of `Server-Limit`: requests per second that it accepts from all boxes together, also sent with faults; `undefined` omits the header. */
 	limit: string | undefined;
-	/** Whether its answers say that it leaves. */
+	/** Whether responses announce that the replica is leaving. */
 	isLeaving = false;
-	/** How it turns requests away; `undefined` where it does not. */
+	/** How the replica sheds load; `undefined` if it does not. */
 	shedding: Shedding | undefined;
-	/** Under which body it ends; `undefined` where none ends it. */
+	/** Which request body crashes the replica; `undefined` if none does. */
 	crashMark: CrashMark | undefined;
-	/** How the stream is written that answers a body; `undefined` where the conduct tells it. */
+	/** Changes, by request body, how a stream is written; `undefined` if the conduct alone decides. */
 	scriptOf: ((body: string) => Partial<StreamConduct>) | undefined;
-	/** Events of an answer to a path under `/stream/`; zero leaves that to the conduct. */
+	/** Number of events of a response to a path under `/stream/`; if 0, the conduct decides. */
 	streamEvents = 0;
-	/** Whether answers name the request too, so that those of two requests differ. */
+	/** Whether responses also name their request, so that responses to different requests differ. */
 	namesRequests = false;
 	private server!: Server;
-	private readonly unframed = new Set<Socket>();
+	private readonly unframedSockets = new Set<Socket>();
 
 	private constructor(readonly id: string) {}
 
@@ -133,24 +133,24 @@
 		return (this.server.address() as AddressInfo).port;
 	}
 
-	/** Whether it takes connections. */
+	/** Whether the replica accepts connections. */
 	get isUp(): boolean {
 		return this.server.listening;
 	}
 
-	/** Requests that it has run. */
+	/** Requests that the replica has run. */
 	get runs(): readonly SeenRequest[] {
 		return this.seen.filter(({hasRun}) => hasRun);
 	}
 
 	/**
-	 * @param changes - What it does otherwise from now on.
+	 * @param changes - Fields that differ from the default conduct.
 	 */
 	behave(changes: Partial<ReplicaConduct>): void {
-		this.conduct = {...calm, ...changes};
+		this.conduct = {...defaultConduct, ...changes};
 	}
 
-	/** @returns Connections that are open to it. */
+	/** @returns Number of open connections to the replica. */
 	async openConnections(): Promise<number> {
 		return new Promise(resolve => {
 			this.server.getConnections((_, count) => {
@@ -159,9 +159,9 @@
 		});
 	}
 
-	/** Closes all connections and stops. Answers without a length end by a reset: nobody could tell their end from the whole. */
+	/** Stops and closes all connections. Responses without a length end by a reset, because a close would mark them as complete. */
 	async close(): Promise<void> {
-		for (const socket of this.unframed) {
+		for (const socket of this.unframedSockets) {
 			resetConnection(socket);
 		}
 
@@ -187,7 +187,7 @@
 		response.once('close', () => {
 			seen.isAbandoned = !response.writableFinished;
 		});
-		const own = {
+		const commonHeaders = {
 			'Attempt-Id': id,
 			'Server-Stamp': stampOf(this.id),
 			...(this.limit === undefined ? {} : {'Server-Limit': this.limit}),
@@ -195,16 +195,16 @@
 			...(isShed ? {'Retry-After': shedding.retryAfter} : {}),
 		};
 		if (!hasRun) {
-			response.writeHead(isElsewhere ? 421 : 503, {...own, 'Not-Executed': '1', 'Content-Length': '0'}).end();
+			response.writeHead(isElsewhere ? 421 : 503, {...commonHeaders, 'Not-Executed': '1', 'Content-Length': '0'}).end();
 			return;
 		}
 
 		const {crashMark} = this;
 		if (crashMark && request.body.includes(crashMark.mark)) {
 			await pause(crashMark.delay);
-			// Several such requests at once end it once.
+			// Several such requests at once crash the replica only once.
 			if (this.server.listening) {
-				crashMark.onEnd();
+				crashMark.onCrash();
 				await this.close();
 			}
 
@@ -214,18 +214,18 @@
 		await pause(conduct.delay);
 		const events = this.streamEvents > 0 && request.url.pathname.startsWith('/stream/') ? this.streamEvents : conduct.events;
 		if (events > 0 && streamFaults.has(conduct.fault)) {
-			const isRight = await this.stream(request, {...conduct, events}, own);
+			const isRight = await this.stream(request, {...conduct, events}, commonHeaders);
 			response.once('finish', () => {
 				seen.isRightStream = isRight;
 			});
 			return;
 		}
 
-		this.answerWhole(request, conduct, own);
+		this.answerPlain(request, conduct, commonHeaders);
 	}
 
-	private answerWhole({response, incoming}: StandinRequest, {fault}: ReplicaConduct, own: Readonly<Record<string, string>>): void {
-		const body = wholeAnswerOf(this.makerFor(own['Attempt-Id']!));
+	private answerPlain({response, incoming}: StandinRequest, {fault}: ReplicaConduct, commonHeaders: Readonly<Record<string, string>>): void {
+		const body = wholeAnswerOf(this.producerFor(commonHeaders['Attempt-Id']!));
 		const length = {'Content-Length': String(body.length)};
 		switch (fault) {
 			case 'mute': {
@@ -238,34 +238,34 @@
 			}
 
 			case 'cut': {
-				response.writeHead(200, {...own, 'Content-Length': String(body.length + 10)});
+				response.writeHead(200, {...commonHeaders, 'Content-Length': String(body.length + 10)});
 				response.write(body, () => response.socket?.destroy());
 				return;
 			}
 
 			case 'wrong-id': {
-				response.writeHead(200, {...own, ...length, 'Attempt-Id': 'another'}).end(body);
+				response.writeHead(200, {...commonHeaders, ...length, 'Attempt-Id': 'another'}).end(body);
 				return;
 			}
 
 			case 'encoded': {
-				response.writeHead(200, {...own, ...length, 'Content-Encoding': 'gzip'}).end(body);
+				response.writeHead(200, {...commonHeaders, ...length, 'Content-Encoding': 'gzip'}).end(body);
 				return;
 			}
 
 			case 'error': {
-				response.writeHead(500, {...own, ...length}).end(body);
+				response.writeHead(500, {...commonHeaders, ...length}).end(body);
 				return;
 			}
 
 			case 'extra': {
-				response.writeHead(200, {...own, ...length}).end(body);
+				response.writeHead(200, {...commonHeaders, ...length}).end(body);
 				response.socket?.write('HTTP/1.1 200 OK\r\nAttempt-Id: late\r\nContent-Length: 4\r\n\r\nlate');
 				return;
 			}
 
 			case 'unframed': {
-				response.socket?.end(`HTTP/1.1 200 OK\r\nAttempt-Id: ${own['Attempt-Id']}\r\nServer-Stamp: ${own['Server-Stamp']}\r\n\r\n${body}`);
+				response.socket?.end(`HTTP/1.1 200 OK\r\nAttempt-Id: ${commonHeaders['Attempt-Id']}\r\nServer-Stamp: ${commonHeaders['Server-Stamp']}\r\n\r\n${body}`);
 				return;
 			}
 
@@ -276,9 +276,9 @@
 					resetConnection(socket);
 				};
 
-				socket.write(`HTTP/1.1 200 OK\r\nAttempt-Id: ${own['Attempt-Id']}\r\nServer-Stamp: ${own['Server-Stamp']}\r\n\r\n${body.slice(0, 4)}`, () => {
+				socket.write(`HTTP/1.1 200 OK\r\nAttempt-Id: ${commonHeaders['Attempt-Id']}\r\nServer-Stamp: ${commonHeaders['Server-Stamp']}\r\n\r\n${body.slice(0, 4)}`, () => {
 					if (fault === 'unframed-crash') {
-						// At once, so that the reader finds bytes and reset together.
+						// Resets at once, so that the data and the reset arrive together.
 						reset();
 					} else {
 						setTimeout(reset, 20);
@@ -288,35 +288,35 @@
 			}
 
 			default: {
-				response.writeHead(200, {...own, ...length}).end(body);
+				response.writeHead(200, {...commonHeaders, ...length}).end(body);
 			}
 		}
 	}
 
-	private makerFor(request: string): string {
+	private producerFor(request: string): string {
 		return this.namesRequests ? makerOf(this.id, request) : this.id;
 	}
 
-	private async stream({response, headers, body, incoming: {socket}}: StandinRequest, conduct: ReplicaConduct, own: Readonly<Record<string, string>>): Promise<boolean> {
+	private async stream({response, headers, body, incoming: {socket}}: StandinRequest, conduct: ReplicaConduct, commonHeaders: Readonly<Record<string, string>>): Promise<boolean> {
 		const {events, gap} = conduct;
-		const script = {...streamOf(conduct), ...this.scriptOf?.(body)};
+		const script = {...streamConductOf(conduct), ...this.scriptOf?.(body)};
 		if (script.framing === 'none') {
-			this.unframed.add(socket);
-			socket.once('close', () => this.unframed.delete(socket));
+			this.unframedSockets.add(socket);
+			socket.once('close', () => this.unframedSockets.delete(socket));
 		}
 
 		return StreamWriter.create(response, {
-			conduct: script, replica: this.makerFor(own['Attempt-Id']!), events, gap, after: Number(headers[header.lastEvent] ?? 0), headers: own,
+			conduct: script, replica: this.producerFor(commonHeaders['Attempt-Id']!), events, gap, after: Number(headers[header.lastEvent] ?? 0), headers: commonHeaders,
 		}).write();
 	}
 }
 
-/** In the middle of a stream: of one from the beginning on, or of any. */
-function streamOf({stream, fault, events}: ReplicaConduct): StreamConduct {
+/** @returns How to write a stream, with a fault of the stream placed at its middle event. */
+function streamConductOf({stream, fault, events}: ReplicaConduct): StreamConduct {
 	const middle = Math.floor(events / 2) + 1;
 	switch (fault) {
 		case 'cut-stream': {
-			return {...stream, breaksAt: {event: middle, bytes: partOfEvent}};
+			return {...stream, breaksAt: {event: middle, bytes: cutEventBytes}};
 		}
 
 		case 'mute-stream': {
