--- a/development/soak/datagram-proxy.ts
+++ b/development/soak/datagram-proxy.ts
@@ -1,22 +1,22 @@
 /**
- * Stands before the UDP port of one box on loopback, and loses, delays or cuts off what passes. Development only.
+ * Proxy in front of the UDP port of one box on loopback that drops, duplicates, delays or blocks datagrams. Development only.
  */
 import {createSocket, type Socket} from 'node:dgram';
 import {once} from 'node:events';
 
-/** What is done to datagrams, until changed. */
+/** Fault that applies to all datagrams until it is changed. */
 export type DatagramFault =
 	| {readonly kind: 'none'}
-	/** This part of them is lost, and as many come twice. */
+	/** This fraction of the datagrams is lost, and the same fraction is duplicated. */
 	| {readonly kind: 'lose'; readonly part: number}
-	/** Each waits up to so many milliseconds by itself, so that later ones overtake it. */
+	/** Each datagram is delayed independently by up to this many milliseconds, so that later ones may overtake it. */
 	| {readonly kind: 'delay'; readonly milliseconds: number}
-	/** None comes from these ports; what goes the other way is another proxy's. */
+	/** Datagrams from these ports are dropped; the opposite direction passes through the proxy of the other box. */
 	| {readonly kind: 'cut-from'; readonly ports: ReadonlySet<number>};
 
 const loopback = '127.0.0.1';
 
-/** @returns A UDP port of loopback that nobody listens on. */
+/** @returns A free UDP port of loopback. */
 export async function freeDatagramPort(): Promise<number> {
 	const socket = await boundTo(0);
 	const {port} = socket.address();
@@ -31,22 +31,22 @@
 	return socket;
 }
 
-/** The proxy. */
+/** Proxy in front of one UDP port. */
 export class DatagramProxy {
 	/**
-	 * @param toldPort - Port at which it listens.
+	 * @param toldPort - Port on which the proxy listens.
 	 * @param ownPort - Port of the box.
-	 * @param random - Draws which are lost, and how long they wait.
+	 * @param random - Draws which datagrams are lost or duplicated, and their delays.
 	 * @returns The proxy, listening.
 	 */
 	static async create(toldPort: number, ownPort: number, random: () => number): Promise<DatagramProxy> {
 		return new DatagramProxy(await boundTo(toldPort), ownPort, random);
 	}
 
-	/** Datagrams that were lost, came twice, or were late. */
+	/** Number of datagrams that were dropped, duplicated or delayed. */
 	struck = 0;
 	fault: DatagramFault = {kind: 'none'};
-	/** Whether nothing passes, whatever else is done. */
+	/** Whether all datagrams are dropped, whatever the fault in force. */
 	isShut = false;
 	private isClosed = false;
 
@@ -59,7 +59,7 @@
 		});
 	}
 
-	/** Ends it. */
+	/** Closes the socket, and discards delayed datagrams. */
 	close(): void {
 		this.isClosed = true;
 		this.socket.close();
--- a/development/soak/main.ts
+++ b/development/soak/main.ts
@@ -1,6 +1,7 @@
 /**
- * Soaks seed after seed: `npm run soak -- --seeds 50 --seed 1 --seconds 20 [--processes 4]`. Of a broken promise are kept: the faults,
- * what was broken and all log lines, in a file; and the one command that plays it again is printed; exit 1.
+ * Runs soak tests for consecutive seeds: `npm run soak -- --seeds 50 --seed 1 --seconds 20 [--processes 4]`. If a run violates an
+ * invariant, its faults, violations and log lines are written to a file, the command that repeats the run is printed, and the exit code
+ * is 1.
  */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {totalmem} from 'node:os';
@@ -9,25 +10,25 @@
 import {soak, type SoakReport} from './soak.js';
 
 const millisecondsPerSecond = 1000;
-/** Bytes that a relay takes: of 24 under the load of a soak the largest took 122 MB. */
+/** Bytes of memory budgeted per relay: the largest of 24 relays under the load of a soak test used 122 MB. */
 const bytesPerRelay = 150_000_000;
-/** Part of the machine's memory that a soak may take. */
+/** Fraction of the machine's memory that the relays may use. */
 const memoryPart = 0.5;
 const mostRelays = 40;
 const brokenShown = 20;
 
 const options = await yargs(process.argv.slice(2))
-	.option('seeds', {type: 'number', default: 1, describe: 'How many seeds'})
-	.option('seed', {type: 'number', default: 1, describe: 'The first one'})
-	.option('seconds', {type: 'number', default: 20, describe: 'Seconds in which faults begin'})
+	.option('seeds', {type: 'number', default: 1, describe: 'Number of seeds to run'})
+	.option('seed', {type: 'number', default: 1, describe: 'First seed'})
+	.option('seconds', {type: 'number', default: 20, describe: 'Seconds during which new faults start'})
 	.option('processes', {
-		alias: 'relays', type: 'number', default: 4, describe: 'Relays, each a process of its own',
+		alias: 'relays', type: 'number', default: 4, describe: 'Number of relay processes',
 	})
-	.option('logs', {type: 'string', default: 'target/soak', describe: 'Folder for the logs of runs that break a promise'})
+	.option('logs', {type: 'string', default: 'target/soak', describe: 'Folder for the logs of runs that violate an invariant'})
 	.check(({processes}) => {
 		const most = Math.min(mostRelays, Math.floor(totalmem() * memoryPart / bytesPerRelay));
 		if (processes > most) {
-			throw new Error(`This machine has memory for ${most} relays at most.`);
+			throw new Error(`This machine has memory for at most ${most} relays.`);
 		}
 
 		return true;
@@ -47,11 +48,11 @@
 for (const seed of Array.from({length: options.seeds}, (_, index) => options.seed + index)) {
 	const report = await soak({seed, length: options.seconds * millisecondsPerSecond, relays: options.processes});
 	const {plan, attempts, served, broken} = report;
-	process.stdout.write(`seed ${seed}: ${plan.length} faults, ${attempts} tries, ${served} served, ${broken.length} broken\n`);
+	process.stdout.write(`seed ${seed}: ${plan.length} faults, ${attempts} attempts, ${served} served, ${broken.length} violations\n`);
 	if (broken.length > 0) {
 		process.exitCode = 1;
 		process.stdout.write(broken.slice(0, brokenShown).map(line => `  ${line}\n`).join(''));
-		process.stdout.write(`  its log: ${keepLog(seed, report)}; again: npm run soak -- --seed ${seed} --seconds ${options.seconds} --processes ${options.processes}\n`);
+		process.stdout.write(`  log: ${keepLog(seed, report)}; to repeat: npm run soak -- --seed ${seed} --seconds ${options.seconds} --processes ${options.processes}\n`);
 	}
 }
 
--- a/development/soak/process-hooks.ts
+++ b/development/soak/process-hooks.ts
@@ -1,25 +1,25 @@
 /**
- * Loaded into a relay's process before its program, with `--import`: its wall clock runs off by what a file says, and its datagrams
- * come by a proxy. The address of this module tells which file, and which ports.
+ * Loaded into a relay process with `--import`, before the program. Shifts the wall clock by the offset in a file, and binds the UDP socket
+ * to another port, so that a proxy can listen on the original one. The URL of this module holds the file name and the ports as parameters.
  */
 import {Socket} from 'node:dgram';
 import {readFileSync} from 'node:fs';
 
-/** Where the hooks of a process take what they need. */
+/** Parameters of the hooks of a process. */
 export type HookPlan = {
-	/** File that holds the milliseconds by which the wall clock is off; it may change at any time. */
+	/** File with the offset of the wall clock in milliseconds; it may change at any time. */
 	readonly clockFile: string;
-	/** UDP port that the program asks for, at which the proxy listens, and the one that it gets. */
+	/** UDP port that the program asks for, on which the proxy listens, and the port that is bound instead. */
 	readonly toldPort: number;
 	readonly ownPort: number;
 };
 
-/** Milliseconds between two looks at the file. */
+/** Milliseconds between two reads of the file. */
 const lookInterval = 40;
 
 /**
- * @param plan - What the hooks need.
- * @returns Options of Node for a process that has them.
+ * @param plan - Parameters of the hooks.
+ * @returns Command-line options of Node for a process with these hooks.
  */
 export function hookOptions(plan: HookPlan): readonly string[] {
 	const url = new URL(import.meta.url);
@@ -32,7 +32,7 @@
 	let offset = 0;
 	const look = () => {
 		const text = readFileSync(file, 'utf8');
-		// It may be read while it is written.
+		// The file is empty if it is read while it is being written.
 		offset = text === '' ? offset : Number(text);
 	};
 
--- a/development/soak/seeded-by.ts
+++ b/development/soak/seeded-by.ts
@@ -1,12 +1,12 @@
 /**
- * Generators that follow from a seed and a name, so that what is drawn for one name depends on nothing that happened before.
+ * Random number generators derived from a seed and a name, so that the draws for one name do not depend on other draws.
  */
 import {createHash} from 'node:crypto';
 import {randomOf} from '../harness/seeded-random.js';
 
 /**
- * @param seed - Of the soak.
- * @param name - What is drawn.
- * @returns Numbers from 0 to 1, the same for each seed and name.
+ * @param seed - Seed of the soak test.
+ * @param name - Purpose of the draws.
+ * @returns A generator of numbers from 0 to 1; the same seed and name give the same sequence.
  */
 export const seededBy = (seed: number, name: string): () => number => randomOf(createHash('sha256').update(`${seed} ${name}`).digest().readUInt32LE());
--- a/development/soak/soak-clients.ts
+++ b/development/soak/soak-clients.ts
@@ -1,6 +1,5 @@
 /**
- * Clients of a soak: they keep their connections until the relay closes them, and go to relays that a balancer would send
- * them to.
+ * Clients of a soak test. They keep their connections open until the relay closes them, and choose a relay as a load balancer would.
  */
 import {Agent} from 'node:http';
 import {setTimeout as pause} from 'node:timers/promises';
@@ -9,10 +8,10 @@
 } from '../relay/relay-installation.js';
 import type {SoakRelay} from './soak-relay.js';
 
-/** What a client sends. */
+/** Kinds of requests that a client sends. */
 export type SoakRequestKind = 'calls' | 'once' | 'stream';
 
-/** One try of a client, and what came of it. */
+/** One attempt of a client, and its outcome. */
 export type SoakAttempt = ClientView & {
 	readonly id: string;
 	readonly kind: SoakRequestKind;
@@ -20,24 +19,26 @@
 	readonly sent: string;
 	readonly relay: SoakRelay;
 	readonly key: string;
-	/** Number of the event behind which it asks for a stream; zero asks for all of it. */
+	/** Number of the last event already received, after which the stream is to continue; zero requests the whole stream. */
 	readonly after: number;
-	/** Monotonic milliseconds. */
+	/** Monotonic milliseconds at which the request was sent, and at which its answer ended. */
 	readonly sentAt: number;
 	readonly endedAt: number;
 };
 
-/** A key that may be taken away, and one that is while a box is cut off; the usual one never is. */
+/** A key that may be revoked at any time, and one that is revoked while a box is isolated. The default key is never revoked. */
 export const spareKey = 'key-that-may-go';
 export const loneKey = 'key-that-goes-unheard';
 const kinds: readonly SoakRequestKind[] = ['calls', 'once', 'stream'];
+/** Milliseconds between two requests of a client. */
 const clientPause = 25;
+/** Milliseconds between two readiness checks of the load balancer. */
 const readyInterval = 250;
-/** Every so many requests of a client bears the spare key; and comes with the same body as before. */
+/** Every nth request of a client uses the spare key, and every nth request has the same body. */
 const spareEvery = 7;
 const sameBodyEvery = 3;
 
-/** Where a request goes, by which connections, with which key, and behind which event. */
+/** The relay, connections and key of a request, and the event after which a stream continues. */
 export type SoakWay = {
 	readonly relay: SoakRelay;
 	readonly agent?: Agent;
@@ -45,13 +46,13 @@
 	readonly after?: number;
 };
 
-/** The clients. */
+/** The clients of one soak test. */
 export class SoakClients {
 	/**
 	 * @param installation - Store and replicas.
-	 * @param relays - Where requests go.
-	 * @param random - Draws the relay of each new connection.
-	 * @returns Clients that send nothing yet.
+	 * @param relays - Relays that requests are sent to.
+	 * @param random - Draws the relay of each request.
+	 * @returns Clients that do not send requests yet.
 	 */
 	static create(installation: RelayInstallation, relays: readonly SoakRelay[], random: () => number): SoakClients {
 		return new SoakClients(installation, relays, random);
@@ -69,8 +70,10 @@
 	) {}
 
 	/**
-	 * @param count - How many clients.
-	 * @param whileRunning - Runs beside them; they end after it.
+	 * Runs clients concurrently with a task, and stops them when the task completes.
+	 *
+	 * @param count - Number of clients.
+	 * @param whileRunning - The task.
 	 */
 	async run(count: number, whileRunning: () => Promise<void>): Promise<void> {
 		const balancing = this.balance();
@@ -83,10 +86,10 @@
 	/**
 	 * Sends one request.
 	 *
-	 * @param kind - What.
-	 * @param body - Its body.
-	 * @param way - Where to, and how.
-	 * @returns What came of it.
+	 * @param kind - Kind of the request.
+	 * @param body - Body of the request.
+	 * @param way - Relay, connections, key and position in the stream.
+	 * @returns The attempt with its outcome.
 	 */
 	async send(kind: SoakRequestKind, body: string, {relay, agent, key = testKey, after = 0}: SoakWay): Promise<SoakAttempt> {
 		this.sent++;
@@ -103,7 +106,7 @@
 		return attempt;
 	}
 
-	/** Asks as the balancer does; while nobody is ready all are used. */
+	/** Checks the readiness of the relays as a load balancer does. While no relay is ready, clients use all of them. */
 	private async balance(): Promise<void> {
 		while (!this.isOver) {
 			const ready = await Promise.all(this.relays.map(async relay => relay.isReady()));
@@ -132,7 +135,7 @@
 		}
 	}
 
-	/** A relay as the balancer draws it, by the client's connection to it. */
+	/** Draws a relay as the load balancer does, and reuses the client's connection to it. */
 	private way(agents: Map<SoakRelay, Agent>): SoakWay {
 		const among = this.ready.length > 0 ? this.ready : this.relays;
 		const relay = among[Math.floor(this.random() * among.length)]!;
@@ -142,7 +145,7 @@
 	}
 }
 
-/** Number of the last whole event of a stream that a client got; zero without one. */
+/** Number of the last complete event that a client received from a stream; zero if there is none. */
 function lastEventOf({kind, body, after}: SoakAttempt): number {
 	const whole = body.split('\n\n').slice(0, -1).length;
 	return kind === 'stream' && whole > 0 ? after + whole : 0;
--- a/development/soak/soak-faults.ts
+++ b/development/soak/soak-faults.ts
@@ -1,5 +1,5 @@
 /**
- * Brings the faults of a plan about, and heals them.
+ * Injects the faults of a plan, and clears them.
  */
 import {setTimeout as pause} from 'node:timers/promises';
 import {configurationKind, configurationName, replicaKind} from '../../platform/formats.js';
@@ -12,37 +12,40 @@
 import type {SoakRelay} from './soak-relay.js';
 import type {SoakStreams, StreamFault} from './soak-streams.js';
 
-/** Milliseconds for which a replica that says that it leaves serves on. */
+/** Milliseconds for which a replica goes on serving after it has announced that it is leaving. */
 export const drainTime = 2000;
-/** What a body holds under which replicas end. */
+/** Text in the body of the request that crashes replicas. */
 export const poisonMark = 'poison of the soak';
-/** Milliseconds between two tries of the client that sends it, and how many. */
+/** Milliseconds between two attempts with this request, and number of attempts. */
 const poisonPause = 250;
 const poisonTries = 20;
 
-/** Milliseconds in which a key that was taken away may still be used. */
+/** Milliseconds after its revocation within which a key may still be used. */
 export const revokeTime = 5000;
-/** Milliseconds for which a box is cut off before a key is taken away, how often the key is used once it may not be, and between these. */
+/**
+ * Milliseconds between the isolation of a box and the revocation of a key, number of uses of the key after it has become invalid, and
+ * milliseconds between two of these uses.
+ */
 const beforeTaking = 200;
 const lateUses = 5;
 const lateUsePause = 200;
-/** Milliseconds by which a wall clock is set off: the least that counts as a suspension, and more. */
+/** Offsets of a wall clock in milliseconds; the smallest is the least jump that counts as a suspension. */
 const clockJumps = [250, 1500, 20_000, 3_600_000];
-/** Requests a second that replicas in need name, and milliseconds for which they do: others have to hear of it first. */
+/** Limits that replicas announce, in requests per second, and milliseconds for which they do so: long enough for all boxes to learn of them. */
 const limitsNamed = [0.5, 1, 3, 10];
 const limitTime = 6000;
-/** Milliseconds between two changes of one that changes. */
+/** Milliseconds between two changes of a changing limit. */
 const limitPause = 300;
-/** Part of the datagrams that are lost, and milliseconds for which others wait at most. */
+/** Fraction of the datagrams that is lost, and the maximum delay of a datagram in milliseconds. */
 const lostPart = 0.4;
 const datagramDelay = 400;
-/** Milliseconds between changes of settings, on average. */
+/** Mean milliseconds between two changes of the settings. */
 const settingsPause = 60;
-/** Milliseconds after which replicas and the operator write again what the store has lost. */
+/** Milliseconds after which replicas and the operator rewrite what a restored store has lost. */
 const writingAgain = 500;
-/** Seconds without requests that replicas ask for. */
+/** Pauses without requests that replicas ask for, in seconds. */
 const pausesAsked = [0.7, 1.5, 3];
-/** HTTP statuses with which the store turns a box away. */
+/** HTTP statuses with which the store refuses the calls of a box. */
 const storeRefusals = [503, 429];
 
 const storeFaults: Partial<Readonly<Record<SoakFaultKind, ProxyFault>>> = {
@@ -57,34 +60,34 @@
 
 const versionOf = (configuration: unknown): number => (configuration as {readonly version: number}).version;
 
-/** A replica that said that it leaves. */
+/** A replica whose entry was set to draining, and when, in monotonic milliseconds. */
 export type Drain = {readonly replica: ReplicaStandin; readonly at: number};
 
-/** A replica that named limits, the greatest of them, and when, in monotonic milliseconds. */
+/** A replica that announced limits, the greatest of them in requests per second, and when, in monotonic milliseconds. */
 export type LimitSpell = {readonly replica: ReplicaStandin; readonly limit: number; readonly from: number; readonly to: number};
 
-/** A relay that nobody could tell anything, in monotonic milliseconds. */
+/** A period in which a relay was isolated from the store and the other relays, in monotonic milliseconds. */
 export type CutOff = {readonly relay: SoakRelay; readonly from: number; readonly to: number};
 
-/** The faults of one soak. */
+/** Injects the faults of one soak test, and records what the checks need to know of them. */
 export class SoakFaults {
 	/**
 	 * @param installation - Store and replicas.
 	 * @param relays - The relays.
-	 * @param clients - Who sends the request that ends replicas.
-	 * @param streams - How replicas write streams.
-	 * @returns Nothing is wrong yet.
+	 * @param clients - Clients that send the request that crashes replicas, and requests under a revoked key.
+	 * @param streams - Stream behaviour of the replicas.
+	 * @returns The injector, without a fault in force.
 	 */
 	static create(installation: RelayInstallation, relays: readonly SoakRelay[], clients: SoakClients, streams: SoakStreams): SoakFaults {
 		return new SoakFaults(installation, relays, clients, streams);
 	}
 
 	readonly drains: Drain[] = [];
-	/** Monotonic milliseconds of each end of a replica under the request that ends them. */
+	/** Monotonic milliseconds of each crash of a replica caused by the poison request. */
 	readonly poisonEnds: number[] = [];
-	/** Monotonic milliseconds at which keys were taken away. */
+	/** Monotonic milliseconds at which each key was revoked. */
 	readonly takenAt = new Map<string, number>();
-	/** Boxes that were cut off from everybody, and when. */
+	/** Periods in which a relay was isolated. */
 	readonly cutOffs: CutOff[] = [];
 	readonly limitSpells: LimitSpell[] = [];
 	private odd = 0;
@@ -101,7 +104,11 @@
 		});
 	}
 
-	/** @param plan - Faults in order; ends when the last is healed. */
+	/**
+	 * Injects all faults of a plan; completes when the last one is cleared.
+	 *
+	 * @param plan - Faults in the order of their start.
+	 */
 	async run(plan: readonly SoakFault[]): Promise<void> {
 		const startedAt = performance.now();
 		const running: Array<Promise<void>> = [];
@@ -238,7 +245,7 @@
 		store.heal();
 	}
 
-	/** The store loses what was written for a while; replicas and the operator write theirs again soon. */
+	/** Restores the store from a backup, so that recent writes are lost; replicas and the operator then rewrite their objects. */
 	private async restoreStore(duration: number): Promise<void> {
 		const {store} = this.installation;
 		const copy = store.copy();
@@ -262,7 +269,10 @@
 		}
 	}
 
-	/** A replica says that it leaves while its entry says that it is ready, and ends; or it turns requests away and asks for a pause. */
+	/**
+	 * Lets a replica refuse requests and ask for a pause, or announce in its answers that it is leaving while its entry still says that it
+	 * is ready, and then end.
+	 */
 	private async strikeStatement(kind: SoakFaultKind, id: string, {duration, target}: SoakFault): Promise<void> {
 		const replica = this.installation.replicas.get(id)!;
 		if (!replica.isUp || replica.shedding !== undefined || replica.isLeaving) {
@@ -283,7 +293,7 @@
 		}
 	}
 
-	/** A key is taken away while a box can hear of it from nobody; a client with an open connection goes on using it there. */
+	/** Revokes a key while a box is isolated and can't learn of it; a client goes on using the key at this box. */
 	private async strikeAlone(relay: SoakRelay): Promise<void> {
 		const from = performance.now();
 		relay.cutOff(true);
@@ -299,7 +309,7 @@
 		this.cutOffs.push({relay, from, to: performance.now()});
 	}
 
-	/** Two of three times all relays lose what comes, else the struck one alone. */
+	/** Loses, delays or cuts off datagrams: for two in three targets at all relays, otherwise, and for one-way cuts, at one relay. */
 	private async strikeDatagrams(relay: SoakRelay, {kind, duration, target}: SoakFault): Promise<void> {
 		const struck = target % 3 === 0 || kind === 'datagrams-one-way' ? [relay] : this.relays;
 		const others = new Set(this.relays.filter((_, index) => index % 2 === target % 2).map(({ownPort}) => ownPort));
@@ -316,7 +326,7 @@
 		}
 	}
 
-	/** Settings change and change back, several times, while others are told the same; some cannot be read. */
+	/** Reloads one or all relays several times with changed settings, some of them unreadable, and then with the usual settings. */
 	private async strikeSettings(relay: SoakRelay, {duration, target}: SoakFault): Promise<void> {
 		const struck = target % 2 === 0 ? [relay] : this.relays;
 		const rounds = Math.max(1, Math.floor(duration / settingsPause));
@@ -325,7 +335,7 @@
 				one.reloadWith(round % 3 === 2 ? 'unreadable' : [`none-${round}`]);
 			}
 
-			// Signals that come together, and some apart.
+			// Some signals directly follow one another, others come after a delay.
 			await pause(round % 2 === 0 ? settingsPause * 2 : 0);
 		}
 
@@ -344,7 +354,7 @@
 		if (conduct) {
 			replica.behave({...replica.conduct, ...conduct});
 			await pause(duration);
-			// It may have started again meanwhile.
+			// The replica may have been restarted under the same id meanwhile.
 			this.installation.replicas.get(id)!.behave({});
 			return;
 		}
@@ -421,7 +431,7 @@
 		}
 	}
 
-	/** Another writer spoils an entry; its replica writes the same again, unless it has said something else or gone meanwhile. */
+	/** Corrupts an entry as another writer would; then its replica restores it, unless the entry was changed or removed meanwhile. */
 	private async spoil(id: string, duration: number): Promise<void> {
 		const {store} = this.installation;
 		const own = store.spec(replicaKind, id);
@@ -453,7 +463,7 @@
 		});
 	}
 
-	/** One request comes again and again at relays in turn, whatever it is told. */
+	/** Sends the request that crashes replicas repeatedly, to the relays in turn, whatever the answers are. */
 	private async sendPoison(): Promise<void> {
 		if (this.isPoisoned) {
 			return;
--- a/development/soak/soak-judge.ts
+++ b/development/soak/soak-judge.ts
@@ -1,5 +1,5 @@
 /**
- * Judges a soak by what clients and replicas saw.
+ * Checks the invariants of a soak test against what clients and replicas observed.
  */
 import {Buffer} from 'node:buffer';
 import {mostWithin} from '../harness/most-within.js';
@@ -13,7 +13,7 @@
 } from './soak-faults.js';
 import type {SoakRelay} from './soak-relay.js';
 
-/** What was seen. */
+/** Observations of one soak test. */
 export type SoakRecord = {
 	readonly attempts: readonly SoakAttempt[];
 	readonly replicas: readonly ReplicaStandin[];
@@ -22,52 +22,57 @@
 	readonly cutOffs: readonly CutOff[];
 	readonly limitSpells: readonly LimitSpell[];
 	readonly poisonEnds: readonly number[];
-	/** Monotonic milliseconds at which keys were taken away. */
+	/** Monotonic milliseconds at which each key was revoked. */
 	readonly takenAt: ReadonlyMap<string, number>;
-	/** Events of each stream. */
+	/** Number of events in each complete stream. */
 	readonly streamEvents: number;
-	/** Lines of all lives of the relays' processes. */
+	/** Log lines of all relay processes, including those before a restart. */
 	readonly lines: ReadonlyArray<Readonly<Record<string, unknown>>>;
 };
 
-/** Milliseconds for what was sent in time to arrive. */
+/** Milliseconds within which a request that was sent before a deadline may still arrive. */
 const arrivalTime = 400;
-/** Milliseconds in which a box hears what is said, also behind a cut. */
+/** Milliseconds within which a box receives an update, also after its isolation ends. */
 const hearingTime = 1000;
-/** Milliseconds around a kill or a freeze in which a connection may be cut. */
+/** Milliseconds around the kill or suspension of a relay within which a connection may be cut. */
 const aroundKills = 4500;
-/** Replicas that one request may end: three, what relays send before they hear of them, and a trial. */
+/** Replicas that one request may crash: three, those reached before the relays learn of these crashes, and one trial. */
 const poisonEndsAllowed = 9;
-/** Runs of it that may follow once the third replica has ended for as long. */
+/** Crashes allowed later than `contactTime` after the third crash. */
 const latePoisonAllowed = 3;
+/** Milliseconds within which all boxes must know of a crash or a limit. */
 const contactTime = 3000;
-/** Milliseconds of the spans in which requests at a replica that names a limit are counted; of what it allows so many times may come, and a few more. */
+/**
+ * Milliseconds of the sliding window in which requests at a replica that announces a limit are counted. Allowed are the limit times the
+ * factor, plus a fixed number of requests.
+ */
 const limitSpan = 4000;
 const limitSlack = {factor: 1.5, requests: 5} as const;
-/** Milliseconds for which a relay that starts has no need to know of limits. */
+/** Milliseconds after its start within which a relay need not know the limits of replicas. */
 const startTime = 4500;
-/** Milliseconds after an answer that asks for a pause from which on requests count, and how many may come all the same. */
+/** Milliseconds after an answer that asks for a pause during which requests are not counted, and the number tolerated after that. */
 const pauseNotice = 500;
 const pauseSlack = 2;
+/** HTTP statuses that tell the client that its request was not run. */
 const refusals: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** The judge. */
+/** Checks the invariants of one soak test. */
 export class SoakJudge {
 	/**
-	 * @param record - What was seen.
-	 * @returns The judge of it.
+	 * @param record - Observations of the soak test.
+	 * @returns The checker of these observations.
 	 */
 	static create(record: SoakRecord): SoakJudge {
 		return new SoakJudge(record);
 	}
 
-	/** Ids of the replicas that ran each request, one for each run. */
+	/** By request id, the ids of the replicas that ran the request, one for each run. */
 	private readonly runnersOf = new Map<string, readonly string[]>();
 	private readonly arrivalsOf = new Map<string, number>();
-	/** What last reached a replica of each request. */
+	/** By request id, the last arrival at a replica. */
 	private readonly lastRunOf = new Map<string, SeenRequest>();
 
-	/** The relay that each request was sent to. */
+	/** By request id, the relay that the client sent the request to. */
 	private readonly relayOf: ReadonlyMap<string, SoakRelay>;
 	private readonly attemptOf: ReadonlyMap<string, SoakAttempt>;
 
@@ -82,7 +87,7 @@
 		}
 	}
 
-	/** What was broken, a line each; none where all promises were kept. */
+	/** Violated invariants, one line each; empty if all held. */
 	get broken(): readonly string[] {
 		return [
 			...this.record.attempts.flatMap(attempt => this.faultsOf(attempt)),
@@ -102,13 +107,13 @@
 		const wrong = status === 200 ? faultOfAnswer({attempt, runners, streamEvents: this.record.streamEvents}) : undefined;
 		const takenAt = this.record.takenAt.get(key) ?? Number.POSITIVE_INFINITY;
 		const checks: ReadonlyArray<readonly [isBroken: boolean, what: string]> = [
-			[kind === 'once' && runs > 1, `ran ${runs} times, though it may run once`],
-			[kind === 'once' && refusals.has(status) && runs > 0, `was told ${status}, and has run`],
-			[status >= 300 && status < 500 && !refusals.has(status) && key === testKey, `was told ${status}, though it is allowed`],
-			[status === 200 && sentAt > takenAt + revokeTime, 'was run under a key that had been taken away'],
+			[kind === 'once' && runs > 1, `ran ${runs} times, but may run only once`],
+			[kind === 'once' && refusals.has(status) && runs > 0, `was answered with ${status} (not run), but ran`],
+			[status >= 300 && status < 500 && !refusals.has(status) && key === testKey, `was answered with ${status}, but is allowed`],
+			[status === 200 && sentAt > takenAt + revokeTime, `was served under a key that had been revoked more than ${revokeTime} ms before`],
 			[wrong !== undefined, `its answer ${wrong}`],
-			[status === 0 && this.isLost(attempt), 'was passed on, and its connection closed without an answer'],
-			[kind === 'stream' && status === 200 && !attempt.isWhole && this.wasCutForNothing(attempt), 'was cut, though its last run wrote all that was to come'],
+			[status === 0 && this.isLost(attempt), 'was forwarded, but its connection was closed without an answer'],
+			[kind === 'stream' && status === 200 && !attempt.isWhole && this.wasCutForNothing(attempt), 'was cut, but its last run wrote the rest of the stream'],
 		];
 		return checks.filter(([isBroken]) => isBroken).map(([, what]) => `${this.secondsTo(sentAt)} s, ${id} (${kind} at ${attempt.relay.name}): ${what}`);
 	}
@@ -130,10 +135,10 @@
 	private get lateArrivals(): readonly string[] {
 		return this.record.drains.flatMap(({replica, at}) => replica.seen
 			.filter(seen => seen.at > at + drainTime + arrivalTime && !this.isUnheard(seen.id, at, seen.at))
-			.map(seen => `${seen.id} reached ${replica.id} ${Math.round(seen.at - at)} ms after it said that it leaves`));
+			.map(seen => `${seen.id} reached ${replica.id} ${Math.round(seen.at - at)} ms after it announced that it is leaving`));
 	}
 
-	/** Requests at replicas that had told the relay, in an answer that a client has, that they leave. */
+	/** Requests that a relay sent to a replica after an answer through that relay had announced that the replica is leaving. */
 	private get lateAfterStatement(): readonly string[] {
 		return this.record.replicas.flatMap(({id: replica, seen}) => {
 			const told = new Map<SoakRelay, number>();
@@ -147,13 +152,13 @@
 			return seen.flatMap(({id, at}) => {
 				const toldAt = told.get(this.relayOf.get(id)!) ?? Number.POSITIVE_INFINITY;
 				return at > toldAt + drainTime + arrivalTime && !this.wasStartedSince(id, toldAt, at)
-					? [`${id} reached ${replica} ${Math.round(at - toldAt)} ms after an answer had told its relay that the replica leaves`]
+					? [`${id} reached ${replica} ${Math.round(at - toldAt)} ms after an answer had informed its relay that the replica is leaving`]
 					: [];
 			});
 		});
 	}
 
-	/** Requests of a relay in a time in which a replica had asked it for none. */
+	/** Requests that a relay sent to a replica during a pause that the replica had asked it for. */
 	private get inPauses(): readonly string[] {
 		return this.record.replicas.flatMap(({id: replica, seen}) => seen.flatMap(({id, at, pauseAsked}) => {
 			const relay = this.relayOf.get(id);
@@ -165,7 +170,7 @@
 		}));
 	}
 
-	/** Whether the relay that sent a request could hear nothing between a replica's word and the request. */
+	/** Whether the relay that sent a request was isolated between a replica's announcement and the request. */
 	private isUnheard(id: string, saidAt: number, seenAt: number): boolean {
 		const relay = this.relayOf.get(id);
 		return this.record.cutOffs.some(({relay: cutOff, from, to}) => cutOff === relay && from < saidAt + hearingTime && to > seenAt - hearingTime);
@@ -176,22 +181,22 @@
 		const third = poisonEnds[2] ?? Number.POSITIVE_INFINITY;
 		const late = poisonEnds.filter(at => at > third + contactTime).length;
 		return [
-			...(poisonEnds.length > poisonEndsAllowed ? [`one request ended ${poisonEnds.length} replicas`] : []),
-			...(late > latePoisonAllowed ? [`one request ended ${late} replicas later than ${contactTime} ms after the third`] : []),
+			...(poisonEnds.length > poisonEndsAllowed ? [`one request crashed ${poisonEnds.length} replicas; ${poisonEndsAllowed} are allowed`] : []),
+			...(late > latePoisonAllowed ? [`one request crashed ${late} replicas later than ${contactTime} ms after the third crash; ${latePoisonAllowed} are allowed`] : []),
 		];
 	}
 
-	/** From when all boxes have to know, those alone that were not started anew or stood still meanwhile. */
+	/** Excess requests at replicas that announced a limit. Requests of relays that were restarted or suspended meanwhile are not counted. */
 	private get beyondLimits(): readonly string[] {
 		return this.record.limitSpells.flatMap(({replica, limit, from, to}) => {
 			const times = replica.seen.filter(({id, at}) => at >= from + contactTime && at <= to && !this.wasStartedSince(id, from - startTime, at)).map(({at}) => at);
 			const most = mostWithin(times, limitSpan);
 			const allowed = (limitSlack.factor * limit * limitSpan / 1000) + limitSlack.requests;
-			return most > allowed ? [`${replica.id} named ${limit} requests a second and got ${most} in ${limitSpan} ms; ${allowed} are allowed`] : [];
+			return most > allowed ? [`${replica.id} announced a limit of ${limit} requests per second and got ${most} in ${limitSpan} ms; ${allowed} are allowed`] : [];
 		});
 	}
 
-	/** Whether the relay that sent a request was killed, stopped or frozen in a while. */
+	/** Whether the relay that sent a request was killed, stopped or suspended between two times. */
 	private wasStartedSince(id: string, from: number, to: number): boolean {
 		const relay = this.relayOf.get(id);
 		return [...relay?.kills ?? [], ...relay?.stops ?? []].some(at => at >= from && at <= to);
@@ -200,9 +205,9 @@
 	private get ends(): readonly string[] {
 		const {relays, lines} = this.record;
 		return [
-			...relays.filter(({ownEnds}) => ownEnds > 0).map(({name, ownEnds}) => `${name} ended by itself ${ownEnds} times`),
-			...lines.filter(({eventName}) => eventName === 'roleFailed' || eventName === 'requestFailed').map(line => `a fault of the program: ${JSON.stringify(line)}`),
-			...refusedInnocents(lines).map(line => `an innocent request is kept away: ${JSON.stringify(line)}`),
+			...relays.filter(({ownEnds}) => ownEnds > 0).map(({name, ownEnds}) => `${name} exited unexpectedly ${ownEnds} times`),
+			...lines.filter(({eventName}) => eventName === 'roleFailed' || eventName === 'requestFailed').map(line => `a relay logged an internal error: ${JSON.stringify(line)}`),
+			...refusedInnocents(lines).map(line => `a request that crashes no replica was refused as quarantined: ${JSON.stringify(line)}`),
 		];
 	}
 }
@@ -210,8 +215,8 @@
 const wasKilledAround = ({relay, sentAt, endedAt}: SoakAttempt): boolean => relay.kills.some(at => at > sentAt - aroundKills && at < endedAt + 500);
 
 /**
- * Lines of refusals of requests that a box had taken for one that ends replicas, and that is none. A box that takes one for it and
- * has not refused it has not heard yet what others saw; at the end of the soak each must be served everywhere.
+ * Log lines of refused requests that a box had wrongly quarantined for crashing replicas. A wrong quarantine without a refusal is allowed:
+ * the box may not have received the completions at other boxes yet. At the end of the soak test every relay must serve such a request.
  */
 function refusedInnocents(lines: SoakRecord['lines']): SoakRecord['lines'] {
 	const taken = new Set(innocentLines(lines).map(({node, fingerprint}) => `${String(node)} ${String(fingerprint)}`));
@@ -219,8 +224,8 @@
 }
 
 /**
- * @param lines - Lines of relays.
- * @returns Those that tell that a request is kept away which does not end replicas.
+ * @param lines - Log lines of relays.
+ * @returns Those that report the quarantine of a request that does not crash replicas.
  */
 export function innocentLines(lines: SoakRecord['lines']): SoakRecord['lines'] {
 	const poisoned = fingerprintOfRequest('calls', poisonMark);
@@ -228,9 +233,9 @@
 }
 
 /**
- * @param kind - What a client sends.
- * @param body - Its body.
- * @returns The name under which relays know it.
+ * @param kind - Kind of the request.
+ * @param body - Body of the request.
+ * @returns The fingerprint under which relays know the request.
  */
 export const fingerprintOfRequest = (kind: SoakRequestKind, body: string): string => fingerprintOf({
 	method: 'POST', target: `/${kind}/x`, clientAccount: 'basin', body: Buffer.from(body),
--- a/development/soak/soak-plan.ts
+++ b/development/soak/soak-plan.ts
@@ -1,23 +1,23 @@
 /**
- * What goes wrong in one soak, and when: drawn from a seed alone. Faults overlap.
+ * The schedule of faults of one soak test, determined by the seed alone. Faults overlap.
  */
 
 import {randomOf} from '../harness/seeded-random.js';
 import {seededBy} from './seeded-by.js';
 
-/** A fault, whom it strikes, and for how long. */
+/** A scheduled fault: its target and duration. */
 export type SoakFault = {
 	/** Milliseconds from the start of the load. */
 	readonly at: number;
 	readonly kind: SoakFaultKind;
-	/** Which relay or replica, counted among those that there are. */
+	/** Selects the relay or replica: an index, taken modulo the number of targets. */
 	readonly target: number;
 	/** Milliseconds. */
 	readonly duration: number;
 };
 
 const relayKinds = ['relay-killed', 'relay-stopped', 'relay-frozen', 'relay-reloaded'] as const;
-/** Faults of boxes, store, replicas and what is written to them. */
+/** Faults of boxes, the store, replicas, and the data written to the store. */
 const generalKinds = [
 	...relayKinds,
 	'store-cut',
@@ -40,25 +40,26 @@
 	'key-taken',
 	'poison',
 ] as const;
-/** Faults of the streams of a replica. */
+/** Faults in the streams of a replica. */
 const streamKinds = ['stream-breaks', 'stream-misfits', 'stream-stalls'] as const;
-/** Faults of clocks, of datagrams between boxes, and of what single boxes are told. */
+/** Faults of clocks, of datagrams between boxes, of the store towards a single box, and of settings files. */
 const boxKinds = ['clock-ahead', 'clock-behind', 'datagrams-lost', 'datagrams-late', 'datagrams-one-way', 'store-turns-away', 'settings-series'] as const;
-/** A box that is cut off from store and boxes for longer than a key that is taken away may be used. */
+/** A box that is isolated from the store and the other boxes for longer than a revoked key may be used. */
 const cutOffKinds = ['box-cut-off'] as const;
-/** Replicas that name how many requests a second they take of all boxes. */
+/** Replicas that announce a request rate limit, in requests per second over all boxes. */
 const limitKinds = ['limit-named', 'limit-changing'] as const;
-/** Replicas that say of themselves that they leave, or want no requests for a time. */
+/** Replicas that announce in their answers that they are leaving, or ask for a pause without requests. */
 const statementKinds = ['says-leaving', 'says-pause'] as const;
-/** A store that comes back from a copy. */
+/** A store that is restored from a backup. */
 const restoreKinds = ['store-restored'] as const;
-/** Every sort of fault. */
+/** All kinds of faults. */
 export const soakFaultKinds = [...generalKinds, ...streamKinds, ...boxKinds, ...cutOffKinds, ...limitKinds, ...statementKinds, ...restoreKinds] as const;
 export type SoakFaultKind = typeof soakFaultKinds[number];
 
+/** Bounds of the duration of a fault, in milliseconds. */
 const shortestFault = 300;
 const longestFault = 2500;
-/** Milliseconds between two faults of a group, on average. */
+/** Mean milliseconds between two faults of a group. */
 const generalPause = 350;
 const streamPause = 500;
 const boxPause = 600;
@@ -66,18 +67,18 @@
 const limitPause = 3000;
 const statementPause = 1500;
 const restorePause = 4000;
-/** Relays of a usual soak; for each one more, faults of relays come that often. */
+/** Default number of relays, and the mean milliseconds between two extra faults of boxes for each relay beyond it. */
 const usualRelays = 4;
 const crowdPause = 4000;
 
 /**
- * @param seed - Draws everything.
- * @param length - Milliseconds in which faults begin.
- * @param relays - How many relays there are.
- * @returns The faults, in order.
+ * @param seed - Seed of all random draws.
+ * @param length - Milliseconds during which new faults start.
+ * @param relays - Number of relays.
+ * @returns The faults, in order of their start.
  */
 export function planSoak(seed: number, length: number, relays = usualRelays): readonly SoakFault[] {
-	// A generator for each group: a sort that is added to one leaves the faults of the others as they were.
+	// Each group has its own generator, so that a kind added to one group does not change the faults of the others.
 	return [
 		...drawFaults(randomOf(seed), length, generalKinds, generalPause),
 		...drawFaults(seededBy(seed, 'streams'), length, streamKinds, streamPause),
--- a/development/soak/soak-relay.ts
+++ b/development/soak/soak-relay.ts
@@ -1,6 +1,6 @@
 /**
- * A relay of a soak: a process of its own, which reaches the store and hears other relays through proxies that inject faults, and
- * whose wall clock can be set.
+ * A relay of a soak test: a separate process whose wall clock can be shifted. It reaches the store, and receives the datagrams of other
+ * relays, through proxies that inject faults.
  */
 import {writeFileSync} from 'node:fs';
 import path from 'node:path';
@@ -11,32 +11,35 @@
 import {DatagramProxy, freeDatagramPort} from './datagram-proxy.js';
 import {hookOptions} from './process-hooks.js';
 
-/** What a relay is made of. */
+/** Parameters of a relay. */
 export type SoakRelayPlan = {
 	readonly name: string;
 	/** Folder of the settings file. */
 	readonly folder: string;
-	/** The relay's own way to the store. */
+	/** The relay's own endpoint of the store. */
 	readonly storeDoor: StoreDoor;
 	/** Draws which datagrams are lost. */
 	readonly random: () => number;
-	/** Addresses of the exchange of other relays. */
+	/** Addresses at which other relays receive gossip. */
 	readonly seeds: readonly string[];
 };
 
-/** Seconds that a stop may take: a relay ends 0.9 s before, which is to lie in the last sixth. */
+/** Grace period of a stop in seconds. A relay exits 0.9 s before its end; this must lie in the last sixth of the period. */
 const grace = 6;
 
-/** Milliseconds of a stop in which requests may come that the end of the grace may cut, and part of the grace before which none is cut. */
+/**
+ * Milliseconds after a stop signal within which a request may arrive that the end of the grace period cuts, and the fraction of the grace
+ * period before which no request is cut.
+ */
 const takenInStop = 3000;
 const graceUsed = 5 / 6;
 const millisecondsPerSecond = 1000;
 
-/** The relay. */
+/** A relay process with its proxies. */
 export class SoakRelay {
 	/**
-	 * @param plan - What it is made of.
-	 * @returns The relay, starting.
+	 * @param plan - Parameters of the relay.
+	 * @returns The relay, whose process is starting.
 	 */
 	static async start(plan: SoakRelayPlan): Promise<SoakRelay> {
 		const [ports, ownPort] = await Promise.all([freeRelayPorts(), freeDatagramPort()]);
@@ -46,13 +49,13 @@
 		return relay;
 	}
 
-	/** Whether it was asked to stop or killed, and has not begun anew; clients that know better than a balancer go elsewhere. */
+	/** Whether the process was killed or asked to stop, and has not been restarted. */
 	isGoing = false;
-	/** Monotonic milliseconds of the kills: what is cut around them is no fault of the relay. */
+	/** Monotonic milliseconds of kills and suspensions: connections cut around these times are not a fault of the relay. */
 	readonly kills: number[] = [];
-	/** Monotonic milliseconds at which it was asked to stop. */
+	/** Monotonic milliseconds of the stop signals. */
 	readonly stops: number[] = [];
-	/** Processes that ended by themselves. */
+	/** Number of processes that exited without being killed or asked to stop. */
 	ownEnds = 0;
 	private child: Child | undefined;
 	private earlierLines: Child['lines'] = [];
@@ -61,34 +64,34 @@
 	private constructor(
 		private readonly plan: SoakRelayPlan,
 		private readonly ports: RelayPorts,
-		/** UDP port from which its datagrams come. */
+		/** UDP port that the process binds, and from which it sends its datagrams. */
 		readonly ownPort: number,
 		private readonly proxies: {readonly store: FaultProxy; readonly datagrams: DatagramProxy},
 	) {
 		this.setClock(0);
 	}
 
-	/** Stands before the store. */
+	/** Proxy in front of the store. */
 	get store(): FaultProxy {
 		return this.proxies.store;
 	}
 
-	/** Stands before its exchange. */
+	/** Proxy in front of the UDP port on which the relay receives gossip. */
 	get datagrams(): DatagramProxy {
 		return this.proxies.datagrams;
 	}
 
-	/** Its own way to the store, which may turn it away. */
+	/** The relay's own endpoint of the store, which can refuse its calls. */
 	get storeDoor(): StoreDoor {
 		return this.plan.storeDoor;
 	}
 
-	/** TCP port of its front. */
+	/** TCP port for client requests. */
 	get port(): number {
 		return this.ports.front;
 	}
 
-	/** Address of its exchange. */
+	/** Address at which other relays send gossip. */
 	get exchange(): string {
 		return `127.0.0.1:${this.ports.control}`;
 	}
@@ -97,12 +100,12 @@
 		return this.plan.name;
 	}
 
-	/** Lines it has logged in all its lives. */
+	/** Log lines of all processes of the relay, including those before a restart. */
 	get lines(): Child['lines'] {
 		return [...this.earlierLines, ...this.child?.lines ?? []];
 	}
 
-	/** @returns Whether it says that it is ready. */
+	/** @returns Whether the relay reports that it is ready. */
 	async isReady(): Promise<boolean> {
 		try {
 			const answer = await fetch(`http://127.0.0.1:${this.ports.ready}/api/readyz`, {signal: AbortSignal.timeout(1000)});
@@ -112,7 +115,7 @@
 		}
 	}
 
-	/** Ends it at once and starts it again; one that is being stopped is started by whoever stops it. */
+	/** Kills the process and restarts it. If a stop is in progress, {@link stop} restarts it instead. */
 	async kill(): Promise<void> {
 		const isStopped = this.isGoing;
 		this.isGoing = true;
@@ -123,7 +126,7 @@
 		}
 	}
 
-	/** Asks it to stop, waits until it is gone, and starts it again. */
+	/** Asks the process to stop, waits for its exit, and restarts it. */
 	async stop(): Promise<void> {
 		if (this.isGoing) {
 			return;
@@ -136,60 +139,60 @@
 		this.startProcess();
 	}
 
-	/** @param signal - What it gets, besides ends. */
+	/** @param signal - Signal that suspends or resumes the process. */
 	signal(signal: 'SIGSTOP' | 'SIGCONT'): void {
 		this.child?.signal(signal);
 	}
 
-	/** Has it read its settings anew, unless Node has not come to run it yet: nothing can catch the signal before. */
+	/** Makes the process reload its settings, unless it has no signal handler yet: the signal would terminate it. */
 	reload(): void {
 		if (this.child?.hasListenerFor('SIGHUP')) {
 			this.child.signal('SIGHUP');
 		}
 	}
 
-	/** @param isCutOff - Whether it reaches the store no more and hears no other box, from now on. */
+	/** @param isCutOff - Whether the relay is isolated from the store and receives no datagrams of other boxes, from now on. */
 	cutOff(isCutOff: boolean): void {
 		this.storeDoor.isShut = isCutOff;
 		this.datagrams.isShut = isCutOff;
 		if (isCutOff) {
-			// A watch that waits would still bring news.
+			// Closes open connections to the store: a pending watch would still deliver updates.
 			this.store.fault = {kind: 'cut'};
 			this.store.fault = {kind: 'none'};
 		}
 	}
 
-	/** @param offset - Milliseconds by which its wall clock is off from now on, also in its next life. */
+	/** @param offset - Offset of the relay's wall clock in milliseconds; it persists over restarts. */
 	setClock(offset: number): void {
 		writeFileSync(this.clockFile, String(offset));
 	}
 
 	/**
-	 * Has it read its settings anew, whatever they hold.
+	 * Changes the settings file and makes the process reload it.
 	 *
-	 * @param change - What stands otherwise in the file, as `released`, or that nothing in it can be read.
+	 * @param change - Fingerprints for the setting `released`, or `unreadable` for a file that is not valid.
 	 */
 	reloadWith(change: readonly string[] | 'unreadable'): void {
 		writeFileSync(this.file, change === 'unreadable' ? 'node: [' : `${this.settings}quarantine: {released: [${change.join(', ')}]}\n`);
 		this.reload();
 	}
 
-	/** Puts its usual settings back. */
+	/** Restores the usual settings and makes the process reload them. */
 	reloadUsual(): void {
 		writeFileSync(this.file, this.settings);
 		this.reload();
 	}
 
 	/**
-	 * @param from - Monotonic milliseconds.
-	 * @param to - The same.
-	 * @returns Whether what came at the one moment, not long after a stop was asked for, may end at the other with the grace.
+	 * @param from - Monotonic milliseconds at which a request was sent.
+	 * @param to - Monotonic milliseconds at which its connection was closed.
+	 * @returns Whether the end of a stop's grace period may have cut the request.
 	 */
 	hasGraceEnded(from: number, to: number): boolean {
 		return this.stops.some(at => from < at + takenInStop && to > at + (grace * millisecondsPerSecond * graceUsed) && to < at + ((grace + 1) * millisecondsPerSecond));
 	}
 
-	/** Ends it and its proxies. */
+	/** Kills the process and closes its proxies. */
 	async close(): Promise<void> {
 		this.isGoing = true;
 		this.child?.signal('SIGCONT');
--- a/development/soak/soak-streams.ts
+++ b/development/soak/soak-streams.ts
@@ -1,25 +1,25 @@
 /**
- * How the replicas of a soak write their streams: in drawn pieces always, and with faults while one is struck.
+ * Stream behaviour of the replicas of a soak test: randomly drawn chunk boundaries always, and stream faults while one is in force.
  */
 import type {ReplicaStandin} from '../relay/replica-standin.js';
 import {eventOf, type StreamConduct} from '../relay/stream-writer.js';
 import {seededBy} from './seeded-by.js';
 
-/** What may be wrong with the streams of a replica. */
+/** Kinds of faults in the streams of a replica. */
 export type StreamFault = 'stream-breaks' | 'stream-misfits' | 'stream-stalls';
 
 const pieces: ReadonlyArray<StreamConduct['pieces']> = ['whole', 'first-apart', 'bytes', 'in-character', 'together'];
-/** Part of the streams that come without a length. */
+/** Fraction of the streams sent without chunked encoding or a length. */
 const unframedPart = 0.25;
-/** Part of the streams of a struck replica that go wrong. */
+/** Fraction of the streams that are faulty at a replica with a stream fault. */
 const wrongPart = 0.8;
-/** Part of the breaks that strike runs that go on, too. */
+/** Fraction of the breaks that also affect runs that continue a stream. */
 const anyRunPart = 0.5;
 
 type Draw = {
-	/** @returns One of several. */
+	/** @returns One of the choices, drawn uniformly. */
 	readonly among: <Choice>(choices: readonly Choice[]) => Choice;
-	/** @returns Whether it falls in a part of all. */
+	/** @returns `true` with the given probability. */
 	readonly isIn: (part: number) => boolean;
 };
 
@@ -28,23 +28,23 @@
 	isIn: part => random() < part,
 });
 
-/** The streams of one soak. */
+/** Sets how the replicas of one soak test write their streams. */
 export class SoakStreams {
 	/**
-	 * @param seed - Draws all.
-	 * @param events - Events of each stream.
-	 * @returns Nothing is wrong yet.
+	 * @param seed - Seed of all random draws.
+	 * @param events - Number of events in each complete stream.
+	 * @returns Stream behaviour without faults.
 	 */
 	static create(seed: number, events: number): SoakStreams {
 		return new SoakStreams(seed, events);
 	}
 
-	/** What is wrong by ids of replicas. */
+	/** Faults in force, by replica id. */
 	readonly faults = new Map<string, StreamFault>();
 
 	private constructor(private readonly seed: number, private readonly events: number) {}
 
-	/** @param replica - A replica that writes its streams so from now on, and names requests in them. */
+	/** @param replica - A replica that writes its streams this way from now on, with the request id in its answers. */
 	prepare(replica: ReplicaStandin): void {
 		replica.streamEvents = this.events;
 		replica.namesRequests = true;
@@ -62,13 +62,13 @@
 		const event = draw.among(Array.from({length: this.events}, (_, index) => index + 1));
 		switch (fault) {
 			case 'stream-breaks': {
-				// At least a byte of an event: nobody can tell a stream without a length that ends between events from a whole one.
+				// At least one byte of an event: a stream without a length that ends between events can't be told from a complete one.
 				const inside = Array.from({length: eventOf(replica, event).length - 1}, (_, index) => index + 1);
 				return {breaksAt: {event, bytes: draw.among(inside), isAnyRun: draw.isIn(anyRunPart)}, ending: draw.among(['reset', 'close'])};
 			}
 
 			case 'stream-misfits': {
-				// Neither the first nor the last: nobody else knows at which number a stream begins, and how many events it has.
+				// Neither the first nor the last event: a relay does not know the first number of a stream, nor its number of events.
 				const leftOut = draw.among(Array.from({length: this.events - 2}, (_, index) => index + 2));
 				return draw.among<Partial<StreamConduct>>([{goesOn: 'anew'}, {goesOn: 'too-far'}, {leftOut}, {nameless: event}]);
 			}
--- a/development/soak/soak.ts
+++ b/development/soak/soak.ts
@@ -1,5 +1,5 @@
 /**
- * One soak: relays as processes, clients that keep their connections, and faults that overlap, drawn from a seed.
+ * One soak test: relay processes, clients with keep-alive connections, and overlapping faults drawn from a seed.
  */
 import {mkdtempSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -19,44 +19,47 @@
 import {SoakRelay} from './soak-relay.js';
 import {SoakStreams} from './soak-streams.js';
 
-/** What a soak is like. */
+/** Options of a soak test. */
 export type SoakOptions = {
 	readonly seed: number;
-	/** Milliseconds in which faults begin. */
+	/** Milliseconds during which new faults start. */
 	readonly length: number;
+	/** Number of relay processes. */
 	readonly relays: number;
 };
 
-/** How a soak went. */
+/** Result of a soak test. */
 export type SoakReport = {
 	readonly plan: readonly SoakFault[];
 	readonly attempts: number;
 	readonly served: number;
-	/** What was broken; none where all promises were kept. */
+	/** Violated invariants, one description each; empty if all held. */
 	readonly broken: readonly string[];
-	/** Log lines of all lives of the relays. */
+	/** Log lines of all relay processes, including those before a restart. */
 	readonly lines: ReadonlyArray<Readonly<Record<string, unknown>>>;
 };
 
 const replicaIds = Array.from({length: 6}, (_, index) => `i-${index + 1}`);
-/** Clients of a soak, and for each relay at least. */
+/** Minimum number of clients, in total and per relay. */
 const clientCount = 12;
 const clientsPerRelay = 2;
 const streamEvents = 6;
-/** Relays that start at once: loading the program takes a core each. */
+/** Relays that start concurrently: loading the program occupies one core per relay. */
 const startedAtOnce = 4;
-/** Milliseconds in which they are ready, between two looks, and lines of the log that are shown otherwise. */
+/** Milliseconds within which a relay must be ready, milliseconds between two readiness checks, and log lines shown on a timeout. */
 const startTime = 20_000;
 const startPause = 50;
 const linesShown = 20;
-/** Milliseconds in which everybody is served again once nothing is wrong any more. */
+/** Milliseconds within which all requests must be served again after the last fault is cleared. */
 const recoverTime = 12_000;
-/** Requests that must be served then, at each relay. */
+/** Requests that every relay must serve after the last fault is cleared. */
 const finalRequests: readonly SoakRequestKind[] = ['calls', 'stream', 'calls', 'stream', 'calls', 'stream'];
 
 /**
- * @param options - Seed, length and size.
- * @returns How it went.
+ * Runs one soak test.
+ *
+ * @param options - Seed, length and number of relays.
+ * @returns The result, with all violated invariants.
  */
 export async function soak({seed, length, relays: count}: SoakOptions): Promise<SoakReport> {
 	const folder = mkdtempSync(path.join(tmpdir(), 'waydrift-soak-'));
@@ -105,7 +108,7 @@
 	for (const relay of relays) {
 		while (!await relay.isReady()) {
 			if (performance.now() > endsAt) {
-				throw new Error(`${relay.name} is not ready ${startTime} ms after its start:\n${relay.lines.slice(-linesShown).map(line => JSON.stringify(line)).join('\n')}`);
+				throw new Error(`${relay.name} was not ready within ${startTime} ms of its start:\n${relay.lines.slice(-linesShown).map(line => JSON.stringify(line)).join('\n')}`);
 			}
 
 			await pause(startPause);
@@ -113,7 +116,10 @@
 	}
 }
 
-/** With everything healed, each relay serves all within the time to recover, also what some took for a request that ends replicas. */
+/**
+ * Checks that, with all faults cleared, each relay serves all requests within the recovery time. This includes requests that some relay
+ * wrongly suspected of crashing replicas.
+ */
 async function serveAll(clients: SoakClients, relays: readonly SoakRelay[]): Promise<readonly string[]> {
 	const endsAt = performance.now() + recoverTime;
 	for (;;) {
@@ -127,7 +133,7 @@
 		}
 
 		if (performance.now() > endsAt) {
-			return unserved.map(({relay, kind, sent, status, body}) => `${relay.name} does not serve ${kind} "${sent}" again: ${status} ${body.slice(0, 120)}`);
+			return unserved.map(({relay, kind, sent, status, body}) => `${relay.name} did not serve ${kind} "${sent}" within ${recoverTime} ms of the last fault: ${status} ${body.slice(0, 120)}`);
 		}
 
 		await pause(500);
--- a/development/soak/test/soak-answers.test.ts
+++ b/development/soak/test/soak-answers.test.ts
@@ -29,7 +29,7 @@
 
 const made = (replica: string, ...numbers: readonly number[]): string => numbers.map(number => eventOf(`${replica} for r`, number)).join('');
 
-test('what replicas made, event for event and under one count, is right', () => {
+test('events made by replicas that ran the request, numbered consecutively, are accepted', () => {
 	const right: readonly Seen[] = [
 		{body: made('i-1', 1, 2, 3)},
 		{body: made('i-1', 1) + made('i-2', 2, 3)},
@@ -43,9 +43,10 @@
 	assert.deepEqual(right.map(seen => judge(seen)), right.map(() => undefined));
 });
 
-test('everything else is found', () => {
+test('joined, cut, repeated, missing, foreign and wrongly signed output is detected', () => {
 	const wrong: readonly Seen[] = [
-		// Joined, cut inside, without an id, twice, left out, anew, another request's, of a replica that did not run it.
+		// Events: with a stray byte of another event, cut inside, without an id, repeated, left out, restarted, of another request, and of a
+		// replica that did not run the request.
 		{body: made('i-1', 1) + 'i' + made('i-2', 2, 3)},
 		{body: made('i-1', 1) + made('i-1', 2).slice(0, 9), isWhole: false},
 		{body: made('i-1', 1) + made('i-1', 2).slice('id: 2\n'.length) + made('i-1', 3)},
@@ -54,17 +55,17 @@
 		{body: made('i-1', 2) + made('i-2', 1, 2, 3)},
 		{body: eventOf('i-1 for another', 1), isWhole: false},
 		{body: made('i-3', 1, 2, 3)},
-		// Half of it, ended as whole, also behind an event that the client has; more than there are.
+		// Too few events, but ended as complete, also after an event that the client already has; too many events.
 		{body: made('i-1', 1, 2)},
 		{body: ''},
 		{body: made('i-1', 2), after: 1},
 		{body: made('i-1', 1, 2, 3, 4)},
-		// Events of two runs in turn; signatures.
+		// Alternating events of two runs; wrong signatures; a wrong attempt id.
 		{body: made('i-1', 1) + made('i-2', 2) + made('i-1', 3)},
 		{body: made('i-2', 1, 2, 3)},
 		{body: '', isWhole: false, signer: 'i-3'},
 		{body: made('i-1', 1, 2, 3), id: 'another'},
-		// Whole answers.
+		// Non-streamed answers: wrong signature, extra byte, truncated, of another request, unknown content.
 		{kind: 'calls', body: wholeAnswerOf('i-2 for r')},
 		{kind: 'calls', body: wholeAnswerOf('i-1 for r') + ' '},
 		{kind: 'calls', body: wholeAnswerOf('i-1 for r').slice(0, 5)},
--- a/development/soak/test/soak-judge.test.ts
+++ b/development/soak/test/soak-judge.test.ts
@@ -9,7 +9,7 @@
 	name: 'relay-1', kills: [] as number[], stops: [] as number[], ownEnds: 0, hasGraceEnded: () => false,
 };
 
-/** A request that reached the replica, and what the replica said in its answer. */
+/** A request that reached the replica, and what the replica announced in its answer. */
 const reached = (at: number, said: Partial<Pick<SeenRequest, 'pauseAsked' | 'saidLeaving'>> = {}): SeenRequest => ({
 	id: `request-${at}`, method: 'GET', target: '/calls/x', body: '', headers: {}, hasRun: said.pauseAsked === undefined, at,
 	pauseAsked: undefined, saidLeaving: false, isAbandoned: false, isRightStream: false, ...said,
@@ -26,7 +26,7 @@
 	return SoakJudge.create(record).broken.filter(line => line.includes('reached') || line.includes('asked'));
 }
 
-test('requests in a pause that a replica asked a relay for break a promise from the third on, unless the relay was started anew meanwhile', () => {
+test('from the third request on, requests during a pause that a replica asked for violate an invariant, unless the relay was restarted meanwhile', () => {
 	const inPause = [reached(10_000, {pauseAsked: 3000}), reached(10_400), reached(10_600), reached(11_000)];
 	assert.deepEqual(brokenBy(inPause), []);
 	assert.equal(brokenBy([...inPause, reached(12_900)]).length, 1);
@@ -34,7 +34,7 @@
 	assert.deepEqual(brokenBy([...inPause, reached(12_900)], {kills: [10_800]}), []);
 });
 
-test('a request later than the drain time after an answer that said that its replica leaves breaks a promise', () => {
+test('a request later than the drain time after an answer that announced that its replica is leaving violates an invariant', () => {
 	const told = reached(10_000, {saidLeaving: true});
 	assert.deepEqual(brokenBy([told, reached(11_900)]), []);
 	assert.equal(brokenBy([told, reached(13_000)]).length, 1);
--- a/development/soak/test/soak.test.ts
+++ b/development/soak/test/soak.test.ts
@@ -3,29 +3,29 @@
 import {planSoak, soakFaultKinds} from '../soak-plan.js';
 import {soak} from '../soak.js';
 
-/** A soak that has failed, with what it was, or a first one. The plan follows from seed and seconds. */
+/** Soak tests that failed once, with the cause, and a first one. The plan is determined by the seed and the seconds. */
 const cases = [
-	{seed: 1, seconds: 6, why: 'a first one'},
-	{seed: 8, seconds: 10, why: 'the soak healed a spoilt entry as one of a ready replica, though that had said that it leaves'},
-	{seed: 103, seconds: 8, why: 'a relay was told to read its settings anew while it still loaded, and ended; the soak kept a replica mute that had started again'},
-	{seed: 118, seconds: 8, why: 'a relay was told to read its settings anew 0.4 s after its start, and ended'},
-	{seed: 2, seconds: 3, why: 'a run ended inside an event, and the part of it went to the client before the next run'},
-	{seed: 6, seconds: 3, why: 'a replica left an event out, or wrote one without an id, and the stream went to its end'},
-	{seed: 11, seconds: 3, why: 'a stream without a length ended inside an event, and was ended as whole'},
+	{seed: 1, seconds: 6, why: 'first seed'},
+	{seed: 8, seconds: 10, why: 'the soak test restored a corrupted entry as ready, although its replica had announced that it is leaving'},
+	{seed: 103, seconds: 8, why: 'a reload signal during the start of a relay terminated it; the soak test left a restarted replica mute'},
+	{seed: 118, seconds: 8, why: 'a reload signal 0.4 s after the start of a relay terminated it'},
+	{seed: 2, seconds: 3, why: 'a run ended inside an event, and the client received the partial event before the next run'},
+	{seed: 6, seconds: 3, why: 'a replica left out an event, or wrote one without an id, and the stream was continued to its end'},
+	{seed: 11, seconds: 3, why: 'a stream without a length ended inside an event, and was reported as complete'},
 ];
 const millisecondsPerSecond = 1000;
-/** Milliseconds in which the faults of a plan begin. */
+/** Milliseconds during which the faults of a plan start. */
 const length = 6000;
 
 for (const {seed, seconds, why} of cases) {
-	test(`a soak of overlapping faults breaks no promise: seed ${seed} (${why})`, async () => {
+	test(`a soak test with overlapping faults violates no invariant: seed ${seed} (${why})`, async () => {
 		const {broken, attempts, served} = await soak({seed, length: seconds * millisecondsPerSecond, relays: 4});
 		assert.deepEqual(broken, []);
-		assert.ok(served > attempts / 3, `${served} of ${attempts} were served: a soak that serves few judges little`);
+		assert.ok(served > attempts / 3, `only ${served} of ${attempts} attempts were served; with so few, the checks say little`);
 	});
 }
 
-test('a plan follows from its seed alone, and every sort of fault comes', () => {
+test('a plan is determined by its seed, and every kind of fault occurs', () => {
 	assert.deepEqual(planSoak(5, length), planSoak(5, length));
 	const kinds = new Set(Array.from({length: 20}, (_, seed) => planSoak(seed, length)).flat().map(({kind}) => kind));
 	assert.deepEqual([...soakFaultKinds].filter(kind => !kinds.has(kind)), []);
