--- a/development/fuzz/ceiling-suite.ts
+++ b/development/fuzz/ceiling-suite.ts
@@ -1,5 +1,6 @@
 /**
- * "The sum over boxes never passes the ceiling", over the real owner and spender, with links that part.
+ * Invariant: the sum of the rates over all boxes never exceeds the ceiling. Runs the real ceiling owners and spenders under network
+ * partitions.
  */
 import assert from 'node:assert/strict';
 import fc from 'fast-check';
@@ -10,11 +11,14 @@
 import {VirtualClock, type VirtualTime} from './virtual-time.js';
 
 const boxCount = 5;
+/** Units per second, for each row. */
 const ceiling = 100;
 const rows = ['acme/bulletin/write', 'acme/bulletin/read'];
+/** Milliseconds between two exchanges of all boxes. */
 const exchangeInterval = 500;
+/** Milliseconds between two checks of the invariant. */
 const lookInterval = 100;
-/** Rounding. */
+/** Allows for rounding errors. */
 const tolerance = 1e-6;
 
 type Box = {readonly id: BoxId; ceilings: Ceilings; owner: CeilingOwner; isFrozen: boolean; group: number};
@@ -31,14 +35,14 @@
 
 	start(id: BoxId, index: number): Box {
 		const facts: CeilingFacts = {ceiling: () => ceiling, rows: () => rows, entryBoxes: () => this.ids};
-		// Monotonic clocks of boxes have nothing to do with each other.
+		// The monotonic clocks of different boxes are unrelated.
 		const clock = VirtualClock.create(this.time, index * 1_000_000);
 		return {
 			id, ceilings: Ceilings.create(id, facts, clock), owner: CeilingOwner.create(facts, clock), isFrozen: false, group: 0,
 		};
 	}
 
-	/** All that can talk exchange with all; the answer to one in three may come late. */
+	/** Exchanges demands and grants between all pairs of boxes of the same partition that are not suspended. */
 	exchange(): void {
 		for (const asker of this.boxes.filter(({isFrozen}) => !isFrozen)) {
 			const reachable = this.boxes.filter(({group, isFrozen}) => group === asker.group && !isFrozen);
@@ -58,7 +62,7 @@
 			}
 
 			this.worst = Math.max(this.worst, sum);
-			assert.ok(sum <= ceiling + tolerance, `rates of ${row} sum up to ${sum} at ${this.time.now} ms`);
+			assert.ok(sum <= ceiling + tolerance, `rates of ${row} add up to ${sum}, above the ceiling of ${ceiling}, at ${this.time.now} ms`);
 		}
 	}
 
@@ -91,7 +95,7 @@
 	},
 	{
 		weight: 2, arbitrary: fc.array(fc.integer({min: 0, max: 1}), {minLength: boxCount, maxLength: boxCount}).map(groups =>
-			step<CeilingWorld>(`parted as ${groups.join('')}`, world => {
+			step<CeilingWorld>(`partition boxes as ${groups.join('')}`, world => {
 				world.faults++;
 				for (const [index, group] of groups.entries()) {
 					world.boxes[index]!.group = group;
@@ -99,14 +103,14 @@
 			})),
 	},
 	{
-		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isFrozen]) => step<CeilingWorld>(`frozen ${box}: ${String(isFrozen)}`, world => {
+		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isFrozen]) => step<CeilingWorld>(`box ${box} suspended: ${String(isFrozen)}`, world => {
 			world.faults++;
 			world.boxes[box]!.isFrozen = isFrozen;
 		})),
 	},
 );
 
-/** The ceilings of five boxes whose links part and whose owners freeze. */
+/** Ceilings of five boxes under network partitions and suspended owners. */
 export const ceilingSuite: Suite<CeilingWorld> = {
 	name: 'ceilings',
 	steps,
@@ -118,13 +122,13 @@
 		}
 
 		await world.pass(12_000);
-		// An idle share is usable by others: after a quiet while one box alone may have nearly all.
+		// Other boxes can use an idle share: after an idle period, a single busy box gets nearly the whole ceiling.
 		for (let round = 0; round < 20; round++) {
 			world.boxes[0]!.ceilings.take(rows[0]!, 100);
 			await world.pass(500);
 		}
 
-		assert.ok(world.boxes[0]!.ceilings.rate(rows[0]!) >= ceiling * 0.8, `one busy box gets ${world.boxes[0]!.ceilings.rate(rows[0]!)} of ${ceiling}`);
+		assert.ok(world.boxes[0]!.ceilings.rate(rows[0]!) >= ceiling * 0.8, `a single busy box gets only ${world.boxes[0]!.ceilings.rate(rows[0]!)} of ${ceiling}`);
 	},
 	faults: world => world.faults,
 };
--- a/development/fuzz/claim-suite.ts
+++ b/development/fuzz/claim-suite.ts
@@ -1,5 +1,6 @@
 /**
- * "Not repeatable runs at most once" and "told not run means not run", over the real ledger.
+ * Invariants: a non-repeatable request runs at most once, and a request that was answered with "not run" has not run. Runs the real claim
+ * ledger.
  */
 import assert from 'node:assert/strict';
 import * as Effect from 'effect/Effect';
@@ -19,7 +20,7 @@
 const keyCount = 3;
 const account = 'acme' as ClientAccountName;
 
-/** What the upstream does with a call that is sent. */
+/** Outcome of a call at the upstream. */
 type UpstreamFate = 'answers' | 'refuses' | 'cut-after-execution' | 'cut-before-execution';
 
 type Box = {readonly store: FakeObjectStore; ledger: ClaimLedger};
@@ -29,7 +30,7 @@
 class ClaimWorld {
 	readonly objects: FakeObjects;
 	readonly boxes: readonly Box[];
-	/** Attempts that executed, by key: the oracle. */
+	/** Attempts that the upstream executed, by key; the oracle of the suite. */
 	readonly executions = new Map<string, string[]>();
 	readonly told: Told[] = [];
 	readonly metrics = Metrics.create();
@@ -94,27 +95,27 @@
 
 const steps = fc.oneof(
 	{
-		weight: 6, arbitrary: fc.tuple(anyBox, anyKey, anyFate).map(([box, key, fate]) => step<ClaimWorld>(`request ${key} at ${box}, ${fate}`, world => {
+		weight: 6, arbitrary: fc.tuple(anyBox, anyKey, anyFate).map(([box, key, fate]) => step<ClaimWorld>(`request ${key} at box ${box}, ${fate}`, world => {
 			world.request(box, key, fate);
 		})),
 	},
 	{
-		weight: 3, arbitrary: fc.tuple(anyBox, callFates).map(([box, fates]) => step<ClaimWorld>(`next calls of ${box}: ${fates.join(', ')}`, world => {
+		weight: 3, arbitrary: fc.tuple(anyBox, callFates).map(([box, fates]) => step<ClaimWorld>(`next store calls of box ${box}: ${fates.join(', ')}`, world => {
 			world.boxes[box]!.store.fates.push(...fates);
 		})),
 	},
 	{
-		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isOut]) => step<ClaimWorld>(`store out for ${box}: ${String(isOut)}`, world => {
+		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isOut]) => step<ClaimWorld>(`store unavailable for box ${box}: ${String(isOut)}`, world => {
 			world.boxes[box]!.store.isOut = isOut;
 		})),
 	},
 	{
-		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isFrozen]) => step<ClaimWorld>(`frozen ${box}: ${String(isFrozen)}`, world => {
+		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isFrozen]) => step<ClaimWorld>(`box ${box} suspended: ${String(isFrozen)}`, world => {
 			world.boxes[box]!.store.isFrozen = isFrozen;
 		})),
 	},
 	{
-		weight: 1, arbitrary: anyBox.map(box => step<ClaimWorld>(`restart ${box}`, world => {
+		weight: 1, arbitrary: anyBox.map(box => step<ClaimWorld>(`restart box ${box}`, world => {
 			world.restart(box);
 		})),
 	},
@@ -125,7 +126,7 @@
 	},
 );
 
-/** The claims of three boxes over one store. */
+/** Claims of three boxes that share one store. */
 export const claimSuite: Suite<ClaimWorld> = {
 	name: 'claims',
 	steps,
@@ -138,14 +139,14 @@
 		}
 
 		await time.advance(20_000);
-		assert.equal(world.pending, 0, 'a request got no final answer');
+		assert.equal(world.pending, 0, 'requests without a final answer');
 		for (const [key, attempts] of world.executions) {
 			assert.ok(attempts.length <= 1, `${key} was executed by ${attempts.join(' and ')}`);
 		}
 
 		for (const {key, attempt, verdict} of world.told) {
 			const hasExecuted = world.executions.get(key)?.includes(attempt) ?? false;
-			assert.ok(verdict !== 'not-run' || !hasExecuted, `${attempt} of ${key} was told not run, and ran`);
+			assert.ok(verdict !== 'not-run' || !hasExecuted, `${attempt} of ${key} was answered with "not run", but ran`);
 		}
 	},
 	faults: world => world.objects.faults,
--- a/development/fuzz/decoder-suite.ts
+++ b/development/fuzz/decoder-suite.ts
@@ -1,6 +1,6 @@
 /**
- * "Nothing from outside ends or blinds a box", over the real decoders and what stands behind them: entries of other writers,
- * configurations, datagrams and documents of peers, mutated and generated, among good neighbours.
+ * Invariant: invalid external input neither crashes a box nor hides valid entries. Feeds mutated and generated entries, configurations,
+ * datagrams and documents, mixed with valid ones, to the real decoders and their consumers.
  */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -74,12 +74,13 @@
 		this.ledger = CrashLedger.create(clock);
 		this.replicas = ReplicaDirectory.create(clock, log);
 		this.role = ReplicaRole.create({
-			link: {names: {replicaKind: 'replicas', decodeReplica}} as unknown as PlatformLink, clock, log, replicas: this.replicas, followsStore: () => true, fallbackDelay: 5000, ...usualAvailability(clock),
+			link: {names: {replicaKind: 'replicas', decodeReplica}} as unknown as PlatformLink, clock, log,
+			replicas: this.replicas, followsStore: () => true, fallbackDelay: 5000, ...usualAvailability(clock),
 		});
 		this.role.applyListing({at: this.revision, objects: ['good-1', 'good-2'].map(name => ({name, revision: 1, spec: goodReplica}))}, 0);
 	}
 
-	/** An entry of another writer arrives as a change that a peer tells, or in a list. */
+	/** Applies an entry of another writer, as part of a listing or of an update from a peer. */
 	takeEntry(spec: unknown, isList: boolean): void {
 		this.faults++;
 		this.revision++;
@@ -91,14 +92,14 @@
 			this.role.applyPeerUpdate({name: 'peer', host: '127.0.0.1', port: 1}, {at: this.revision, age: 0}, {at: this.revision, changes: [{object, isGone: false}]});
 		}
 
-		// What is handed on can be read by others.
+		// The changes sent to other boxes must be serialisable.
 		JSON.stringify(this.role.changesSince(this.revision - 1));
 		this.judge();
 	}
 
 	judge(): void {
 		const names = this.replicas.all.filter(({isLeaving}) => !isLeaving).map(({entry}) => entry.id);
-		assert.ok(names.includes('good-1') && names.includes('good-2'), `the good ones hold: ${names.join(' ')}`);
+		assert.ok(names.includes('good-1') && names.includes('good-2'), `valid replicas are missing; present: ${names.join(' ')}`);
 		for (const {entry: {host, port, slots, service, bornAt, leavesIn}} of this.replicas.all) {
 			assert.ok(Number.isInteger(port) && port > 0 && port <= largestPort && /^[\d.]+$/v.test(host), `${host}:${port}`);
 			assert.ok(Number.isInteger(slots) && slots > 0 && service.length > 0);
@@ -129,7 +130,7 @@
 		this.ledger.merge(message.ends ?? {crashes: [], completions: []});
 		const told = this.ledger.collectUpdate(true, maxCrashesSent.small);
 		const handedOn = decodeGossip(encodeGossip({...goodMessage, ...(told ? {ends: told} : {})}));
-		assert.ok(handedOn, 'what is handed on can be read');
+		assert.ok(handedOn, 'a forwarded update can\'t be decoded');
 		for (const change of message.digest?.changes?.changes ?? []) {
 			decodeReplica(change.object);
 		}
@@ -142,7 +143,7 @@
 	fc.string({unit: 'binary'}),
 );
 
-/** Values of a good one with one part, at any depth, taken out or replaced. */
+/** Generates copies of a valid value with one part, at any depth, removed or replaced. */
 function mutated(good: unknown): fc.Arbitrary<unknown> {
 	return fc.tuple(fc.array(fc.nat({max: 30}), {minLength: 1, maxLength: 5}), oddValue, fc.boolean()).map(([path, value, isTakenOut]) => mutate(good, path, value, isTakenOut));
 }
@@ -185,7 +186,7 @@
 
 const steps = fc.oneof(
 	{
-		weight: 4, arbitrary: fc.tuple(entry, fc.boolean()).map(([spec, isList]) => step<DecoderWorld>(`entry ${JSON.stringify(spec)?.slice(0, 200)}${isList ? ' in a list' : ''}`, world => {
+		weight: 4, arbitrary: fc.tuple(entry, fc.boolean()).map(([spec, isList]) => step<DecoderWorld>(`entry ${JSON.stringify(spec)?.slice(0, 200)}${isList ? ' in a listing' : ''}`, world => {
 			world.takeEntry(spec, isList);
 		})),
 	},
@@ -206,7 +207,7 @@
 	},
 );
 
-/** One box, and whatever may come from outside. */
+/** One box that receives invalid external input. */
 export const decoderSuite: Suite<DecoderWorld> = {
 	name: 'decoders',
 	steps,
--- a/development/fuzz/event-suite.ts
+++ b/development/fuzz/event-suite.ts
@@ -1,6 +1,6 @@
 /**
- * "A client gets whole events only", over the real splitter: streams of events that arrive in any pieces and end anywhere, also inside a
- * character and inside the blank line that closes an event.
+ * Invariant: a client receives complete events only. Runs the real splitter on event streams that arrive in arbitrary chunks and end
+ * anywhere, also inside a character or inside the blank line that ends an event.
  */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
@@ -11,15 +11,15 @@
 
 const blankLine = '\n\n';
 
-/** One stream, as it is written and as it is read. */
+/** One event stream, with its writing and its reading side. */
 class Stream {
 	private readonly splitter = EventSplitter.create();
-	/** Joins the bytes of a character, as Node does for whoever asks for text. */
+	/** Joins the bytes of a character, as a Node stream with an encoding does. */
 	private readonly decoder = new StringDecoder('utf8');
 	private readonly written: string[] = [];
 	private readonly got: string[] = [];
 	private pending: Uint8Array = Buffer.alloc(0);
-	/** What was read so far. */
+	/** Text read so far. */
 	private text = '';
 
 	write(event: string): void {
@@ -27,12 +27,12 @@
 		this.pending = Buffer.concat([this.pending, Buffer.from(event)]);
 	}
 
-	/** Some bytes arrive in one piece. */
+	/** Delivers pending bytes in one chunk. */
 	deliver(bytes: number): void {
 		const piece = this.pending.subarray(0, bytes);
 		this.pending = this.pending.subarray(bytes);
 		const chunk = this.decoder.write(Buffer.from(piece));
-		// Node tells of no text where a piece holds part of a character alone.
+		// Node emits no text for a chunk that holds only part of a character.
 		if (chunk !== '') {
 			this.text += chunk;
 			this.got.push(...this.splitter.split(chunk));
@@ -43,21 +43,21 @@
 
 	deliverAll(): void {
 		this.deliver(this.pending.length);
-		assert.deepEqual(this.got, this.written, 'the whole stream');
-		assert.deepEqual(EventSplitter.create().split(this.text), this.written, 'the whole stream at once');
-		assert.equal(this.splitter.incompleteLength, 0, 'nothing is held back behind the last event');
+		assert.deepEqual(this.got, this.written, 'events of the complete stream, split in chunks');
+		assert.deepEqual(EventSplitter.create().split(this.text), this.written, 'events of the complete stream, split at once');
+		assert.equal(this.splitter.incompleteLength, 0, 'length of incomplete text after the last event');
 	}
 
-	/** @returns Whether an end here would be inside an event. */
+	/** @returns Whether the stream would end inside an event if it ended now. */
 	isInsideEvent(): boolean {
 		return this.text.length > this.got.join('').length;
 	}
 
 	private judge(): void {
 		const whole = this.text.split(blankLine).slice(0, -1).map(event => event + blankLine);
-		assert.deepEqual(whole, this.written.slice(0, whole.length), 'the suite knows what it wrote');
-		assert.deepEqual(this.got, whole, 'each event that has come, and no part of one');
-		assert.equal(this.splitter.incompleteLength, this.text.length - whole.join('').length, 'what is held back is told');
+		assert.deepEqual(whole, this.written.slice(0, whole.length), 'complete events in the text differ from the written events');
+		assert.deepEqual(this.got, whole, 'events from the splitter differ from the complete events received');
+		assert.equal(this.splitter.incompleteLength, this.text.length - whole.join('').length, 'reported length of the incomplete event');
 	}
 }
 
@@ -65,14 +65,14 @@
 	faults = 0;
 	stream = new Stream();
 
-	/** The stream ends where it is; the next one begins anew. */
+	/** Ends the current stream at its present position, and starts a new one. */
 	cut(): void {
 		this.faults += this.stream.isInsideEvent() ? 1 : 0;
 		this.stream = new Stream();
 	}
 }
 
-/** Characters of one, two, three and four bytes; a line ends with none of them. */
+/** Characters of one to four bytes, without line breaks. */
 const text = fc.string({unit: 'binary', maxLength: 12}).map(value => value.replaceAll(/[\r\n]/gv, 'ü'));
 const line = fc.oneof(
 	fc.constantFrom('data', 'data:', 'data: ', ':', 'id: 7', 'event: error', 'data: \u{1F600}', 'data: é'),
@@ -93,14 +93,14 @@
 		})),
 	},
 	{
-		weight: 2, arbitrary: fc.integer({min: 1, max: 60}).map(bytes => step<EventWorld>(`${bytes} bytes arrive one by one`, ({stream}) => {
+		weight: 2, arbitrary: fc.integer({min: 1, max: 60}).map(bytes => step<EventWorld>(`${bytes} bytes arrive one at a time`, ({stream}) => {
 			for (let index = 0; index < bytes; index++) {
 				stream.deliver(1);
 			}
 		})),
 	},
 	{
-		weight: 1, arbitrary: fc.constant(step<EventWorld>('all that was written arrives', ({stream}) => {
+		weight: 1, arbitrary: fc.constant(step<EventWorld>('all pending bytes arrive', ({stream}) => {
 			stream.deliverAll();
 		})),
 	},
@@ -111,7 +111,7 @@
 	},
 );
 
-/** One stream after another. */
+/** A sequence of event streams. */
 export const eventSuite: Suite<EventWorld> = {
 	name: 'events',
 	steps,
--- a/development/fuzz/fake-engine.ts
+++ b/development/fuzz/fake-engine.ts
@@ -1,5 +1,5 @@
 /**
- * A model engine in memory that answers deterministically, and fails when told to.
+ * An in-memory model engine with deterministic answers and injected failures.
  */
 import * as Effect from 'effect/Effect';
 import type {LoadReport} from '../../src/upstream/load-report.js';
@@ -12,9 +12,9 @@
 export const tokenInterval = 20;
 
 /**
- * @param requestId - Name of a request.
- * @param index - Position in its answer.
- * @returns The event that carries that token.
+ * @param requestId - Id of the request.
+ * @param index - Position of the token in the answer.
+ * @returns The event that carries this token.
  */
 export function tokenEvent(requestId: string, index: number): string {
 	return `data: ${JSON.stringify({choices: [{index: 0, delta: {content: ` ${requestId}.${index}`}}]})}\n\n`;
@@ -22,11 +22,11 @@
 
 type Running = {readonly cut: (detail: string) => void; isStalled: boolean};
 
-/** An engine. */
+/** An in-memory model engine. */
 export class FakeEngine extends ModelEngine {
-	/** What the engine does with new requests. */
+	/** How the engine treats new requests. */
 	mode: 'serves' | 'refuses' | 'unreachable' | 'leaving' = 'serves';
-	/** Requests that run. */
+	/** Requests in progress. */
 	readonly running = new Set<Running>();
 	started = 0;
 
@@ -51,17 +51,17 @@
 	}
 
 	override close(): void {
-		// Nothing is kept.
+		// There are no resources to release.
 	}
 
-	/** Cuts every answer in progress. */
+	/** Cuts all answers in progress. */
 	cutAll(): void {
 		for (const {cut} of this.running) {
 			cut('cut by the test');
 		}
 	}
 
-	/** Every answer in progress stands still from now on. */
+	/** Stalls all answers in progress: they send no more tokens and do not end. */
 	stallAll(): void {
 		for (const running of this.running) {
 			running.isStalled = true;
--- a/development/fuzz/fake-object-store.ts
+++ b/development/fuzz/fake-object-store.ts
@@ -1,16 +1,16 @@
 /**
- * The Object API in memory, with the faults of the brief: outages, slowness, answers lost after the write
- * took effect, and writes that take effect after their caller has given up.
+ * An in-memory object store with injected faults: outages, slow calls, answers lost after the write took effect, and writes that take
+ * effect after the caller's timeout.
  */
 import * as Effect from 'effect/Effect';
 import {
 	ObjectStore, StoreFailure, VersionConflict, type ObjectVersion, type StoredObject,
 } from '../../src/external/object-store.js';
 
-/** Milliseconds after which a caller gives a call up. */
+/** Timeout of a call in milliseconds. */
 const callTimeout = 2000;
 
-/** What happens to one call. */
+/** Outcome of one call. */
 export type CallFate = 'normal' | 'lost-answer' | 'lost-call' | 'late' | 'slow' | 'outage';
 
 type Entry = {readonly version: ObjectVersion; readonly value: string};
@@ -20,7 +20,7 @@
 /** The objects, shared by all boxes. */
 export class FakeObjects {
 	readonly entries = new Map<string, Entry>();
-	/** Faults that took place. */
+	/** Number of injected faults that took effect. */
 	faults = 0;
 	private version = 0;
 
@@ -43,20 +43,21 @@
 	}
 }
 
-/** The store as one box reaches it. */
+/** The store as seen by one box. */
 export class FakeObjectStore extends ObjectStore {
 	/**
-	 * @param objects - Shared by all boxes.
+	 * @param objects - Objects that all boxes share.
 	 * @returns A store without faults.
 	 */
 	static create(objects: FakeObjects): FakeObjectStore {
 		return new FakeObjectStore(objects);
 	}
 
-	/** Fates of the next calls; normal when there are none. */
+	/** Outcomes of the next calls, in order; calls beyond the last are normal. */
 	fates: CallFate[] = [];
+	/** Whether the store is unavailable to this box. */
 	isOut = false;
-	/** While set, answers wait: the box is frozen. */
+	/** Whether the box is suspended; answers are delivered once it resumes. */
 	isFrozen = false;
 
 	private constructor(private readonly objects: FakeObjects) {
@@ -107,7 +108,7 @@
 			}
 
 			case 'late': {
-				// It takes effect when its caller has long given up.
+				// The write takes effect after the caller's timeout.
 				return Effect.sync(() => {
 					setTimeout(() => {
 						Effect.runFork(Effect.ignore(Effect.suspend(act)));
--- a/development/fuzz/lease-suite.ts
+++ b/development/fuzz/lease-suite.ts
@@ -1,5 +1,5 @@
 /**
- * "At most one holder", over the real lease, with frozen boxes, late writes and lost answers.
+ * Invariant: at most one box holds the lease. Runs the real lease with suspended boxes, late writes and lost answers.
  */
 import assert from 'node:assert/strict';
 import * as Effect from 'effect/Effect';
@@ -12,6 +12,7 @@
 import {VirtualClock, type VirtualTime} from './virtual-time.js';
 
 const boxCount = 3;
+/** Milliseconds between two checks of the invariant. */
 const lookInterval = 50;
 
 type Candidate = {readonly store: FakeObjectStore; readonly lease: Lease; readonly generations: number[]};
@@ -58,23 +59,23 @@
 		})),
 	},
 	{
-		weight: 3, arbitrary: fc.tuple(anyBox, callFates).map(([box, fates]) => step<LeaseWorld>(`next calls of ${box}: ${fates.join(', ')}`, world => {
+		weight: 3, arbitrary: fc.tuple(anyBox, callFates).map(([box, fates]) => step<LeaseWorld>(`next store calls of box ${box}: ${fates.join(', ')}`, world => {
 			world.candidates[box]!.store.fates.push(...fates);
 		})),
 	},
 	{
-		weight: 2, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isFrozen]) => step<LeaseWorld>(`frozen ${box}: ${String(isFrozen)}`, world => {
+		weight: 2, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isFrozen]) => step<LeaseWorld>(`box ${box} suspended: ${String(isFrozen)}`, world => {
 			world.candidates[box]!.store.isFrozen = isFrozen;
 		})),
 	},
 	{
-		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isOut]) => step<LeaseWorld>(`store out for ${box}: ${String(isOut)}`, world => {
+		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isOut]) => step<LeaseWorld>(`store unavailable for box ${box}: ${String(isOut)}`, world => {
 			world.candidates[box]!.store.isOut = isOut;
 		})),
 	},
 );
 
-/** Three candidates for one duty. */
+/** Three boxes that compete for one lease. */
 export const leaseSuite: Suite<LeaseWorld> = {
 	name: 'leases',
 	steps,
@@ -87,9 +88,9 @@
 		}
 
 		await world.pass(30_000);
-		assert.equal(world.holders, 1, 'nobody holds the lease when all is well');
+		assert.equal(world.holders, 1, 'number of lease holders 30 s after the last fault');
 		const generations = world.candidates.flatMap(candidate => candidate.generations);
-		assert.equal(new Set(generations).size, generations.length, `a generation was given twice: ${generations.join(', ')}`);
+		assert.equal(new Set(generations).size, generations.length, `a generation was assigned twice: ${generations.join(', ')}`);
 	},
 	faults: world => world.objects.faults,
 };
--- a/development/fuzz/main.ts
+++ b/development/fuzz/main.ts
@@ -1,6 +1,6 @@
 /**
- * Runs all suites for some minutes: `npm run fuzz -- --minutes 3 --seed 1 [--suite claims]`. A failure prints
- * the seed and the path that replay it; exit 1.
+ * Runs all fuzz suites for a given time: `npm run fuzz -- --minutes 3 --seed 1 [--suite claims]`. On a failure, the seed and the path that
+ * replay it are printed, and the exit code is 1.
  */
 import process from 'node:process';
 import yargs from 'yargs';
@@ -12,8 +12,8 @@
 const options = await yargs(process.argv.slice(2))
 	.option('minutes', {type: 'number', default: 1})
 	.option('seed', {type: 'number', default: 1})
-	.option('suite', {type: 'string', describe: 'One suite alone'})
-	.option('path', {type: 'string', describe: 'Replays a failure'})
+	.option('suite', {type: 'string', describe: 'Runs only this suite'})
+	.option('path', {type: 'string', describe: 'Replays the failure with this path, as printed'})
 	.strict()
 	.parseAsync();
 
@@ -36,7 +36,7 @@
 		seed++;
 	}
 
-	process.stdout.write('no broken promise found\n');
+	process.stdout.write('no violated invariant found\n');
 } catch (error) {
 	process.stdout.write(`${String(error)}\n${describeCause(error)}\n`);
 	process.exitCode = 1;
--- a/development/fuzz/stream-suite.ts
+++ b/development/fuzz/stream-suite.ts
@@ -1,6 +1,6 @@
 /**
- * "Each caller receives the whole answer to its own request", over the real runs and records of two boxes,
- * with engines that fail and leave, callers that hang up and come back, and requests handed over.
+ * Invariant: each caller receives the complete answer to its own request. Runs the real request runs and records of two boxes, with engines
+ * that fail and leave, callers that disconnect and resume, and requests that are handed over.
  */
 import assert from 'node:assert/strict';
 import * as Effect from 'effect/Effect';
@@ -69,15 +69,17 @@
 	readonly handOver: RecordHandOver;
 };
 
-/** A caller and what it got. */
+/** A caller and the events that it received. */
 type Caller = {
 	readonly key: RequestKey;
 	readonly tokens: number;
-	/** Box that it last spoke to. */
+	/** Index of the box that the caller last connected to. */
 	box: number;
+	/** Events received so far. */
 	readonly got: string[];
 	isConnected: boolean;
 	isSlow: boolean;
+	/** Reason for the end of the request, `finished` for a complete answer; `undefined` while it runs. */
 	ending: string | undefined;
 	disconnect: () => void;
 };
@@ -109,7 +111,7 @@
 		this.run(box, record, tokens, 'new');
 	}
 
-	/** As the callers' door does when a connection closes. */
+	/** Does what the HTTP handler for callers does when a connection closes. */
 	hangUp(caller: Caller): void {
 		if (!caller.isConnected) {
 			return;
@@ -123,7 +125,7 @@
 		}
 	}
 
-	/** As the callers' door does when a caller resumes: here, or from the other box. */
+	/** Does what the HTTP handler for callers does when a caller resumes, at the same box or at the other one. */
 	async comeBack(caller: Caller, box: number): Promise<void> {
 		if (caller.isConnected || caller.ending !== undefined) {
 			return;
@@ -144,7 +146,7 @@
 		this.connect(caller, record);
 	}
 
-	/** The box is taken back: what runs goes over to the other one. */
+	/** Reclaims a box: its requests in progress are handed over to the other box. */
 	reclaimBox(box: number): void {
 		this.faults++;
 		Effect.runFork(this.boxes[box]!.handOver.moveActive());
@@ -289,7 +291,7 @@
 
 const steps = fc.oneof(
 	{
-		weight: 4, arbitrary: fc.tuple(anyBox, fc.integer({min: 1, max: 120})).map(([box, tokens]) => step<StreamWorld>(`ask for ${tokens} at ${box}`, world => {
+		weight: 4, arbitrary: fc.tuple(anyBox, fc.integer({min: 1, max: 120})).map(([box, tokens]) => step<StreamWorld>(`request ${tokens} tokens at box ${box}`, world => {
 			world.begin(box, tokens);
 		})),
 	},
@@ -299,12 +301,12 @@
 		})),
 	},
 	{
-		weight: 2, arbitrary: anyCaller.map(index => step<StreamWorld>(`caller ${index} hangs up`, withCaller(index, (world, caller) => {
+		weight: 2, arbitrary: anyCaller.map(index => step<StreamWorld>(`caller ${index} disconnects`, withCaller(index, (world, caller) => {
 			world.hangUp(caller);
 		}))),
 	},
 	{
-		weight: 3, arbitrary: fc.tuple(anyCaller, anyBox).map(([index, box]) => step<StreamWorld>(`caller ${index} comes back at ${box}`, withCaller(index, async (world, caller) => {
+		weight: 3, arbitrary: fc.tuple(anyCaller, anyBox).map(([index, box]) => step<StreamWorld>(`caller ${index} resumes at box ${box}`, withCaller(index, async (world, caller) => {
 			await world.comeBack(caller, box);
 		}))),
 	},
@@ -317,12 +319,12 @@
 		}))),
 	},
 	{
-		weight: 2, arbitrary: anyEngine.map(index => step<StreamWorld>(`engine ${index} cuts`, atEngine(index, engine => {
+		weight: 2, arbitrary: anyEngine.map(index => step<StreamWorld>(`engine ${index} cuts its answers`, atEngine(index, engine => {
 			engine.cutAll();
 		}))),
 	},
 	{
-		weight: 1, arbitrary: anyEngine.map(index => step<StreamWorld>(`engine ${index} stalls`, atEngine(index, engine => {
+		weight: 1, arbitrary: anyEngine.map(index => step<StreamWorld>(`engine ${index} stalls its answers`, atEngine(index, engine => {
 			engine.stallAll();
 		}))),
 	},
@@ -333,7 +335,7 @@
 			}))),
 	},
 	{
-		weight: 1, arbitrary: fc.tuple(anyEngine, fc.constantFrom(500, 3000)).map(([index, notice]) => step<StreamWorld>(`engine ${index} goes in ${notice}`, atEngine(index, (engine, world) => {
+		weight: 1, arbitrary: fc.tuple(anyEngine, fc.constantFrom(500, 3000)).map(([index, notice]) => step<StreamWorld>(`engine ${index} leaves in ${notice} ms`, atEngine(index, (engine, world) => {
 			engine.mode = 'leaving';
 			for (const {directory} of world.boxes) {
 				directory.markLeaving(`engine-${index}` as BoxId, 'reclaim-notice', world.time.now + notice);
@@ -345,13 +347,13 @@
 		}))),
 	},
 	{
-		weight: 1, arbitrary: anyBox.map(box => step<StreamWorld>(`box ${box} hands over`, world => {
+		weight: 1, arbitrary: anyBox.map(box => step<StreamWorld>(`box ${box} hands over its requests`, world => {
 			world.reclaimBox(box);
 		})),
 	},
 );
 
-/** Two boxes, four engines, and callers that come and go. */
+/** Two boxes, four engines, and callers that disconnect and resume. */
 export const streamSuite: Suite<StreamWorld> = {
 	name: 'streams',
 	steps,
@@ -375,11 +377,11 @@
 
 		await time.advance(30_000);
 		for (const {key, tokens, got, ending} of world.callers) {
-			assert.deepEqual(got, Array.from({length: got.length}, (_, index) => tokenEvent(key, index)), `${key} got another's tokens`);
-			assert.ok(ending !== undefined, `${key} never ended, at ${got.length} of ${tokens}`);
-			assert.ok(ending !== 'finished' || got.length === tokens, `${key} ended with ${got.length} of ${tokens}`);
-			// Once it has begun, it completes: engines that stay are never all gone here.
-			assert.ok(got.length === 0 || ending === 'finished', `${key} was given up at ${got.length} of ${tokens}: ${ending}`);
+			assert.deepEqual(got, Array.from({length: got.length}, (_, index) => tokenEvent(key, index)), `${key} received tokens of another request, or in the wrong order`);
+			assert.ok(ending !== undefined, `${key} did not end; it received ${got.length} of ${tokens} tokens`);
+			assert.ok(ending !== 'finished' || got.length === tokens, `${key} ended as finished with ${got.length} of ${tokens} tokens`);
+			// A request that has started must complete, since the last engine never fails in this suite.
+			assert.ok(got.length === 0 || ending === 'finished', `${key} was abandoned after ${got.length} of ${tokens} tokens: ${ending}`);
 		}
 	},
 	faults: world => world.faults,
--- a/development/fuzz/suite.ts
+++ b/development/fuzz/suite.ts
@@ -1,5 +1,5 @@
 /**
- * Runs model-based histories: random commands over the real modules, an oracle beside them.
+ * Model-based fuzzing: runs random sequences of steps on the real modules, and checks the results against an oracle.
  */
 import fc from 'fast-check';
 import {VirtualTime} from './virtual-time.js';
@@ -10,41 +10,42 @@
 	readonly run: (world: World) => Promise<void> | void;
 };
 
-/** What is put to the test. */
+/** A fuzz suite: the system under test, its steps and its invariants. */
 export type Suite<World> = {
 	readonly name: string;
-	/** Steps that may come in any order. */
+	/** Generates the steps of a history, in any order. */
 	readonly steps: fc.Arbitrary<Step<World>>;
 	readonly create: (time: VirtualTime) => World;
-	/** Lets everything end, and throws where a promise was broken. */
+	/** Clears all faults, lets pending work complete, and throws if an invariant is violated. */
 	readonly judge: (world: World, time: VirtualTime) => Promise<void>;
-	/** Faults that took place in the history. */
+	/** Number of faults that took effect in the history. */
 	readonly faults: (world: World) => number;
 };
 
-/** How much was run. */
+/** Numbers of histories, steps and faults that were run. */
 export type FuzzReport = {
 	histories: number;
 	steps: number;
 	faults: number;
 };
 
-/** How to run a suite. */
+/** Options of a run of one suite. */
 export type FuzzOptions = {
 	readonly seed: number;
 	readonly runs: number;
-	/** Where a failing history begins again; printed with the failure. */
+	/** Path of a failing history to replay, as printed with the failure. */
 	readonly path?: string;
 };
 
+/** Maximum number of steps of a history. */
 const longestHistory = 40;
 
 /**
- * Runs a suite; throws with the seed and the path that replay the smallest failing history.
+ * Runs a suite. If a history fails, throws an error with the seed and the path that replay the smallest failing history.
  *
- * @param suite - What to test.
- * @param options - Seed and length.
- * @returns How much was run.
+ * @param suite - Suite to run.
+ * @param options - Seed, number of histories, and path of a replay.
+ * @returns Numbers of histories, steps and faults that were run.
  */
 export async function runSuite<World>(suite: Suite<World>, options: FuzzOptions): Promise<FuzzReport> {
 	const report: FuzzReport = {histories: 0, steps: 0, faults: 0};
@@ -73,9 +74,9 @@
 }
 
 /**
- * @param name - For the printed history.
- * @param run - What to do.
- * @returns A step that prints as its name.
+ * @param name - Description of the step in a printed history.
+ * @param run - Action of the step.
+ * @returns A step that is printed as its name.
  */
 export function step<World>(name: string, run: Step<World>['run']): Step<World> {
 	const named: Step<World> & fc.WithToStringMethod = {name, run, [fc.toStringMethod]: () => name};
--- a/development/fuzz/suites.ts
+++ b/development/fuzz/suites.ts
@@ -1,5 +1,5 @@
 /**
- * All suites.
+ * The list of all fuzz suites.
  */
 import {ceilingSuite} from './ceiling-suite.js';
 import {claimSuite} from './claim-suite.js';
@@ -10,8 +10,8 @@
 import type {Suite} from './suite.js';
 import {tableSuite} from './table-suite.js';
 
-/** A suite whatever its world. */
+/** A suite of any world type. */
 export type AnySuite = Suite<never>;
 
-/** In the order they run. */
+/** All suites, in the order in which they run. */
 export const suites: readonly AnySuite[] = [claimSuite, ceilingSuite, leaseSuite, tableSuite, streamSuite, eventSuite, decoderSuite] as unknown as readonly AnySuite[];
--- a/development/fuzz/table-suite.ts
+++ b/development/fuzz/table-suite.ts
@@ -1,5 +1,5 @@
 /**
- * "An accepted configuration never reverts", over the real editor and view, with operators that race.
+ * Invariant: an accepted configuration is never reverted. Runs the real table editor and views with concurrent edits of two operators.
  */
 import assert from 'node:assert/strict';
 import * as Effect from 'effect/Effect';
@@ -25,7 +25,7 @@
 	readonly operators: readonly FakeObjectStore[];
 	readonly boxes: ReadonlyArray<{readonly store: FakeObjectStore; readonly view: TableView}>;
 	readonly outcomes: Outcome[] = [];
-	/** Versions in force on each box, in order. */
+	/** Table versions that came into force, in order, for each box. */
 	readonly seen: ReadonlyArray<readonly number[]>;
 	pending = 0;
 	private edits = 0;
@@ -74,7 +74,7 @@
 		));
 	}
 
-	/** A peer, or a read that lags, brings a table that was in force at some time. */
+	/** Applies an outdated table to a box, as a peer or a stale read may deliver it. */
 	replay(box: number, turn: number): void {
 		const old = this.accepted[turn % Math.max(1, this.accepted.length)];
 		const decoded = old && decodeVersionedTable(old.version, old.value);
@@ -96,7 +96,7 @@
 	}
 }
 
-/** Mostly normal: an edit is three calls, and the last one matters. */
+/** Mostly normal outcomes, since an edit consists of three calls and the fault of interest is that of the last one. */
 const callFates = fc.array(fc.constantFrom<CallFate>('normal', 'normal', 'normal', 'normal', 'lost-answer', 'lost-answer', 'lost-call', 'late', 'slow'), {minLength: 1, maxLength: 6});
 
 const steps = fc.oneof(
@@ -107,18 +107,18 @@
 	},
 	{
 		weight: 3, arbitrary: fc.tuple(fc.integer({min: 0, max: operatorCount - 1}), callFates).map(([operator, fates]) =>
-			step<TableWorld>(`next calls of operator ${operator}: ${fates.join(', ')}`, world => {
+			step<TableWorld>(`next store calls of operator ${operator}: ${fates.join(', ')}`, world => {
 				world.operators[operator]!.fates.push(...fates);
 			})),
 	},
 	{
 		weight: 2, arbitrary: fc.tuple(fc.integer({min: 0, max: boxCount - 1}), fc.boolean()).map(([box, isOut]) =>
-			step<TableWorld>(`store out for box ${box}: ${String(isOut)}`, world => {
+			step<TableWorld>(`store unavailable for box ${box}: ${String(isOut)}`, world => {
 				world.boxes[box]!.store.isOut = isOut;
 			})),
 	},
 	{
-		weight: 1, arbitrary: fc.tuple(fc.integer({min: 0, max: boxCount - 1}), fc.nat(20)).map(([box, turn]) => step<TableWorld>(`an old table reaches box ${box}`, world => {
+		weight: 1, arbitrary: fc.tuple(fc.integer({min: 0, max: boxCount - 1}), fc.nat(20)).map(([box, turn]) => step<TableWorld>(`an outdated table reaches box ${box}`, world => {
 			world.replay(box, turn);
 		})),
 	},
@@ -129,7 +129,7 @@
 	},
 );
 
-/** Two operators and three boxes. */
+/** Two operators that edit the table, and three boxes that follow it. */
 export const tableSuite: Suite<TableWorld> = {
 	name: 'table',
 	steps,
@@ -141,7 +141,7 @@
 		}
 
 		await time.advance(90_000);
-		assert.equal(world.pending, 0, 'an edit got no answer');
+		assert.equal(world.pending, 0, 'edits without an answer');
 		const reading = Effect.runPromise(TableEditor.create(FakeObjectStore.create(world.objects)).history(100));
 		await time.advance(5000);
 		const history = await reading;
@@ -155,9 +155,9 @@
 	for (const {name, kind, version} of world.outcomes) {
 		const accepted = history.find(({edit}) => edit.comment === name);
 		if (kind === 'accepted') {
-			assert.equal(accepted?.version, version, `${name} was called accepted as ${version}, and is not in the history`);
+			assert.equal(accepted?.version, version, `${name} was reported as accepted as version ${version}, but is not in the history under it`);
 		} else if (kind === 'TableConflict') {
-			assert.equal(accepted, undefined, `${name} was called a conflict, and is in force as ${accepted?.version}`);
+			assert.equal(accepted, undefined, `${name} was reported as a conflict, but was accepted as version ${accepted?.version}`);
 		}
 	}
 }
@@ -165,7 +165,7 @@
 function judgeBoxes(world: TableWorld): void {
 	const current = world.objects.read(tableKey).version;
 	for (const [index, versions] of world.seen.entries()) {
-		assert.deepEqual([...versions].sort((left, right) => left - right), versions, `box ${index} went back: ${versions.join(', ')}`);
-		assert.equal(world.boxes[index]!.view.version, current, `box ${index} is not up to date`);
+		assert.deepEqual([...versions].sort((left, right) => left - right), versions, `box ${index} returned to an older version: ${versions.join(', ')}`);
+		assert.equal(world.boxes[index]!.view.version, current, `box ${index} does not have the current version`);
 	}
 }
--- a/development/fuzz/virtual-time.ts
+++ b/development/fuzz/virtual-time.ts
@@ -1,5 +1,5 @@
 /**
- * Time that tests move: timers of the whole process, and a clock for each box.
+ * Virtual time controlled by tests: replaces the timers of the process, and provides a clock for each box.
  */
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import {Clock} from '../../src/base/clock.js';
@@ -10,7 +10,7 @@
 	at: number;
 };
 
-/** What the process's own timers return, as far as anybody uses it. */
+/** Replacement for `NodeJS.Timeout`, with the methods that the program uses. */
 class Handle {
 	constructor(readonly timer: Timer) {}
 
@@ -23,9 +23,9 @@
 	}
 }
 
-/** Moves the timers of this process, from one that is due to the next. Use one at a time, and stop it. */
+/** Replaces the timers of the process, and fires them in the order of their due times. Only one instance may be active; stop it after use. */
 export class VirtualTime {
-	/** @returns Time that stands still until it is moved. */
+	/** @returns Virtual time that passes only when it is advanced. */
 	static start(): VirtualTime {
 		const time = new VirtualTime();
 		Object.assign(globalThis, {
@@ -51,7 +51,7 @@
 	};
 
 	private constructor() {
-		// Made by start().
+		// Instances are created by start().
 	}
 
 	/** Milliseconds since the start. */
@@ -60,9 +60,9 @@
 	}
 
 	/**
-	 * Moves time on, and lets everything run that is due on the way.
+	 * Advances the time, and fires all timers that become due.
 	 *
-	 * @param milliseconds - By how much.
+	 * @param milliseconds - Milliseconds to advance by.
 	 */
 	async advance(milliseconds: number): Promise<void> {
 		const endsAt = this.elapsed + milliseconds;
@@ -87,13 +87,13 @@
 		this.elapsed = endsAt;
 	}
 
-	/** Lets everything run that is due now. */
+	/** Waits until pending promise callbacks have run; the time does not advance. */
 	async settle(): Promise<void> {
 		await nextTurn();
 		await nextTurn();
 	}
 
-	/** Gives the process its own timers back. */
+	/** Restores the original timers of the process. */
 	stop(): void {
 		this.timers.clear();
 		Object.assign(globalThis, this.own);
@@ -123,18 +123,18 @@
 	}
 }
 
-/** The clock of one box over {@link VirtualTime}; its wall clock may be stepped. */
+/** Clock of one box, based on {@link VirtualTime}; its wall clock may be stepped. */
 export class VirtualClock extends Clock {
 	/**
-	 * @param time - The time.
-	 * @param offset - Milliseconds by which the monotonic clock of this box differs.
-	 * @returns The clock.
+	 * @param time - Source of the time in milliseconds.
+	 * @param offset - Offset of the monotonic clock of this box in milliseconds.
+	 * @returns A clock without a wall clock step.
 	 */
 	static create(time: {readonly now: number}, offset = 0): VirtualClock {
 		return new VirtualClock(time, offset);
 	}
 
-	/** Milliseconds by which the wall clock was stepped. */
+	/** Offset of the wall clock in milliseconds. */
 	wallStep = 0;
 
 	private constructor(private readonly time: {readonly now: number}, private readonly offset: number) {
