--- a/development/soak/datagram-proxy.ts
+++ b/development/soak/datagram-proxy.ts
@@ -18,13 +18,13 @@
 
 /** @returns A free UDP port of loopback. */
 export async function freeDatagramPort(): Promise<number> {
-	const socket = await boundTo(0);
+	const socket = await bindSocket(0);
 	const {port} = socket.address();
 	socket.close();
 	return port;
 }
 
-async function boundTo(port: number): Promise<Socket> {
+async function bindSocket(port: number): Promise<Socket> {
 	const socket = createSocket('udp4');
 	socket.bind(port, loopback);
 	await once(socket, 'listening');
@@ -40,11 +40,11 @@
 	 * @returns The proxy, listening.
 	 */
 	static async create(toldPort: number, ownPort: number, random: () => number): Promise<DatagramProxy> {
-		return new DatagramProxy(await boundTo(toldPort), ownPort, random);
+		return new DatagramProxy(await bindSocket(toldPort), ownPort, random);
 	}
 
 	/** Number of datagrams that were dropped, duplicated or delayed. */
-	struck = 0;
+	affected = 0;
 	fault: DatagramFault = {kind: 'none'};
 	/** Whether all datagrams are dropped, whatever the fault in force. */
 	isShut = false;
@@ -76,7 +76,7 @@
 			case 'lose': {
 				const draw = this.random();
 				const copies = draw < fault.part ? 0 : (draw > 1 - fault.part ? 2 : 1);
-				this.struck += copies === 1 ? 0 : 1;
+				this.affected += copies === 1 ? 0 : 1;
 				for (let copy = 0; copy < copies; copy++) {
 					this.send(data);
 				}
@@ -85,7 +85,7 @@
 			}
 
 			case 'delay': {
-				this.struck++;
+				this.affected++;
 				setTimeout(() => {
 					this.send(data);
 				}, this.random() * fault.milliseconds);
@@ -94,7 +94,7 @@
 
 			default: {
 				if (fault.ports.has(from)) {
-					this.struck++;
+					this.affected++;
 				} else {
 					this.send(data);
 				}
--- a/development/soak/main.ts
+++ b/development/soak/main.ts
@@ -13,9 +13,9 @@
 /** Bytes of memory budgeted per relay: the largest of 24 relays under the load of a soak test used 122 MB. */
 const bytesPerRelay = 150_000_000;
 /** Fraction of the machine's memory that the relays may use. */
-const memoryPart = 0.5;
-const mostRelays = 40;
-const brokenShown = 20;
+const memoryShare = 0.5;
+const maxRelays = 40;
+const violationsShown = 20;
 
 const options = await yargs(process.argv.slice(2))
 	.option('seeds', {type: 'number', default: 1, describe: 'Number of seeds to run'})
@@ -26,7 +26,7 @@
 	})
 	.option('logs', {type: 'string', default: 'target/soak', describe: 'Folder for the logs of runs that violate an invariant'})
 	.check(({processes}) => {
-		const most = Math.min(mostRelays, Math.floor(totalmem() * memoryPart / bytesPerRelay));
+		const most = Math.min(maxRelays, Math.floor(totalmem() * memoryShare / bytesPerRelay));
 		if (processes > most) {
 			throw new Error(`This machine has memory for at most ${most} relays.`);
 		}
@@ -38,21 +38,21 @@
 
 const linesOf = (values: readonly unknown[]): string => values.map(value => `${JSON.stringify(value)}\n`).join('');
 
-function keepLog(seed: number, {plan, broken, lines}: SoakReport): string {
+function writeLog(seed: number, {plan, violations, lines}: SoakReport): string {
 	mkdirSync(options.logs, {recursive: true});
 	const file = `${options.logs}/seed-${seed}.log`;
-	writeFileSync(file, linesOf([...plan, ...broken, ...lines]));
+	writeFileSync(file, linesOf([...plan, ...violations, ...lines]));
 	return file;
 }
 
 for (const seed of Array.from({length: options.seeds}, (_, index) => options.seed + index)) {
 	const report = await soak({seed, length: options.seconds * millisecondsPerSecond, relays: options.processes});
-	const {plan, attempts, served, broken} = report;
-	process.stdout.write(`seed ${seed}: ${plan.length} faults, ${attempts} attempts, ${served} served, ${broken.length} violations\n`);
-	if (broken.length > 0) {
+	const {plan, attempts, served, violations} = report;
+	process.stdout.write(`seed ${seed}: ${plan.length} faults, ${attempts} attempts, ${served} served, ${violations.length} violations\n`);
+	if (violations.length > 0) {
 		process.exitCode = 1;
-		process.stdout.write(broken.slice(0, brokenShown).map(line => `  ${line}\n`).join(''));
-		process.stdout.write(`  log: ${keepLog(seed, report)}; to repeat: npm run soak -- --seed ${seed} --seconds ${options.seconds} --processes ${options.processes}\n`);
+		process.stdout.write(violations.slice(0, violationsShown).map(line => `  ${line}\n`).join(''));
+		process.stdout.write(`  log: ${writeLog(seed, report)}; to repeat: npm run soak -- --seed ${seed} --seconds ${options.seconds} --processes ${options.processes}\n`);
 	}
 }
 
--- a/development/soak/process-hooks.ts
+++ b/development/soak/process-hooks.ts
@@ -15,7 +15,7 @@
 };
 
 /** Milliseconds between two reads of the file. */
-const lookInterval = 40;
+const readInterval = 40;
 
 /**
  * @param plan - Parameters of the hooks.
@@ -27,21 +27,21 @@
 	return ['--import', url.href];
 }
 
-function moveClock(file: string): void {
+function shiftClock(file: string): void {
 	const trueTime = Date.now;
 	let offset = 0;
-	const look = () => {
+	const readOffset = () => {
 		const text = readFileSync(file, 'utf8');
 		// The file is empty if it is read while it is being written.
 		offset = text === '' ? offset : Number(text);
 	};
 
-	look();
-	setInterval(look, lookInterval).unref();
+	readOffset();
+	setInterval(readOffset, readInterval).unref();
 	Date.now = () => trueTime() + offset;
 }
 
-function movePort(toldPort: number, ownPort: number): void {
+function redirectPort(toldPort: number, ownPort: number): void {
 	const {bind} = Socket.prototype;
 	Socket.prototype.bind = new Proxy(bind, {
 		apply: (target, socket: Socket, [port, ...others]: readonly unknown[]) => Reflect.apply(target, socket, [port === toldPort ? ownPort : port, ...others] as Parameters<typeof bind>),
@@ -51,6 +51,6 @@
 const parameters = new URL(import.meta.url).searchParams;
 const clockFile = parameters.get('clockFile');
 if (clockFile !== null) {
-	moveClock(clockFile);
-	movePort(Number(parameters.get('toldPort')), Number(parameters.get('ownPort')));
+	shiftClock(clockFile);
+	redirectPort(Number(parameters.get('toldPort')), Number(parameters.get('ownPort')));
 }
--- a/development/soak/soak-answers.ts
+++ b/development/soak/soak-answers.ts
@@ -16,7 +16,7 @@
 
 const betweenEvents = /(?<=\n\n)/v;
 /** Characters of the body that a description shows. */
-const shown = 160;
+const shownCharacters = 160;
 
 /**
  * Checks one answer.
@@ -29,7 +29,7 @@
 	const fault = headers['attempt-id'] === id
 		? (kind === 'stream' ? faultOfStream(answer) : faultOfWhole(answer))
 		: `has the attempt id ${String(headers['attempt-id'])}`;
-	return fault === undefined ? undefined : `${fault}: ${JSON.stringify(body.slice(0, shown))}`;
+	return fault === undefined ? undefined : `${fault}: ${JSON.stringify(body.slice(0, shownCharacters))}`;
 }
 
 /** A non-streamed answer must come from exactly one replica and carry the signature of that replica. */
@@ -50,9 +50,9 @@
 function faultOfStream({attempt: {id, after, body, isWhole, headers}, runners, streamEvents}: JudgedAnswer): string | undefined {
 	const events = body === '' ? [] : body.split(betweenEvents);
 	const makers = events.map((event, index) => runners.find(runner => event === eventOf(makerOf(runner, id), after + index + 1)));
-	const strange = makers.indexOf(undefined);
-	if (strange !== -1) {
-		return `event ${after + strange + 1} was not produced by any replica that ran the request (${isWhole ? 'whole' : 'cut'}): ${JSON.stringify(events[strange])}`;
+	const firstForeign = makers.indexOf(undefined);
+	if (firstForeign !== -1) {
+		return `event ${after + firstForeign + 1} was not produced by any replica that ran the request (${isWhole ? 'whole' : 'cut'}): ${JSON.stringify(events[firstForeign])}`;
 	}
 
 	const changes = makers.filter((maker, index) => index > 0 && maker !== makers[index - 1]).length;
--- a/development/soak/soak-clients.ts
+++ b/development/soak/soak-clients.ts
@@ -27,19 +27,19 @@
 };
 
 /** A key that may be revoked at any time, and one that is revoked while a box is isolated. The default key is never revoked. */
-export const spareKey = 'key-that-may-go';
-export const loneKey = 'key-that-goes-unheard';
+export const revocableKey = 'key-that-may-go';
+export const isolationKey = 'key-that-goes-unheard';
 const kinds: readonly SoakRequestKind[] = ['calls', 'once', 'stream'];
 /** Milliseconds between two requests of a client. */
 const clientPause = 25;
 /** Milliseconds between two readiness checks of the load balancer. */
 const readyInterval = 250;
 /** Every nth request of a client uses the spare key, and every nth request has the same body. */
-const spareEvery = 7;
+const revocableKeyEvery = 7;
 const sameBodyEvery = 3;
 
 /** The relay, connections and key of a request, and the event after which a stream continues. */
-export type SoakWay = {
+export type SoakDestination = {
 	readonly relay: SoakRelay;
 	readonly agent?: Agent;
 	readonly key?: string;
@@ -59,9 +59,9 @@
 	}
 
 	readonly attempts: SoakAttempt[] = [];
-	private ready: readonly SoakRelay[] = [];
+	private readyRelays: readonly SoakRelay[] = [];
 	private isOver = false;
-	private sent = 0;
+	private sentCount = 0;
 
 	private constructor(
 		private readonly installation: RelayInstallation,
@@ -91,9 +91,9 @@
 	 * @param way - Relay, connections, key and position in the stream.
 	 * @returns The attempt with its outcome.
 	 */
-	async send(kind: SoakRequestKind, body: string, {relay, agent, key = testKey, after = 0}: SoakWay): Promise<SoakAttempt> {
-		this.sent++;
-		const id = `soak-${this.sent}`;
+	async send(kind: SoakRequestKind, body: string, {relay, agent, key = testKey, after = 0}: SoakDestination): Promise<SoakAttempt> {
+		this.sentCount++;
+		const id = `soak-${this.sentCount}`;
 		const sentAt = performance.now();
 		const headers = {'Attempt-Id': id, Authorization: `Bearer ${key}`, ...(after > 0 ? {'Last-Event-Id': String(after)} : {})};
 		const view = await this.installation.call({
@@ -110,7 +110,7 @@
 	private async balance(): Promise<void> {
 		while (!this.isOver) {
 			const ready = await Promise.all(this.relays.map(async relay => relay.isReady()));
-			this.ready = this.relays.filter((_, index) => ready[index]);
+			this.readyRelays = this.relays.filter((_, index) => ready[index]);
 			await pause(readyInterval);
 		}
 	}
@@ -119,13 +119,13 @@
 		const agents = new Map<SoakRelay, Agent>();
 		for (let count = 0; !this.isOver; count++) {
 			const kind = kinds[(index + count) % kinds.length]!;
-			const key = count % spareEvery === 0 ? spareKey : testKey;
+			const key = count % revocableKeyEvery === 0 ? revocableKey : testKey;
 			const body = `question of ${index}${count % sameBodyEvery === 0 ? '' : ` number ${count}`}`;
-			const attempt = await this.send(kind, body, {...this.way(agents), key});
+			const attempt = await this.send(kind, body, {...this.chooseRelay(agents), key});
 			await pause(clientPause);
 			const after = lastEventOf(attempt);
 			if (after > 0 && !attempt.isWhole) {
-				await this.send(kind, body, {...this.way(agents), key, after});
+				await this.send(kind, body, {...this.chooseRelay(agents), key, after});
 				await pause(clientPause);
 			}
 		}
@@ -136,9 +136,9 @@
 	}
 
 	/** Draws a relay as the load balancer does, and reuses the client's connection to it. */
-	private way(agents: Map<SoakRelay, Agent>): SoakWay {
-		const among = this.ready.length > 0 ? this.ready : this.relays;
-		const relay = among[Math.floor(this.random() * among.length)]!;
+	private chooseRelay(agents: Map<SoakRelay, Agent>): SoakDestination {
+		const candidates = this.readyRelays.length > 0 ? this.readyRelays : this.relays;
+		const relay = candidates[Math.floor(this.random() * candidates.length)]!;
 		const agent = agents.get(relay) ?? new Agent({keepAlive: true, maxSockets: 1});
 		agents.set(relay, agent);
 		return {relay, agent};
--- a/development/soak/soak-faults.ts
+++ b/development/soak/soak-faults.ts
@@ -6,7 +6,7 @@
 import type {ProxyFault} from '../harness/fault-proxy.js';
 import {testKey, type RelayInstallation} from '../relay/relay-installation.js';
 import type {ReplicaConduct, ReplicaStandin} from '../relay/replica-standin.js';
-import {loneKey, spareKey, type SoakClients} from './soak-clients.js';
+import {isolationKey, revocableKey, type SoakClients} from './soak-clients.js';
 import type {DatagramFault} from './datagram-proxy.js';
 import type {SoakFault, SoakFaultKind} from './soak-plan.js';
 import type {SoakRelay} from './soak-relay.js';
@@ -18,7 +18,7 @@
 export const poisonMark = 'poison of the soak';
 /** Milliseconds between two attempts with this request, and number of attempts. */
 const poisonPause = 250;
-const poisonTries = 20;
+const poisonAttempts = 20;
 
 /** Milliseconds after its revocation within which a key may still be used. */
 export const revokeTime = 5000;
@@ -26,25 +26,25 @@
  * Milliseconds between the isolation of a box and the revocation of a key, number of uses of the key after it has become invalid, and
  * milliseconds between two of these uses.
  */
-const beforeTaking = 200;
+const revokeDelay = 200;
 const lateUses = 5;
 const lateUsePause = 200;
 /** Offsets of a wall clock in milliseconds; the smallest is the least jump that counts as a suspension. */
 const clockJumps = [250, 1500, 20_000, 3_600_000];
 /** Limits that replicas announce, in requests per second, and milliseconds for which they do so: long enough for all boxes to learn of them. */
-const limitsNamed = [0.5, 1, 3, 10];
+const announcedLimits = [0.5, 1, 3, 10];
 const limitTime = 6000;
 /** Milliseconds between two changes of a changing limit. */
 const limitPause = 300;
 /** Fraction of the datagrams that is lost, and the maximum delay of a datagram in milliseconds. */
-const lostPart = 0.4;
-const datagramDelay = 400;
+const lossRate = 0.4;
+const maxDatagramDelay = 400;
 /** Mean milliseconds between two changes of the settings. */
 const settingsPause = 60;
 /** Milliseconds after which replicas and the operator rewrite what a restored store has lost. */
-const writingAgain = 500;
+const rewriteDelay = 500;
 /** Pauses without requests that replicas ask for, in seconds. */
-const pausesAsked = [0.7, 1.5, 3];
+const requestedPauses = [0.7, 1.5, 3];
 /** HTTP statuses with which the store refuses the calls of a box. */
 const storeRefusals = [503, 429];
 
@@ -54,7 +54,7 @@
 const replicaFaults: Partial<Readonly<Record<SoakFaultKind, Partial<ReplicaConduct>>>> = {
 	'replica-errs': {fault: 'error'}, 'replica-cuts': {fault: 'cut'}, 'replica-mute': {fault: 'mute'}, 'replica-refuses': {fault: 'refuse'}, 'replica-garbles': {fault: 'wrong-id'},
 };
-const oddEntries: readonly unknown[] = [{}, null, 'ready', [1], {service: 'plain', addr: 7, state: 'ready'}, {
+const invalidEntries: readonly unknown[] = [{}, null, 'ready', [1], {service: 'plain', addr: 7, state: 'ready'}, {
 	service: 'plain', addr: '127.0.0.1:99999', slots: 'many', state: 'ready',
 }];
 
@@ -64,7 +64,7 @@
 export type Drain = {readonly replica: ReplicaStandin; readonly at: number};
 
 /** A replica that announced limits, the greatest of them in requests per second, and when, in monotonic milliseconds. */
-export type LimitSpell = {readonly replica: ReplicaStandin; readonly limit: number; readonly from: number; readonly to: number};
+export type LimitPeriod = {readonly replica: ReplicaStandin; readonly limit: number; readonly from: number; readonly to: number};
 
 /** A period in which a relay was isolated from the store and the other relays, in monotonic milliseconds. */
 export type CutOff = {readonly relay: SoakRelay; readonly from: number; readonly to: number};
@@ -84,13 +84,13 @@
 
 	readonly drains: Drain[] = [];
 	/** Monotonic milliseconds of each crash of a replica caused by the poison request. */
-	readonly poisonEnds: number[] = [];
+	readonly poisonCrashes: number[] = [];
 	/** Monotonic milliseconds at which each key was revoked. */
-	readonly takenAt = new Map<string, number>();
+	readonly revokedAt = new Map<string, number>();
 	/** Periods in which a relay was isolated. */
 	readonly cutOffs: CutOff[] = [];
-	readonly limitSpells: LimitSpell[] = [];
-	private odd = 0;
+	readonly limitPeriods: LimitPeriod[] = [];
+	private invalidEntryCount = 0;
 	private isPoisoned = false;
 
 	private constructor(
@@ -100,7 +100,7 @@
 		private readonly streams: SoakStreams,
 	) {
 		installation.crashOn(poisonMark, () => {
-			this.poisonEnds.push(performance.now());
+			this.poisonCrashes.push(performance.now());
 		});
 	}
 
@@ -114,13 +114,13 @@
 		const running: Array<Promise<void>> = [];
 		for (const fault of plan) {
 			await pause(Math.max(0, startedAt + fault.at - performance.now()));
-			running.push(this.strike(fault));
+			running.push(this.inject(fault));
 		}
 
 		await Promise.all(running);
 	}
 
-	private async strike(fault: SoakFault): Promise<void> {
+	private async inject(fault: SoakFault): Promise<void> {
 		const relay = this.relays[fault.target % this.relays.length]!;
 		const ids = [...this.installation.replicas.keys()];
 		const id = ids[fault.target % ids.length]!;
@@ -128,17 +128,17 @@
 		const [group] = kind.split('-');
 		switch (group) {
 			case 'relay': {
-				await this.strikeRelay(kind, relay, duration);
+				await this.injectRelayFault(kind, relay, duration);
 				break;
 			}
 
 			case 'store': {
-				await this.strikeStore(kind, relay, duration, fault.target);
+				await this.injectStoreFault(kind, relay, duration, fault.target);
 				break;
 			}
 
 			case 'replica': {
-				await this.strikeReplica(kind, id, duration);
+				await this.injectReplicaFault(kind, id, duration);
 				break;
 			}
 
@@ -157,37 +157,37 @@
 			}
 
 			case 'datagrams': {
-				await this.strikeDatagrams(relay, fault);
+				await this.injectDatagramFault(relay, fault);
 				break;
 			}
 
 			case 'box': {
-				await this.strikeAlone(relay);
+				await this.injectIsolation(relay);
 				break;
 			}
 
 			case 'says': {
-				await this.strikeStatement(kind, id, fault);
+				await this.injectAnnouncement(kind, id, fault);
 				break;
 			}
 
 			case 'limit': {
-				await this.strikeLimit(id, fault);
+				await this.injectLimit(id, fault);
 				break;
 			}
 
 			case 'settings': {
-				await this.strikeSettings(relay, fault);
+				await this.injectSettingsChanges(relay, fault);
 				break;
 			}
 
 			default: {
-				await this.strikeInput(kind, id, fault);
+				await this.injectInputFault(kind, id, fault);
 			}
 		}
 	}
 
-	private async strikeRelay(kind: SoakFaultKind, relay: SoakRelay, duration: number): Promise<void> {
+	private async injectRelayFault(kind: SoakFaultKind, relay: SoakRelay, duration: number): Promise<void> {
 		switch (kind) {
 			case 'relay-killed': {
 				await relay.kill();
@@ -213,7 +213,7 @@
 		}
 	}
 
-	private async strikeStore(kind: SoakFaultKind, relay: SoakRelay, duration: number, target: number): Promise<void> {
+	private async injectStoreFault(kind: SoakFaultKind, relay: SoakRelay, duration: number, target: number): Promise<void> {
 		const {store} = this.installation;
 		if (kind === 'store-turns-away') {
 			relay.storeDoor.turnsAway = storeRefusals[target % storeRefusals.length];
@@ -252,7 +252,7 @@
 		await pause(duration);
 		const lost = store.copy();
 		store.restore(copy, duration % 2 === 0);
-		await pause(writingAgain);
+		await pause(rewriteDelay);
 		for (const [id, entry] of this.installation.entries) {
 			if (store.spec(replicaKind, id) !== entry) {
 				store.put(replicaKind, id, entry);
@@ -273,14 +273,14 @@
 	 * Lets a replica refuse requests and ask for a pause, or announce in its answers that it is leaving while its entry still says that it
 	 * is ready, and then end.
 	 */
-	private async strikeStatement(kind: SoakFaultKind, id: string, {duration, target}: SoakFault): Promise<void> {
+	private async injectAnnouncement(kind: SoakFaultKind, id: string, {duration, target}: SoakFault): Promise<void> {
 		const replica = this.installation.replicas.get(id)!;
 		if (!replica.isUp || replica.shedding !== undefined || replica.isLeaving) {
 			return;
 		}
 
 		if (kind === 'says-pause') {
-			replica.shedding = {every: 1 + (target % 3), retryAfter: String(pausesAsked[target % pausesAsked.length])};
+			replica.shedding = {every: 1 + (target % 3), retryAfter: String(requestedPauses[target % requestedPauses.length])};
 			await pause(duration);
 			replica.shedding = undefined;
 			return;
@@ -294,15 +294,15 @@
 	}
 
 	/** Revokes a key while a box is isolated and can't learn of it; a client goes on using the key at this box. */
-	private async strikeAlone(relay: SoakRelay): Promise<void> {
+	private async injectIsolation(relay: SoakRelay): Promise<void> {
 		const from = performance.now();
 		relay.cutOff(true);
-		await pause(beforeTaking);
-		this.takeAway(loneKey);
+		await pause(revokeDelay);
+		this.revokeKey(isolationKey);
 		await pause(revokeTime);
 		for (const index of Array.from({length: lateUses}).keys()) {
 			await pause(lateUsePause);
-			await this.clients.send('calls', `late use ${index}`, {relay, key: loneKey});
+			await this.clients.send('calls', `late use ${index}`, {relay, key: isolationKey});
 		}
 
 		relay.cutOff(false);
@@ -310,41 +310,41 @@
 	}
 
 	/** Loses, delays or cuts off datagrams: for two in three targets at all relays, otherwise, and for one-way cuts, at one relay. */
-	private async strikeDatagrams(relay: SoakRelay, {kind, duration, target}: SoakFault): Promise<void> {
-		const struck = target % 3 === 0 || kind === 'datagrams-one-way' ? [relay] : this.relays;
+	private async injectDatagramFault(relay: SoakRelay, {kind, duration, target}: SoakFault): Promise<void> {
+		const affected = target % 3 === 0 || kind === 'datagrams-one-way' ? [relay] : this.relays;
 		const others = new Set(this.relays.filter((_, index) => index % 2 === target % 2).map(({ownPort}) => ownPort));
 		const fault: DatagramFault = kind === 'datagrams-lost'
-			? {kind: 'lose', part: lostPart}
-			: (kind === 'datagrams-late' ? {kind: 'delay', milliseconds: datagramDelay} : {kind: 'cut-from', ports: others});
-		for (const {datagrams} of struck) {
+			? {kind: 'lose', part: lossRate}
+			: (kind === 'datagrams-late' ? {kind: 'delay', milliseconds: maxDatagramDelay} : {kind: 'cut-from', ports: others});
+		for (const {datagrams} of affected) {
 			datagrams.fault = fault;
 		}
 
 		await pause(duration);
-		for (const {datagrams} of struck) {
+		for (const {datagrams} of affected) {
 			datagrams.fault = {kind: 'none'};
 		}
 	}
 
 	/** Reloads one or all relays several times with changed settings, some of them unreadable, and then with the usual settings. */
-	private async strikeSettings(relay: SoakRelay, {duration, target}: SoakFault): Promise<void> {
-		const struck = target % 2 === 0 ? [relay] : this.relays;
+	private async injectSettingsChanges(relay: SoakRelay, {duration, target}: SoakFault): Promise<void> {
+		const affected = target % 2 === 0 ? [relay] : this.relays;
 		const rounds = Math.max(1, Math.floor(duration / settingsPause));
 		for (let round = 0; round < rounds; round++) {
-			for (const one of struck) {
-				one.reloadWith(round % 3 === 2 ? 'unreadable' : [`none-${round}`]);
+			for (const affectedRelay of affected) {
+				affectedRelay.reloadWith(round % 3 === 2 ? 'unreadable' : [`none-${round}`]);
 			}
 
 			// Some signals directly follow one another, others come after a delay.
 			await pause(round % 2 === 0 ? settingsPause * 2 : 0);
 		}
 
-		for (const one of struck) {
-			one.reloadUsual();
+		for (const affectedRelay of affected) {
+			affectedRelay.restoreSettings();
 		}
 	}
 
-	private async strikeReplica(kind: SoakFaultKind, id: string, duration: number): Promise<void> {
+	private async injectReplicaFault(kind: SoakFaultKind, id: string, duration: number): Promise<void> {
 		const replica = this.installation.replicas.get(id)!;
 		if (!replica.isUp) {
 			return;
@@ -370,13 +370,13 @@
 		}
 	}
 
-	private async strikeLimit(id: string, {kind, target}: SoakFault): Promise<void> {
+	private async injectLimit(id: string, {kind, target}: SoakFault): Promise<void> {
 		const replica = this.installation.replicas.get(id)!;
 		if (replica.limit !== undefined) {
 			return;
 		}
 
-		const limit = limitsNamed[target % limitsNamed.length]!;
+		const limit = announcedLimits[target % announcedLimits.length]!;
 		const from = performance.now();
 		const changes = kind === 'limit-named' ? 1 : limitTime / limitPause;
 		for (const index of Array.from({length: changes}).keys()) {
@@ -385,25 +385,25 @@
 		}
 
 		replica.limit = undefined;
-		this.limitSpells.push({
+		this.limitPeriods.push({
 			replica, limit, from, to: performance.now(),
 		});
 	}
 
-	private async strikeInput(kind: SoakFaultKind, id: string, {duration, target}: SoakFault): Promise<void> {
+	private async injectInputFault(kind: SoakFaultKind, id: string, {duration, target}: SoakFault): Promise<void> {
 		const {installation} = this;
 		switch (kind) {
 			case 'entry-odd': {
-				this.odd++;
-				const name = `odd-${this.odd}`;
-				installation.store.put(replicaKind, name, oddEntries[target % oddEntries.length]);
+				this.invalidEntryCount++;
+				const name = `odd-${this.invalidEntryCount}`;
+				installation.store.put(replicaKind, name, invalidEntries[target % invalidEntries.length]);
 				await pause(duration);
 				installation.unlist(name);
 				break;
 			}
 
 			case 'entry-spoilt': {
-				await this.spoil(id, duration);
+				await this.corruptEntry(id, duration);
 				break;
 			}
 
@@ -416,7 +416,7 @@
 			}
 
 			case 'key-taken': {
-				this.takeAway(spareKey);
+				this.revokeKey(revocableKey);
 				break;
 			}
 
@@ -432,24 +432,24 @@
 	}
 
 	/** Corrupts an entry as another writer would; then its replica restores it, unless the entry was changed or removed meanwhile. */
-	private async spoil(id: string, duration: number): Promise<void> {
+	private async corruptEntry(id: string, duration: number): Promise<void> {
 		const {store} = this.installation;
 		const own = store.spec(replicaKind, id);
 		if (own === undefined) {
 			return;
 		}
 
-		const spoilt = {...own, slots: 'many'};
-		store.put(replicaKind, id, spoilt);
+		const corrupted = {...own, slots: 'many'};
+		store.put(replicaKind, id, corrupted);
 		await pause(duration);
-		if (store.spec(replicaKind, id) === spoilt) {
+		if (store.spec(replicaKind, id) === corrupted) {
 			store.put(replicaKind, id, this.installation.entries.get(id) ?? own);
 		}
 	}
 
-	private takeAway(key: string): void {
-		if (!this.takenAt.has(key)) {
-			this.takenAt.set(key, performance.now());
+	private revokeKey(key: string): void {
+		if (!this.revokedAt.has(key)) {
+			this.revokedAt.set(key, performance.now());
 		}
 
 		this.configure();
@@ -458,7 +458,7 @@
 	private configure(): void {
 		this.installation.configure({
 			tenants: [{
-				name: 'basin', api_keys: [testKey, spareKey, loneKey].filter(key => !this.takenAt.has(key)), unit: 'requests', plain_tokens: 1, rate_per_s: 0, burst: 0,
+				name: 'basin', api_keys: [testKey, revocableKey, isolationKey].filter(key => !this.revokedAt.has(key)), unit: 'requests', plain_tokens: 1, rate_per_s: 0, burst: 0,
 			}],
 		});
 	}
@@ -470,7 +470,7 @@
 		}
 
 		this.isPoisoned = true;
-		const sending = Array.from({length: poisonTries}, async (_, index) => {
+		const sending = Array.from({length: poisonAttempts}, async (_, index) => {
 			await pause(index * poisonPause);
 			await this.clients.send('calls', poisonMark, {relay: this.relays[index % this.relays.length]!});
 		});
--- a/development/soak/soak-plan.ts
+++ b/development/soak/soak-plan.ts
@@ -57,8 +57,8 @@
 export type SoakFaultKind = typeof soakFaultKinds[number];
 
 /** Bounds of the duration of a fault, in milliseconds. */
-const shortestFault = 300;
-const longestFault = 2500;
+const minFaultDuration = 300;
+const maxFaultDuration = 2500;
 /** Mean milliseconds between two faults of a group. */
 const generalPause = 350;
 const streamPause = 500;
@@ -68,8 +68,8 @@
 const statementPause = 1500;
 const restorePause = 4000;
 /** Default number of relays, and the mean milliseconds between two extra faults of boxes for each relay beyond it. */
-const usualRelays = 4;
-const crowdPause = 4000;
+const defaultRelays = 4;
+const extraBoxPause = 4000;
 
 /**
  * @param seed - Seed of all random draws.
@@ -77,7 +77,7 @@
  * @param relays - Number of relays.
  * @returns The faults, in order of their start.
  */
-export function planSoak(seed: number, length: number, relays = usualRelays): readonly SoakFault[] {
+export function planSoak(seed: number, length: number, relays = defaultRelays): readonly SoakFault[] {
 	// Each group has its own generator, so that a kind added to one group does not change the faults of the others.
 	return [
 		...drawFaults(randomOf(seed), length, generalKinds, generalPause),
@@ -87,7 +87,7 @@
 		...drawFaults(seededBy(seed, 'limits'), length, limitKinds, limitPause),
 		...drawFaults(seededBy(seed, 'statements'), length, statementKinds, statementPause),
 		...drawFaults(seededBy(seed, 'restores'), length, restoreKinds, restorePause),
-		...(relays > usualRelays ? drawFaults(seededBy(seed, 'crowd'), length, [...relayKinds, ...boxKinds], crowdPause / (relays - usualRelays)) : []),
+		...(relays > defaultRelays ? drawFaults(seededBy(seed, 'crowd'), length, [...relayKinds, ...boxKinds], extraBoxPause / (relays - defaultRelays)) : []),
 	].sort((left, right) => left.at - right.at);
 }
 
@@ -96,6 +96,6 @@
 		at: Math.round(random() * length),
 		kind: kinds[Math.floor(random() * kinds.length)]!,
 		target: Math.floor(random() * 1000),
-		duration: Math.round(shortestFault + (random() * (longestFault - shortestFault))),
+		duration: Math.round(minFaultDuration + (random() * (maxFaultDuration - minFaultDuration))),
 	}));
 }
--- a/development/soak/soak-relay.ts
+++ b/development/soak/soak-relay.ts
@@ -12,7 +12,7 @@
 import {hookOptions} from './process-hooks.js';
 
 /** Parameters of a relay. */
-export type SoakRelayPlan = {
+export type SoakRelayOptions = {
 	readonly name: string;
 	/** Folder of the settings file. */
 	readonly folder: string;
@@ -31,8 +31,8 @@
  * Milliseconds after a stop signal within which a request may arrive that the end of the grace period cuts, and the fraction of the grace
  * period before which no request is cut.
  */
-const takenInStop = 3000;
-const graceUsed = 5 / 6;
+const cuttableAfterStop = 3000;
+const uncutGraceShare = 5 / 6;
 const millisecondsPerSecond = 1000;
 
 /** A relay process with its proxies. */
@@ -41,7 +41,7 @@
 	 * @param plan - Parameters of the relay.
 	 * @returns The relay, whose process is starting.
 	 */
-	static async start(plan: SoakRelayPlan): Promise<SoakRelay> {
+	static async start(plan: SoakRelayOptions): Promise<SoakRelay> {
 		const [ports, ownPort] = await Promise.all([freeRelayPorts(), freeDatagramPort()]);
 		const [store, datagrams] = await Promise.all([FaultProxy.create(plan.storeDoor.port), DatagramProxy.create(ports.control, ownPort, plan.random)]);
 		const relay = new SoakRelay(plan, ports, ownPort, {store, datagrams});
@@ -50,19 +50,19 @@
 	}
 
 	/** Whether the process was killed or asked to stop, and has not been restarted. */
-	isGoing = false;
+	isStopping = false;
 	/** Monotonic milliseconds of kills and suspensions: connections cut around these times are not a fault of the relay. */
 	readonly kills: number[] = [];
 	/** Monotonic milliseconds of the stop signals. */
 	readonly stops: number[] = [];
 	/** Number of processes that exited without being killed or asked to stop. */
-	ownEnds = 0;
+	unexpectedExits = 0;
 	private child: Child | undefined;
 	private earlierLines: Child['lines'] = [];
 	private starts = 0;
 
 	private constructor(
-		private readonly plan: SoakRelayPlan,
+		private readonly plan: SoakRelayOptions,
 		private readonly ports: RelayPorts,
 		/** UDP port that the process binds, and from which it sends its datagrams. */
 		readonly ownPort: number,
@@ -117,8 +117,8 @@
 
 	/** Kills the process and restarts it. If a stop is in progress, {@link stop} restarts it instead. */
 	async kill(): Promise<void> {
-		const isStopped = this.isGoing;
-		this.isGoing = true;
+		const isStopped = this.isStopping;
+		this.isStopping = true;
 		this.kills.push(performance.now());
 		await this.child?.kill();
 		if (!isStopped) {
@@ -128,11 +128,11 @@
 
 	/** Asks the process to stop, waits for its exit, and restarts it. */
 	async stop(): Promise<void> {
-		if (this.isGoing) {
+		if (this.isStopping) {
 			return;
 		}
 
-		this.isGoing = true;
+		this.isStopping = true;
 		this.stops.push(performance.now());
 		this.child?.signal('SIGTERM');
 		await this.child?.exited;
@@ -178,7 +178,7 @@
 	}
 
 	/** Restores the usual settings and makes the process reload them. */
-	reloadUsual(): void {
+	restoreSettings(): void {
 		writeFileSync(this.file, this.settings);
 		this.reload();
 	}
@@ -188,13 +188,13 @@
 	 * @param to - Monotonic milliseconds at which its connection was closed.
 	 * @returns Whether the end of a stop's grace period may have cut the request.
 	 */
-	hasGraceEnded(from: number, to: number): boolean {
-		return this.stops.some(at => from < at + takenInStop && to > at + (grace * millisecondsPerSecond * graceUsed) && to < at + ((grace + 1) * millisecondsPerSecond));
+	mayHaveHitGraceEnd(from: number, to: number): boolean {
+		return this.stops.some(at => from < at + cuttableAfterStop && to > at + (grace * millisecondsPerSecond * uncutGraceShare) && to < at + ((grace + 1) * millisecondsPerSecond));
 	}
 
 	/** Kills the process and closes its proxies. */
 	async close(): Promise<void> {
-		this.isGoing = true;
+		this.isStopping = true;
 		this.child?.signal('SIGCONT');
 		await this.child?.kill();
 		this.store.close();
@@ -209,10 +209,10 @@
 			clockFile: this.clockFile, toldPort: this.ports.control, ownPort: this.ownPort,
 		}));
 		this.child = child;
-		this.isGoing = false;
+		this.isStopping = false;
 		void child.exited.then(() => {
-			if (this.child === child && !this.isGoing) {
-				this.ownEnds++;
+			if (this.child === child && !this.isStopping) {
+				this.unexpectedExits++;
 			}
 		});
 	}
--- a/development/soak/soak-streams.ts
+++ b/development/soak/soak-streams.ts
@@ -10,11 +10,11 @@
 
 const pieces: ReadonlyArray<StreamConduct['pieces']> = ['whole', 'first-apart', 'bytes', 'in-character', 'together'];
 /** Fraction of the streams sent without chunked encoding or a length. */
-const unframedPart = 0.25;
+const unframedShare = 0.25;
 /** Fraction of the streams that are faulty at a replica with a stream fault. */
-const wrongPart = 0.8;
+const faultyShare = 0.8;
 /** Fraction of the breaks that also affect runs that continue a stream. */
-const anyRunPart = 0.5;
+const anyRunShare = 0.5;
 
 type Draw = {
 	/** @returns One of the choices, drawn uniformly. */
@@ -23,7 +23,7 @@
 	readonly isIn: (part: number) => boolean;
 };
 
-const drawOf = (random: () => number): Draw => ({
+const createDraw = (random: () => number): Draw => ({
 	among: choices => choices[Math.floor(random() * choices.length)]!,
 	isIn: part => random() < part,
 });
@@ -53,18 +53,18 @@
 
 	private scriptOf(replica: string, body: string): Partial<StreamConduct> {
 		const fault = this.faults.get(replica);
-		const draw = drawOf(seededBy(this.seed, `${replica} ${body} ${fault ?? ''}`));
-		const usual: Partial<StreamConduct> = {pieces: draw.among(pieces), framing: draw.isIn(unframedPart) ? 'none' : 'chunked'};
-		return fault === undefined || !draw.isIn(wrongPart) ? usual : {...usual, ...this.wrong(fault, replica, draw)};
+		const draw = createDraw(seededBy(this.seed, `${replica} ${body} ${fault ?? ''}`));
+		const usual: Partial<StreamConduct> = {pieces: draw.among(pieces), framing: draw.isIn(unframedShare) ? 'none' : 'chunked'};
+		return fault === undefined || !draw.isIn(faultyShare) ? usual : {...usual, ...this.faultyConduct(fault, replica, draw)};
 	}
 
-	private wrong(fault: StreamFault, replica: string, draw: Draw): Partial<StreamConduct> {
+	private faultyConduct(fault: StreamFault, replica: string, draw: Draw): Partial<StreamConduct> {
 		const event = draw.among(Array.from({length: this.events}, (_, index) => index + 1));
 		switch (fault) {
 			case 'stream-breaks': {
 				// At least one byte of an event: a stream without a length that ends between events can't be told from a complete one.
 				const inside = Array.from({length: eventOf(replica, event).length - 1}, (_, index) => index + 1);
-				return {breaksAt: {event, bytes: draw.among(inside), isAnyRun: draw.isIn(anyRunPart)}, ending: draw.among(['reset', 'close'])};
+				return {breaksAt: {event, bytes: draw.among(inside), isAnyRun: draw.isIn(anyRunShare)}, ending: draw.among(['reset', 'close'])};
 			}
 
 			case 'stream-misfits': {
--- a/development/soak/soak.ts
+++ b/development/soak/soak.ts
@@ -11,10 +11,10 @@
 import {randomOf} from '../harness/seeded-random.js';
 import {seededBy} from './seeded-by.js';
 import {
-	SoakClients, loneKey, spareKey, type SoakRequestKind,
+	SoakClients, isolationKey, revocableKey, type SoakRequestKind,
 } from './soak-clients.js';
 import {SoakFaults} from './soak-faults.js';
-import {SoakJudge, fingerprintOfRequest, innocentLines} from './soak-judge.js';
+import {SoakChecker, fingerprintOfRequest, wrongQuarantines} from './soak-judge.js';
 import {planSoak, type SoakFault} from './soak-plan.js';
 import {SoakRelay} from './soak-relay.js';
 import {SoakStreams} from './soak-streams.js';
@@ -34,7 +34,7 @@
 	readonly attempts: number;
 	readonly served: number;
 	/** Violated invariants, one description each; empty if all held. */
-	readonly broken: readonly string[];
+	readonly violations: readonly string[];
 	/** Log lines of all relay processes, including those before a restart. */
 	readonly lines: ReadonlyArray<Readonly<Record<string, unknown>>>;
 };
@@ -45,13 +45,13 @@
 const clientsPerRelay = 2;
 const streamEvents = 6;
 /** Relays that start concurrently: loading the program occupies one core per relay. */
-const startedAtOnce = 4;
+const concurrentStarts = 4;
 /** Milliseconds within which a relay must be ready, milliseconds between two readiness checks, and log lines shown on a timeout. */
 const startTime = 20_000;
-const startPause = 50;
+const readyCheckInterval = 50;
 const linesShown = 20;
 /** Milliseconds within which all requests must be served again after the last fault is cleared. */
-const recoverTime = 12_000;
+const recoveryTime = 12_000;
 /** Requests that every relay must serve after the last fault is cleared. */
 const finalRequests: readonly SoakRequestKind[] = ['calls', 'stream', 'calls', 'stream', 'calls', 'stream'];
 
@@ -63,14 +63,14 @@
  */
 export async function soak({seed, length, relays: count}: SoakOptions): Promise<SoakReport> {
 	const folder = mkdtempSync(path.join(tmpdir(), 'waydrift-soak-'));
-	const installation = await RelayInstallation.start({relays: 0, replicas: replicaIds, tenant: {api_keys: [testKey, spareKey, loneKey]}});
+	const installation = await RelayInstallation.start({relays: 0, replicas: replicaIds, tenant: {api_keys: [testKey, revocableKey, isolationKey]}});
 	const streams = SoakStreams.create(seed, streamEvents);
 	installation.prepareReplicas(replica => {
 		streams.prepare(replica);
 	});
 	const relays: SoakRelay[] = [];
 	for (const index of Array.from({length: count}).keys()) {
-		if (index % startedAtOnce === 0) {
+		if (index % concurrentStarts === 0) {
 			await untilReady(relays);
 		}
 
@@ -85,16 +85,16 @@
 		const clients = SoakClients.create(installation, relays, randomOf(seed + 1));
 		const faults = SoakFaults.create(installation, relays, clients, streams);
 		await clients.run(Math.max(clientCount, count * clientsPerRelay), async () => faults.run(plan));
-		const unserved = await serveAll(clients, relays);
+		const unserved = await findUnserved(clients, relays);
 		const lines = relays.flatMap(relay => relay.lines);
 		const {
-			drains, cutOffs, limitSpells, poisonEnds, takenAt,
+			drains, cutOffs, limitPeriods, poisonCrashes, revokedAt,
 		} = faults;
-		const judge = SoakJudge.create({
-			attempts: clients.attempts, replicas: installation.everyReplica, relays, drains, cutOffs, limitSpells, poisonEnds, takenAt, streamEvents, lines,
+		const judge = SoakChecker.create({
+			attempts: clients.attempts, replicas: installation.everyReplica, relays, drains, cutOffs, limitPeriods, poisonCrashes, revokedAt, streamEvents, lines,
 		});
 		return {
-			plan, attempts: clients.attempts.length, served: clients.attempts.filter(({status}) => status === 200).length, broken: [...judge.broken, ...unserved], lines,
+			plan, attempts: clients.attempts.length, served: clients.attempts.filter(({status}) => status === 200).length, violations: [...judge.violations, ...unserved], lines,
 		};
 	} finally {
 		await Promise.all(relays.map(async relay => relay.close()));
@@ -111,7 +111,7 @@
 				throw new Error(`${relay.name} was not ready within ${startTime} ms of its start:\n${relay.lines.slice(-linesShown).map(line => JSON.stringify(line)).join('\n')}`);
 			}
 
-			await pause(startPause);
+			await pause(readyCheckInterval);
 		}
 	}
 }
@@ -120,11 +120,11 @@
  * Checks that, with all faults cleared, each relay serves all requests within the recovery time. This includes requests that some relay
  * wrongly suspected of crashing replicas.
  */
-async function serveAll(clients: SoakClients, relays: readonly SoakRelay[]): Promise<readonly string[]> {
-	const endsAt = performance.now() + recoverTime;
+async function findUnserved(clients: SoakClients, relays: readonly SoakRelay[]): Promise<readonly string[]> {
+	const endsAt = performance.now() + recoveryTime;
 	for (;;) {
-		const taken = new Set(innocentLines(relays.flatMap(({lines}) => lines)).map(({fingerprint}) => fingerprint));
-		const suspected = clients.attempts.filter(({kind, sent}) => taken.has(fingerprintOfRequest(kind, sent)) && taken.delete(fingerprintOfRequest(kind, sent)));
+		const quarantined = new Set(wrongQuarantines(relays.flatMap(({lines}) => lines)).map(({fingerprint}) => fingerprint));
+		const suspected = clients.attempts.filter(({kind, sent}) => quarantined.has(fingerprintOfRequest(kind, sent)) && quarantined.delete(fingerprintOfRequest(kind, sent)));
 		const requests = [...finalRequests.map((kind, index) => ({kind, sent: `final ${index}`})), ...suspected];
 		const views = await Promise.all(relays.flatMap(relay => requests.map(async ({kind, sent}) => clients.send(kind, sent, {relay}))));
 		const unserved = views.filter(({status, isWhole}) => status !== 200 || !isWhole);
@@ -133,7 +133,7 @@
 		}
 
 		if (performance.now() > endsAt) {
-			return unserved.map(({relay, kind, sent, status, body}) => `${relay.name} did not serve ${kind} "${sent}" within ${recoverTime} ms of the last fault: ${status} ${body.slice(0, 120)}`);
+			return unserved.map(({relay, kind, sent, status, body}) => `${relay.name} did not serve ${kind} "${sent}" within the recovery time: ${status} ${body.slice(0, 120)}`);
 		}
 
 		await pause(500);
--- a/development/soak/test/soak-judge.test.ts
+++ b/development/soak/test/soak-judge.test.ts
@@ -2,11 +2,11 @@
 import {test} from 'node:test';
 import type {SeenRequest} from '../../relay/replica-standin.js';
 import type {SoakAttempt} from '../soak-clients.js';
-import {SoakJudge, type SoakRecord} from '../soak-judge.js';
+import {SoakChecker, type SoakObservations} from '../soak-judge.js';
 import type {SoakRelay} from '../soak-relay.js';
 
 const relay = {
-	name: 'relay-1', kills: [] as number[], stops: [] as number[], ownEnds: 0, hasGraceEnded: () => false,
+	name: 'relay-1', kills: [] as number[], stops: [] as number[], unexpectedExits: 0, mayHaveHitGraceEnd: () => false,
 };
 
 /** A request that reached the replica, and what the replica announced in its answer. */
@@ -15,28 +15,28 @@
 	pauseAsked: undefined, saidLeaving: false, isAbandoned: false, isRightStream: false, ...said,
 });
 
-function brokenBy(seen: readonly SeenRequest[], {kills = []}: {readonly kills?: number[]} = {}): readonly string[] {
-	const own = {...relay, kills} as unknown as SoakRelay;
+function violationsOf(seen: readonly SeenRequest[], {kills = []}: {readonly kills?: number[]} = {}): readonly string[] {
+	const testedRelay = {...relay, kills} as unknown as SoakRelay;
 	const attempts = seen.map(({id, at, hasRun}) => ({
-		id, relay: own, kind: 'calls', key: 'k', sent: '', body: '', status: hasRun ? 200 : 503, sentAt: at - 5, endedAt: at + 5, isWhole: true, headers: {},
+		id, relay: testedRelay, kind: 'calls', key: 'k', sent: '', body: '', status: hasRun ? 200 : 503, sentAt: at - 5, endedAt: at + 5, isWhole: true, headers: {},
 	}) as unknown as SoakAttempt);
 	const record = {
-		attempts, replicas: [{id: 'i-1', seen}], relays: [own], drains: [], cutOffs: [], limitSpells: [], poisonEnds: [], takenAt: new Map(), streamEvents: 1, lines: [],
-	} as unknown as SoakRecord;
-	return SoakJudge.create(record).broken.filter(line => line.includes('reached') || line.includes('asked'));
+		attempts, replicas: [{id: 'i-1', seen}], relays: [testedRelay], drains: [], cutOffs: [], limitPeriods: [], poisonCrashes: [], revokedAt: new Map(), streamEvents: 1, lines: [],
+	} as unknown as SoakObservations;
+	return SoakChecker.create(record).violations.filter(line => line.includes('reached') || line.includes('asked'));
 }
 
 test('from the third request on, requests during a pause that a replica asked for violate an invariant, unless the relay was restarted meanwhile', () => {
 	const inPause = [reached(10_000, {pauseAsked: 3000}), reached(10_400), reached(10_600), reached(11_000)];
-	assert.deepEqual(brokenBy(inPause), []);
-	assert.equal(brokenBy([...inPause, reached(12_900)]).length, 1);
-	assert.deepEqual(brokenBy([...inPause, reached(13_100)]), []);
-	assert.deepEqual(brokenBy([...inPause, reached(12_900)], {kills: [10_800]}), []);
+	assert.deepEqual(violationsOf(inPause), []);
+	assert.equal(violationsOf([...inPause, reached(12_900)]).length, 1);
+	assert.deepEqual(violationsOf([...inPause, reached(13_100)]), []);
+	assert.deepEqual(violationsOf([...inPause, reached(12_900)], {kills: [10_800]}), []);
 });
 
 test('a request later than the drain time after an answer that announced that its replica is leaving violates an invariant', () => {
-	const told = reached(10_000, {saidLeaving: true});
-	assert.deepEqual(brokenBy([told, reached(11_900)]), []);
-	assert.equal(brokenBy([told, reached(13_000)]).length, 1);
-	assert.deepEqual(brokenBy([told, reached(13_000)], {kills: [11_000]}), []);
+	const announced = reached(10_000, {saidLeaving: true});
+	assert.deepEqual(violationsOf([announced, reached(11_900)]), []);
+	assert.equal(violationsOf([announced, reached(13_000)]).length, 1);
+	assert.deepEqual(violationsOf([announced, reached(13_000)], {kills: [11_000]}), []);
 });
--- a/development/soak/test/soak.test.ts
+++ b/development/soak/test/soak.test.ts
@@ -19,8 +19,8 @@
 
 for (const {seed, seconds, why} of cases) {
 	test(`a soak test with overlapping faults violates no invariant: seed ${seed} (${why})`, async () => {
-		const {broken, attempts, served} = await soak({seed, length: seconds * millisecondsPerSecond, relays: 4});
-		assert.deepEqual(broken, []);
+		const {violations, attempts, served} = await soak({seed, length: seconds * millisecondsPerSecond, relays: 4});
+		assert.deepEqual(violations, []);
 		assert.ok(served > attempts / 3, `only ${served} of ${attempts} attempts were served; with so few, the checks say little`);
 	});
 }
