--- a/development/fuzz/ceiling-suite.ts
+++ b/development/fuzz/ceiling-suite.ts
@@ -17,17 +17,17 @@
 /** Milliseconds between two exchanges of all boxes. */
 const exchangeInterval = 500;
 /** Milliseconds between two checks of the invariant. */
-const lookInterval = 100;
+const checkInterval = 100;
 /** Allows for rounding errors. */
 const tolerance = 1e-6;
 
-type Box = {readonly id: BoxId; ceilings: Ceilings; owner: CeilingOwner; isFrozen: boolean; group: number};
+type Box = {readonly id: BoxId; ceilings: Ceilings; owner: CeilingOwner; isSuspended: boolean; partition: number};
 
 class CeilingWorld {
 	readonly ids = Array.from({length: boxCount}, (_, index) => `box-${index}` as BoxId);
 	readonly boxes: Box[];
 	faults = 0;
-	worst = 0;
+	maxSum = 0;
 
 	constructor(readonly time: VirtualTime) {
 		this.boxes = this.ids.map((id, index) => this.start(id, index));
@@ -38,14 +38,14 @@
 		// The monotonic clocks of different boxes are unrelated.
 		const clock = VirtualClock.create(this.time, index * 1_000_000);
 		return {
-			id, ceilings: Ceilings.create(id, facts, clock), owner: CeilingOwner.create(facts, clock), isFrozen: false, group: 0,
+			id, ceilings: Ceilings.create(id, facts, clock), owner: CeilingOwner.create(facts, clock), isSuspended: false, partition: 0,
 		};
 	}
 
 	/** Exchanges demands and grants between all pairs of boxes of the same partition that are not suspended. */
 	exchange(): void {
-		for (const asker of this.boxes.filter(({isFrozen}) => !isFrozen)) {
-			const reachable = this.boxes.filter(({group, isFrozen}) => group === asker.group && !isFrozen);
+		for (const asker of this.boxes.filter(({isSuspended}) => !isSuspended)) {
+			const reachable = this.boxes.filter(({partition, isSuspended}) => partition === asker.partition && !isSuspended);
 			for (const owner of reachable) {
 				const askedAt = this.time.now + (this.ids.indexOf(asker.id) * 1_000_000);
 				const demands = asker.ceilings.demandsFor(owner.id, reachable.map(({id}) => id));
@@ -61,15 +61,15 @@
 				sum += ceilings.rate(row);
 			}
 
-			this.worst = Math.max(this.worst, sum);
-			assert.ok(sum <= ceiling + tolerance, `rates of ${row} add up to ${sum}, above the ceiling of ${ceiling}, at ${this.time.now} ms`);
+			this.maxSum = Math.max(this.maxSum, sum);
+			assert.ok(sum <= ceiling + tolerance, `rates of ${row} add up to ${sum}, above the ceiling, at ${this.time.now} ms`);
 		}
 	}
 
-	async pass(milliseconds: number): Promise<void> {
+	async advance(milliseconds: number): Promise<void> {
 		const endsAt = this.time.now + milliseconds;
 		while (this.time.now < endsAt) {
-			await this.time.advance(lookInterval);
+			await this.time.advance(checkInterval);
 			if (this.time.now % exchangeInterval === 0) {
 				this.exchange();
 			}
@@ -90,7 +90,7 @@
 	},
 	{
 		weight: 4, arbitrary: fc.constantFrom(500, 1000, 3000, 6000).map(milliseconds => step<CeilingWorld>(`wait ${milliseconds}`, async world => {
-			await world.pass(milliseconds);
+			await world.advance(milliseconds);
 		})),
 	},
 	{
@@ -98,14 +98,14 @@
 			step<CeilingWorld>(`partition boxes as ${groups.join('')}`, world => {
 				world.faults++;
 				for (const [index, group] of groups.entries()) {
-					world.boxes[index]!.group = group;
+					world.boxes[index]!.partition = group;
 				}
 			})),
 	},
 	{
-		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isFrozen]) => step<CeilingWorld>(`box ${box} suspended: ${String(isFrozen)}`, world => {
+		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isSuspended]) => step<CeilingWorld>(`box ${box} suspended: ${String(isSuspended)}`, world => {
 			world.faults++;
-			world.boxes[box]!.isFrozen = isFrozen;
+			world.boxes[box]!.isSuspended = isSuspended;
 		})),
 	},
 );
@@ -115,17 +115,17 @@
 	name: 'ceilings',
 	steps,
 	create: time => new CeilingWorld(time),
-	async judge(world) {
+	async check(world) {
 		for (const box of world.boxes) {
-			box.group = 0;
-			box.isFrozen = false;
+			box.partition = 0;
+			box.isSuspended = false;
 		}
 
-		await world.pass(12_000);
+		await world.advance(12_000);
 		// Other boxes can use an idle share: after an idle period, a single busy box gets nearly the whole ceiling.
 		for (let round = 0; round < 20; round++) {
 			world.boxes[0]!.ceilings.take(rows[0]!, 100);
-			await world.pass(500);
+			await world.advance(500);
 		}
 
 		assert.ok(world.boxes[0]!.ceilings.rate(rows[0]!) >= ceiling * 0.8, `a single busy box gets only ${world.boxes[0]!.ceilings.rate(rows[0]!)} of ${ceiling}`);
--- a/development/fuzz/claim-suite.ts
+++ b/development/fuzz/claim-suite.ts
@@ -21,18 +21,18 @@
 const account = 'acme' as ClientAccountName;
 
 /** Outcome of a call at the upstream. */
-type UpstreamFate = 'answers' | 'refuses' | 'cut-after-execution' | 'cut-before-execution';
+type UpstreamOutcome = 'answers' | 'refuses' | 'cut-after-execution' | 'cut-before-execution';
 
 type Box = {readonly store: FakeObjectStore; ledger: ClaimLedger};
 
-type Told = {readonly key: string; readonly attempt: string; readonly verdict: string};
+type ClientAnswer = {readonly key: string; readonly attempt: string; readonly verdict: string};
 
 class ClaimWorld {
 	readonly objects: FakeObjects;
 	readonly boxes: readonly Box[];
 	/** Attempts that the upstream executed, by key; the oracle of the suite. */
 	readonly executions = new Map<string, string[]>();
-	readonly told: Told[] = [];
+	readonly answers: ClientAnswer[] = [];
 	readonly metrics = Metrics.create();
 	pending = 0;
 	private attempts = 0;
@@ -50,7 +50,7 @@
 		box.ledger = this.makeLedger(box.store);
 	}
 
-	request(index: number, key: string, fate: UpstreamFate): void {
+	request(index: number, key: string, fate: UpstreamOutcome): void {
 		this.attempts++;
 		const attempt = AttemptId(`attempt-${this.attempts}`);
 		const {ledger} = this.boxes[index]!;
@@ -64,12 +64,12 @@
 			Effect.catch(error => Effect.succeed(error._tag === 'Refusal' ? error.verdict : 'ran')),
 			Effect.map(verdict => {
 				this.pending--;
-				this.told.push({key, attempt, verdict});
+				this.answers.push({key, attempt, verdict});
 			}),
 		));
 	}
 
-	private execute(key: string, attempt: string, fate: UpstreamFate): Effect.Effect<string, Refusal> {
+	private execute(key: string, attempt: string, fate: UpstreamOutcome): Effect.Effect<string, Refusal> {
 		if (fate === 'refuses') {
 			return Effect.fail(Refusal.create('upstream-refused', 'refused'));
 		}
@@ -90,12 +90,12 @@
 
 const anyBox = fc.integer({min: 0, max: boxCount - 1});
 const anyKey = fc.integer({min: 1, max: keyCount}).map(key => `key-${key}`);
-const anyFate = fc.constantFrom<UpstreamFate>('answers', 'answers', 'refuses', 'cut-after-execution', 'cut-before-execution');
+const anyOutcome = fc.constantFrom<UpstreamOutcome>('answers', 'answers', 'refuses', 'cut-after-execution', 'cut-before-execution');
 const callFates = fc.array(fc.constantFrom<CallFate>('normal', 'lost-answer', 'lost-call', 'late', 'slow'), {minLength: 1, maxLength: 4});
 
 const steps = fc.oneof(
 	{
-		weight: 6, arbitrary: fc.tuple(anyBox, anyKey, anyFate).map(([box, key, fate]) => step<ClaimWorld>(`request ${key} at box ${box}, ${fate}`, world => {
+		weight: 6, arbitrary: fc.tuple(anyBox, anyKey, anyOutcome).map(([box, key, fate]) => step<ClaimWorld>(`request ${key} at box ${box}, ${fate}`, world => {
 			world.request(box, key, fate);
 		})),
 	},
@@ -131,7 +131,7 @@
 	name: 'claims',
 	steps,
 	create: time => new ClaimWorld(time),
-	async judge(world, time) {
+	async check(world, time) {
 		for (const {store} of world.boxes) {
 			store.isOut = false;
 			store.isFrozen = false;
@@ -144,7 +144,7 @@
 			assert.ok(attempts.length <= 1, `${key} was executed by ${attempts.join(' and ')}`);
 		}
 
-		for (const {key, attempt, verdict} of world.told) {
+		for (const {key, attempt, verdict} of world.answers) {
 			const hasExecuted = world.executions.get(key)?.includes(attempt) ?? false;
 			assert.ok(verdict !== 'not-run' || !hasExecuted, `${attempt} of ${key} was answered with "not run", but ran`);
 		}
--- a/development/fuzz/decoder-suite.ts
+++ b/development/fuzz/decoder-suite.ts
@@ -22,10 +22,10 @@
 import {VirtualClock, type VirtualTime} from './virtual-time.js';
 
 const largestPort = 65_535;
-const goodReplica = {
+const validReplica = {
 	service: 's', addr: '10.0.0.1:80', zone: 'a', version: 'v1', slots: 8, state: 'ready', cold_left_ms: 0, seq: 1, born: 1_700_000_000_000, spot: true, leaves_ms: 9000,
 };
-const goodConfiguration = {
+const validConfiguration = {
 	version: 7,
 	routes: [{
 		name: 'r', host: 'a.example', path_prefix: '/x/', kind: 'idempotent', timeout_ms: 100, goal_ms: 50, priority: 1, max_attempts: 2, split: [{service: 's', weight: 3}],
@@ -40,7 +40,7 @@
 	}],
 	limits: {max_body_bytes: 1, header_timeout_ms: 2, idle_timeout_ms: 3},
 };
-const goodMessage: GossipMessage = {
+const validMessage: GossipMessage = {
 	sender: {
 		name: 'box-2', host: '10.0.0.2', port: 7600, capacity: 1,
 	}, incarnation: 'one', sequence: 7, uptime: 5000, wall: 1_700_000_000_000, version: 3, isStopping: false, storeAge: 9, isWhole: true,
@@ -54,10 +54,10 @@
 		}], completions: [{fingerprint: Fingerprint('abcdefghijkm'), age: 1}],
 	},
 	digest: {
-		boxes: 9, work: [], quota: [], changes: {at: 3, changes: [{object: {name: 'i', revision: 2, spec: goodReplica}, isGone: false}]},
+		boxes: 9, work: [], quota: [], changes: {at: 3, changes: [{object: {name: 'i', revision: 2, spec: validReplica}, isGone: false}]},
 	},
 };
-const goodDuty = {
+const validDuty = {
 	holder: 'a', incarnation: 'b', fence: 3, decision: 4, reported: 5, orders: [], baseline: [],
 };
 
@@ -77,27 +77,27 @@
 			link: {names: {replicaKind: 'replicas', decodeReplica}} as unknown as PlatformLink, clock, log,
 			replicas: this.replicas, followsStore: () => true, fallbackDelay: 5000, ...usualAvailability(clock),
 		});
-		this.role.applyListing({at: this.revision, objects: ['good-1', 'good-2'].map(name => ({name, revision: 1, spec: goodReplica}))}, 0);
+		this.role.applyListing({at: this.revision, objects: ['good-1', 'good-2'].map(name => ({name, revision: 1, spec: validReplica}))}, 0);
 	}
 
 	/** Applies an entry of another writer, as part of a listing or of an update from a peer. */
-	takeEntry(spec: unknown, isList: boolean): void {
+	applyEntry(spec: unknown, isList: boolean): void {
 		this.faults++;
 		this.revision++;
 		const object = {name: 'odd', revision: this.revision, spec};
 		if (isList) {
-			const good = ['good-1', 'good-2'].map(name => ({name, revision: 1, spec: goodReplica}));
-			this.role.applyListing({at: this.revision, objects: [good[0]!, object, good[1]!]}, 0);
+			const valid = ['good-1', 'good-2'].map(name => ({name, revision: 1, spec: validReplica}));
+			this.role.applyListing({at: this.revision, objects: [valid[0]!, object, valid[1]!]}, 0);
 		} else {
 			this.role.applyPeerUpdate({name: 'peer', host: '127.0.0.1', port: 1}, {at: this.revision, age: 0}, {at: this.revision, changes: [{object, isGone: false}]});
 		}
 
 		// The changes sent to other boxes must be serialisable.
 		JSON.stringify(this.role.changesSince(this.revision - 1));
-		this.judge();
+		this.checkReplicas();
 	}
 
-	judge(): void {
+	checkReplicas(): void {
 		const names = this.replicas.all.filter(({isLeaving}) => !isLeaving).map(({entry}) => entry.id);
 		assert.ok(names.includes('good-1') && names.includes('good-2'), `valid replicas are missing; present: ${names.join(' ')}`);
 		for (const {entry: {host, port, slots, service, bornAt, leavesIn}} of this.replicas.all) {
@@ -108,7 +108,7 @@
 		}
 	}
 
-	takeConfiguration(spec: unknown): void {
+	applyConfiguration(spec: unknown): void {
 		this.faults++;
 		const decoded = decodeConfiguration(spec);
 		if (Result.isSuccess(decoded)) {
@@ -120,7 +120,7 @@
 		}
 	}
 
-	takeDatagram(data: Uint8Array): void {
+	applyDatagram(data: Uint8Array): void {
 		this.faults++;
 		const message = decodeGossip(data);
 		if (!message) {
@@ -128,33 +128,33 @@
 		}
 
 		this.ledger.merge(message.ends ?? {crashes: [], completions: []});
-		const told = this.ledger.collectUpdate(true, maxCrashesSent.small);
-		const handedOn = decodeGossip(encodeGossip({...goodMessage, ...(told ? {ends: told} : {})}));
-		assert.ok(handedOn, 'a forwarded update can\'t be decoded');
+		const update = this.ledger.collectUpdate(true, maxCrashesSent.small);
+		const forwarded = decodeGossip(encodeGossip({...validMessage, ...(update ? {ends: update} : {})}));
+		assert.ok(forwarded, 'a forwarded update can\'t be decoded');
 		for (const change of message.digest?.changes?.changes ?? []) {
 			decodeReplica(change.object);
 		}
 	}
 }
 
-const oddValue = fc.oneof(
+const invalidValue = fc.oneof(
 	fc.constantFrom<unknown>(null, true, '', 'ready', -1, 0, 0.5, 1e308, Number.NaN, [], {}, [[[[]]]], '\uFFFD\u0000', 'x'.repeat(10_000), '10.0.0.1', '10.0.0.1:99999', '127.0.0.1:0', -7e15),
 	fc.jsonValue({maxDepth: 3}),
 	fc.string({unit: 'binary'}),
 );
 
 /** Generates copies of a valid value with one part, at any depth, removed or replaced. */
-function mutated(good: unknown): fc.Arbitrary<unknown> {
-	return fc.tuple(fc.array(fc.nat({max: 30}), {minLength: 1, maxLength: 5}), oddValue, fc.boolean()).map(([path, value, isTakenOut]) => mutate(good, path, value, isTakenOut));
+function mutated(valid: unknown): fc.Arbitrary<unknown> {
+	return fc.tuple(fc.array(fc.nat({max: 30}), {minLength: 1, maxLength: 5}), invalidValue, fc.boolean()).map(([path, value, isRemoved]) => mutate(valid, path, value, isRemoved));
 }
 
-function mutate(good: unknown, path: readonly number[], value: unknown, isTakenOut: boolean): unknown {
+function mutate(valid: unknown, path: readonly number[], value: unknown, isRemoved: boolean): unknown {
 	const [first, ...rest] = path;
-	if (first === undefined || typeof good !== 'object' || good === null) {
+	if (first === undefined || typeof valid !== 'object' || valid === null) {
 		return value;
 	}
 
-	const entries = Object.entries(good);
+	const entries = Object.entries(valid);
 	if (entries.length === 0) {
 		return value;
 	}
@@ -165,43 +165,43 @@
 			return [[key, part]];
 		}
 
-		return rest.length === 0 && isTakenOut ? [] : [[key, rest.length === 0 ? value : mutate(part, rest, value, isTakenOut)]];
+		return rest.length === 0 && isRemoved ? [] : [[key, rest.length === 0 ? value : mutate(part, rest, value, isRemoved)]];
 	});
-	return Array.isArray(good) ? changed.map(([, part]) => part) : Object.fromEntries(changed);
+	return Array.isArray(valid) ? changed.map(([, part]) => part) : Object.fromEntries(changed);
 }
 
 const bytesOf = (value: unknown): Uint8Array => Buffer.from(JSON.stringify(value) ?? '');
-const goodDatagram = JSON.parse(Buffer.from(encodeGossip(goodMessage)).toString()) as unknown;
+const validDatagram = JSON.parse(Buffer.from(encodeGossip(validMessage)).toString()) as unknown;
 const datagram = fc.oneof(
-	mutated(goodDatagram).map(value => bytesOf(value)),
-	fc.nat({max: bytesOf(goodDatagram).length}).map(length => bytesOf(goodDatagram).subarray(0, length)),
-	fc.tuple(fc.nat({max: bytesOf(goodDatagram).length - 1}), fc.integer({min: 0, max: 255})).map(([at, byte]) => {
-		const data = Buffer.from(bytesOf(goodDatagram));
+	mutated(validDatagram).map(value => bytesOf(value)),
+	fc.nat({max: bytesOf(validDatagram).length}).map(length => bytesOf(validDatagram).subarray(0, length)),
+	fc.tuple(fc.nat({max: bytesOf(validDatagram).length - 1}), fc.integer({min: 0, max: 255})).map(([at, byte]) => {
+		const data = Buffer.from(bytesOf(validDatagram));
 		data[at] = byte;
 		return data;
 	}),
 	fc.uint8Array({maxLength: 300}),
 );
-const entry = fc.oneof({weight: 4, arbitrary: mutated(goodReplica)}, {weight: 1, arbitrary: oddValue});
+const entry = fc.oneof({weight: 4, arbitrary: mutated(validReplica)}, {weight: 1, arbitrary: invalidValue});
 
 const steps = fc.oneof(
 	{
 		weight: 4, arbitrary: fc.tuple(entry, fc.boolean()).map(([spec, isList]) => step<DecoderWorld>(`entry ${JSON.stringify(spec)?.slice(0, 200)}${isList ? ' in a listing' : ''}`, world => {
-			world.takeEntry(spec, isList);
+			world.applyEntry(spec, isList);
 		})),
 	},
 	{
-		weight: 2, arbitrary: fc.oneof(mutated(goodConfiguration), oddValue).map(spec => step<DecoderWorld>(`configuration ${JSON.stringify(spec)?.slice(0, 400)}`, world => {
-			world.takeConfiguration(spec);
+		weight: 2, arbitrary: fc.oneof(mutated(validConfiguration), invalidValue).map(spec => step<DecoderWorld>(`configuration ${JSON.stringify(spec)?.slice(0, 400)}`, world => {
+			world.applyConfiguration(spec);
 		})),
 	},
 	{
 		weight: 3, arbitrary: datagram.map(data => step<DecoderWorld>(`datagram ${Buffer.from(data).toString('base64').slice(0, 200)}`, world => {
-			world.takeDatagram(data);
+			world.applyDatagram(data);
 		})),
 	},
 	{
-		weight: 1, arbitrary: fc.oneof(mutated(goodDuty), oddValue).map(record => step<DecoderWorld>(`duty record ${JSON.stringify(record)?.slice(0, 200)}`, () => {
+		weight: 1, arbitrary: fc.oneof(mutated(validDuty), invalidValue).map(record => step<DecoderWorld>(`duty record ${JSON.stringify(record)?.slice(0, 200)}`, () => {
 			decodeDutyRecord(record);
 		})),
 	},
@@ -212,8 +212,8 @@
 	name: 'decoders',
 	steps,
 	create: time => new DecoderWorld(time),
-	async judge(world) {
-		world.judge();
+	async check(world) {
+		world.checkReplicas();
 	},
 	faults: world => world.faults,
 };
--- a/development/fuzz/event-suite.ts
+++ b/development/fuzz/event-suite.ts
@@ -17,7 +17,7 @@
 	/** Joins the bytes of a character, as a Node stream with an encoding does. */
 	private readonly decoder = new StringDecoder('utf8');
 	private readonly written: string[] = [];
-	private readonly got: string[] = [];
+	private readonly received: string[] = [];
 	private pending: Uint8Array = Buffer.alloc(0);
 	/** Text read so far. */
 	private text = '';
@@ -35,28 +35,28 @@
 		// Node emits no text for a chunk that holds only part of a character.
 		if (chunk !== '') {
 			this.text += chunk;
-			this.got.push(...this.splitter.split(chunk));
+			this.received.push(...this.splitter.split(chunk));
 		}
 
-		this.judge();
+		this.check();
 	}
 
 	deliverAll(): void {
 		this.deliver(this.pending.length);
-		assert.deepEqual(this.got, this.written, 'events of the complete stream, split in chunks');
+		assert.deepEqual(this.received, this.written, 'events of the complete stream, split in chunks');
 		assert.deepEqual(EventSplitter.create().split(this.text), this.written, 'events of the complete stream, split at once');
 		assert.equal(this.splitter.incompleteLength, 0, 'length of incomplete text after the last event');
 	}
 
 	/** @returns Whether the stream would end inside an event if it ended now. */
 	isInsideEvent(): boolean {
-		return this.text.length > this.got.join('').length;
+		return this.text.length > this.received.join('').length;
 	}
 
-	private judge(): void {
+	private check(): void {
 		const whole = this.text.split(blankLine).slice(0, -1).map(event => event + blankLine);
 		assert.deepEqual(whole, this.written.slice(0, whole.length), 'complete events in the text differ from the written events');
-		assert.deepEqual(this.got, whole, 'events from the splitter differ from the complete events received');
+		assert.deepEqual(this.received, whole, 'events from the splitter differ from the complete events received');
 		assert.equal(this.splitter.incompleteLength, this.text.length - whole.join('').length, 'reported length of the incomplete event');
 	}
 }
@@ -66,7 +66,7 @@
 	stream = new Stream();
 
 	/** Ends the current stream at its present position, and starts a new one. */
-	cut(): void {
+	endStream(): void {
 		this.faults += this.stream.isInsideEvent() ? 1 : 0;
 		this.stream = new Stream();
 	}
@@ -106,7 +106,7 @@
 	},
 	{
 		weight: 1, arbitrary: fc.constant(step<EventWorld>('the stream ends', world => {
-			world.cut();
+			world.endStream();
 		})),
 	},
 );
@@ -116,7 +116,7 @@
 	name: 'events',
 	steps,
 	create: () => new EventWorld(),
-	async judge({stream}) {
+	async check({stream}) {
 		stream.deliverAll();
 	},
 	faults: world => world.faults,
--- a/development/fuzz/fake-object-store.ts
+++ b/development/fuzz/fake-object-store.ts
@@ -15,7 +15,7 @@
 
 type Entry = {readonly version: ObjectVersion; readonly value: string};
 
-const lost = (mayHaveApplied: boolean) => Effect.fail(new StoreFailure({reason: 'unreachable', mayHaveApplied, detail: 'no answer'}));
+const failUnanswered = (mayHaveApplied: boolean) => Effect.fail(new StoreFailure({reason: 'unreachable', mayHaveApplied, detail: 'no answer'}));
 
 /** The objects, shared by all boxes. */
 export class FakeObjects {
@@ -89,22 +89,22 @@
 		return Effect.suspend(() => {
 			const fate = this.isOut ? 'outage' : (this.fates.shift() ?? 'normal');
 			this.objects.faults += fate === 'normal' ? 0 : 1;
-			return Effect.andThen(Effect.sleep(5), this.meet(fate, act, isWrite));
-		}).pipe(Effect.tap(() => this.thawed()));
+			return Effect.andThen(Effect.sleep(5), this.applyFate(fate, act, isWrite));
+		}).pipe(Effect.tap(() => this.whenResumed()));
 	}
 
-	private meet<Answer, Failure>(fate: CallFate, act: () => Effect.Effect<Answer, Failure>, isWrite: boolean): Effect.Effect<Answer, Failure | StoreFailure> {
+	private applyFate<Answer, Failure>(fate: CallFate, act: () => Effect.Effect<Answer, Failure>, isWrite: boolean): Effect.Effect<Answer, Failure | StoreFailure> {
 		switch (fate) {
 			case 'outage': {
-				return lost(false);
+				return failUnanswered(false);
 			}
 
 			case 'lost-call': {
-				return Effect.andThen(Effect.sleep(callTimeout), lost(isWrite));
+				return Effect.andThen(Effect.sleep(callTimeout), failUnanswered(isWrite));
 			}
 
 			case 'lost-answer': {
-				return Effect.suspend(() => Effect.andThen(Effect.ignore(act()), lost(isWrite)));
+				return Effect.suspend(() => Effect.andThen(Effect.ignore(act()), failUnanswered(isWrite)));
 			}
 
 			case 'late': {
@@ -113,7 +113,7 @@
 					setTimeout(() => {
 						Effect.runFork(Effect.ignore(Effect.suspend(act)));
 					}, callTimeout + 500);
-				}).pipe(Effect.andThen(Effect.sleep(callTimeout)), Effect.andThen(lost(isWrite)));
+				}).pipe(Effect.andThen(Effect.sleep(callTimeout)), Effect.andThen(failUnanswered(isWrite)));
 			}
 
 			case 'slow': {
@@ -126,9 +126,9 @@
 		}
 	}
 
-	private thawed(): Effect.Effect<void> {
+	private whenResumed(): Effect.Effect<void> {
 		return Effect.suspend((): Effect.Effect<void> => this.isFrozen
-			? Effect.andThen(Effect.sleep(50), this.thawed())
+			? Effect.andThen(Effect.sleep(50), this.whenResumed())
 			: Effect.void);
 	}
 }
--- a/development/fuzz/lease-suite.ts
+++ b/development/fuzz/lease-suite.ts
@@ -13,7 +13,7 @@
 
 const boxCount = 3;
 /** Milliseconds between two checks of the invariant. */
-const lookInterval = 50;
+const checkInterval = 50;
 
 type Candidate = {readonly store: FakeObjectStore; readonly lease: Lease; readonly generations: number[]};
 
@@ -40,10 +40,10 @@
 		return this.candidates.filter(({lease}) => lease.isHeld).length;
 	}
 
-	async pass(milliseconds: number): Promise<void> {
+	async advance(milliseconds: number): Promise<void> {
 		const endsAt = this.time.now + milliseconds;
 		while (this.time.now < endsAt) {
-			await this.time.advance(lookInterval);
+			await this.time.advance(checkInterval);
 			assert.ok(this.holders <= 1, `${this.holders} boxes hold the lease at ${this.time.now} ms`);
 		}
 	}
@@ -55,7 +55,7 @@
 const steps = fc.oneof(
 	{
 		weight: 4, arbitrary: fc.constantFrom(500, 3000, 9000, 15_000).map(milliseconds => step<LeaseWorld>(`wait ${milliseconds}`, async world => {
-			await world.pass(milliseconds);
+			await world.advance(milliseconds);
 		})),
 	},
 	{
@@ -80,14 +80,14 @@
 	name: 'leases',
 	steps,
 	create: time => new LeaseWorld(time),
-	async judge(world) {
+	async check(world) {
 		for (const {store} of world.candidates) {
 			store.isOut = false;
 			store.isFrozen = false;
 			store.fates = [];
 		}
 
-		await world.pass(30_000);
+		await world.advance(30_000);
 		assert.equal(world.holders, 1, 'number of lease holders 30 s after the last fault');
 		const generations = world.candidates.flatMap(candidate => candidate.generations);
 		assert.equal(new Set(generations).size, generations.length, `a generation was assigned twice: ${generations.join(', ')}`);
--- a/development/fuzz/stream-suite.ts
+++ b/development/fuzz/stream-suite.ts
@@ -76,11 +76,11 @@
 	/** Index of the box that the caller last connected to. */
 	box: number;
 	/** Events received so far. */
-	readonly got: string[];
+	readonly received: string[];
 	isConnected: boolean;
 	isSlow: boolean;
 	/** Reason for the end of the request, `finished` for a complete answer; `undefined` while it runs. */
-	ending: string | undefined;
+	outcome: string | undefined;
 	disconnect: () => void;
 };
 
@@ -96,10 +96,10 @@
 		this.boxes = Array.from({length: boxCount}, (_, index) => this.startBox(index));
 	}
 
-	begin(box: number, tokens: number): void {
+	startRequest(box: number, tokens: number): void {
 		const key = `request-${this.callers.length}` as RequestKey;
 		const caller: Caller = {
-			key, tokens, box, got: [], isConnected: false, isSlow: false, ending: undefined, disconnect: () => undefined,
+			key, tokens, box, received: [], isConnected: false, isSlow: false, outcome: undefined, disconnect: () => undefined,
 		};
 		this.callers.push(caller);
 		const record = RequestRecord.create({
@@ -112,7 +112,7 @@
 	}
 
 	/** Does what the HTTP handler for callers does when a connection closes. */
-	hangUp(caller: Caller): void {
+	disconnect(caller: Caller): void {
 		if (!caller.isConnected) {
 			return;
 		}
@@ -126,14 +126,14 @@
 	}
 
 	/** Does what the HTTP handler for callers does when a caller resumes, at the same box or at the other one. */
-	async comeBack(caller: Caller, box: number): Promise<void> {
-		if (caller.isConnected || caller.ending !== undefined) {
+	async resume(caller: Caller, box: number): Promise<void> {
+		if (caller.isConnected || caller.outcome !== undefined) {
 			return;
 		}
 
 		const record = this.boxes[box]!.dispatch.records.lookUp({account, key: caller.key}) ?? await this.takeOver(caller, box);
-		if (!record || record.position < caller.got.length) {
-			caller.ending = 'record-lost';
+		if (!record || record.position < caller.received.length) {
+			caller.outcome = 'record-lost';
 			return;
 		}
 
@@ -173,19 +173,19 @@
 
 	private connect(caller: Caller, record: RequestRecord): void {
 		caller.isConnected = true;
-		const take = (events: readonly string[], firstIndex: number) => {
-			assert.equal(firstIndex, caller.got.length, `${caller.key} got event ${firstIndex} after ${caller.got.length}`);
-			caller.got.push(...events);
+		const receive = (events: readonly string[], firstIndex: number) => {
+			assert.equal(firstIndex, caller.received.length, `${caller.key} got event ${firstIndex} after ${caller.received.length}`);
+			caller.received.push(...events);
 		};
 
 		const end = () => {
 			caller.isConnected = false;
 			if (record.refusal?.reason !== 'moved-to-peer') {
-				caller.ending = record.refusal?.reason ?? 'finished';
+				caller.outcome = record.refusal?.reason ?? 'finished';
 			}
 		};
 
-		take(record.events.slice(caller.got.length), caller.got.length);
+		receive(record.events.slice(caller.received.length), caller.received.length);
 		if (record.state === 'finished' || record.state === 'refused') {
 			end();
 			return;
@@ -193,7 +193,7 @@
 
 		const stop = record.listen({
 			onEvents(events, firstIndex) {
-				take(events, firstIndex);
+				receive(events, firstIndex);
 				return !caller.isSlow;
 			},
 			onEnd: end,
@@ -292,7 +292,7 @@
 const steps = fc.oneof(
 	{
 		weight: 4, arbitrary: fc.tuple(anyBox, fc.integer({min: 1, max: 120})).map(([box, tokens]) => step<StreamWorld>(`request ${tokens} tokens at box ${box}`, world => {
-			world.begin(box, tokens);
+			world.startRequest(box, tokens);
 		})),
 	},
 	{
@@ -302,12 +302,12 @@
 	},
 	{
 		weight: 2, arbitrary: anyCaller.map(index => step<StreamWorld>(`caller ${index} disconnects`, withCaller(index, (world, caller) => {
-			world.hangUp(caller);
+			world.disconnect(caller);
 		}))),
 	},
 	{
 		weight: 3, arbitrary: fc.tuple(anyCaller, anyBox).map(([index, box]) => step<StreamWorld>(`caller ${index} resumes at box ${box}`, withCaller(index, async (world, caller) => {
-			await world.comeBack(caller, box);
+			await world.resume(caller, box);
 		}))),
 	},
 	{
@@ -358,7 +358,7 @@
 	name: 'streams',
 	steps,
 	create: time => new StreamWorld(time),
-	async judge(world, time) {
+	async check(world, time) {
 		for (const engine of world.engines.values()) {
 			engine.mode = engine.mode === 'leaving' ? 'leaving' : 'serves';
 		}
@@ -371,17 +371,17 @@
 		for (let round = 0; round < 4; round++) {
 			await time.advance(30_000);
 			for (const caller of world.callers) {
-				await world.comeBack(caller, caller.box);
+				await world.resume(caller, caller.box);
 			}
 		}
 
 		await time.advance(30_000);
-		for (const {key, tokens, got, ending} of world.callers) {
-			assert.deepEqual(got, Array.from({length: got.length}, (_, index) => tokenEvent(key, index)), `${key} received tokens of another request, or in the wrong order`);
-			assert.ok(ending !== undefined, `${key} did not end; it received ${got.length} of ${tokens} tokens`);
-			assert.ok(ending !== 'finished' || got.length === tokens, `${key} ended as finished with ${got.length} of ${tokens} tokens`);
+		for (const {key, tokens, received, outcome} of world.callers) {
+			assert.deepEqual(received, Array.from({length: received.length}, (_, index) => tokenEvent(key, index)), `${key} received tokens of another request, or in the wrong order`);
+			assert.ok(outcome !== undefined, `${key} did not end; it received ${received.length} of ${tokens} tokens`);
+			assert.ok(outcome !== 'finished' || received.length === tokens, `${key} ended as finished with ${received.length} of ${tokens} tokens`);
 			// A request that has started must complete, since the last engine never fails in this suite.
-			assert.ok(got.length === 0 || ending === 'finished', `${key} was abandoned after ${got.length} of ${tokens} tokens: ${ending}`);
+			assert.ok(received.length === 0 || outcome === 'finished', `${key} was abandoned after ${received.length} of ${tokens} tokens: ${outcome}`);
 		}
 	},
 	faults: world => world.faults,
--- a/development/fuzz/suite.ts
+++ b/development/fuzz/suite.ts
@@ -17,7 +17,7 @@
 	readonly steps: fc.Arbitrary<Step<World>>;
 	readonly create: (time: VirtualTime) => World;
 	/** Clears all faults, lets pending work complete, and throws if an invariant is violated. */
-	readonly judge: (world: World, time: VirtualTime) => Promise<void>;
+	readonly check: (world: World, time: VirtualTime) => Promise<void>;
 	/** Number of faults that took effect in the history. */
 	readonly faults: (world: World) => number;
 };
@@ -38,7 +38,7 @@
 };
 
 /** Maximum number of steps of a history. */
-const longestHistory = 40;
+const maxHistorySteps = 40;
 
 /**
  * Runs a suite. If a history fails, throws an error with the seed and the path that replay the smallest failing history.
@@ -49,7 +49,7 @@
  */
 export async function runSuite<World>(suite: Suite<World>, options: FuzzOptions): Promise<FuzzReport> {
 	const report: FuzzReport = {histories: 0, steps: 0, faults: 0};
-	const history = fc.array(suite.steps, {minLength: 1, maxLength: longestHistory, size: 'max'});
+	const history = fc.array(suite.steps, {minLength: 1, maxLength: maxHistorySteps, size: 'max'});
 	const property = fc.asyncProperty(history, async steps => {
 		const time = VirtualTime.start();
 		try {
@@ -59,7 +59,7 @@
 				await time.settle();
 			}
 
-			await suite.judge(world, time);
+			await suite.check(world, time);
 			report.histories++;
 			report.steps += steps.length;
 			report.faults += suite.faults(world);
--- a/development/fuzz/table-suite.ts
+++ b/development/fuzz/table-suite.ts
@@ -26,17 +26,17 @@
 	readonly boxes: ReadonlyArray<{readonly store: FakeObjectStore; readonly view: TableView}>;
 	readonly outcomes: Outcome[] = [];
 	/** Table versions that came into force, in order, for each box. */
-	readonly seen: ReadonlyArray<readonly number[]>;
+	readonly appliedVersions: ReadonlyArray<readonly number[]>;
 	pending = 0;
 	private edits = 0;
 	private readonly accepted: Array<{readonly version: number; readonly value: string}> = [];
 
 	constructor(readonly time: VirtualTime) {
 		this.objects = new FakeObjects(() => time.now);
-		this.keepAccepted();
+		this.recordAccepted();
 		this.operators = Array.from({length: operatorCount}, () => FakeObjectStore.create(this.objects));
 		const seen: number[][] = [];
-		this.seen = seen;
+		this.appliedVersions = seen;
 		this.boxes = Array.from({length: boxCount}, (_, index) => {
 			const log = SilentEventLog.create();
 			const store = FakeObjectStore.create(this.objects);
@@ -83,7 +83,7 @@
 		}
 	}
 
-	private keepAccepted(): void {
+	private recordAccepted(): void {
 		const write = this.objects.write.bind(this.objects);
 		this.objects.write = (key, value, expected) => {
 			const version = write(key, value, expected);
@@ -134,7 +134,7 @@
 	name: 'table',
 	steps,
 	create: time => new TableWorld(time),
-	async judge(world, time) {
+	async check(world, time) {
 		for (const store of [...world.operators, ...world.boxes.map(box => box.store)]) {
 			store.isOut = false;
 			store.fates = [];
@@ -145,13 +145,13 @@
 		const reading = Effect.runPromise(TableEditor.create(FakeObjectStore.create(world.objects)).history(100));
 		await time.advance(5000);
 		const history = await reading;
-		judgeOutcomes(world, history);
-		judgeBoxes(world);
+		checkOutcomes(world, history);
+		checkBoxes(world);
 	},
 	faults: world => world.objects.faults,
 };
 
-function judgeOutcomes(world: TableWorld, history: ReadonlyArray<{readonly edit: {readonly comment: string}; readonly version: number}>): void {
+function checkOutcomes(world: TableWorld, history: ReadonlyArray<{readonly edit: {readonly comment: string}; readonly version: number}>): void {
 	for (const {name, kind, version} of world.outcomes) {
 		const accepted = history.find(({edit}) => edit.comment === name);
 		if (kind === 'accepted') {
@@ -162,9 +162,9 @@
 	}
 }
 
-function judgeBoxes(world: TableWorld): void {
+function checkBoxes(world: TableWorld): void {
 	const current = world.objects.read(tableKey).version;
-	for (const [index, versions] of world.seen.entries()) {
+	for (const [index, versions] of world.appliedVersions.entries()) {
 		assert.deepEqual([...versions].sort((left, right) => left - right), versions, `box ${index} returned to an older version: ${versions.join(', ')}`);
 		assert.equal(world.boxes[index]!.view.version, current, `box ${index} does not have the current version`);
 	}
