--- a/development/fuzz/ceiling-suite.ts
+++ b/development/fuzz/ceiling-suite.ts
@@ -1,5 +1,6 @@
 /**
- * "The sum over boxes never passes the ceiling", over the real owner and spender, with links that part.
+ * Invariant: the sum of the rates over all boxes never exceeds the ceiling. Runs the real ceiling owners and spenders under network
+ * partitions.
  */
 import assert from 'node:assert/strict';
 import fc from 'fast-check';
@@ -10,20 +11,23 @@
 import {VirtualClock, type VirtualTime} from './virtual-time.js';
 
 const boxCount = 5;
+/** Units per second, for each row. */
 const ceiling = 100;
 const rows = ['acme/bulletin/write', 'acme/bulletin/read'];
+/** Milliseconds between two exchanges of all boxes. */
 const exchangeInterval = 500;
-const lookInterval = 100;
-/** Rounding. */
+/** Milliseconds between two checks of the invariant. */
+const checkInterval = 100;
+/** Allows for rounding errors. */
 const tolerance = 1e-6;
 
-type Box = {readonly id: BoxId; ceilings: Ceilings; owner: CeilingOwner; isFrozen: boolean; group: number};
+type Box = {readonly id: BoxId; ceilings: Ceilings; owner: CeilingOwner; isSuspended: boolean; partition: number};
 
 class CeilingWorld {
 	readonly ids = Array.from({length: boxCount}, (_, index) => `box-${index}` as BoxId);
 	readonly boxes: Box[];
 	faults = 0;
-	worst = 0;
+	maxSum = 0;
 
 	constructor(readonly time: VirtualTime) {
 		this.boxes = this.ids.map((id, index) => this.start(id, index));
@@ -31,17 +35,17 @@
 
 	start(id: BoxId, index: number): Box {
 		const facts: CeilingFacts = {ceiling: () => ceiling, rows: () => rows, entryBoxes: () => this.ids};
-		// Monotonic clocks of boxes have nothing to do with each other.
+		// The monotonic clocks of different boxes are unrelated.
 		const clock = VirtualClock.create(this.time, index * 1_000_000);
 		return {
-			id, ceilings: Ceilings.create(id, facts, clock), owner: CeilingOwner.create(facts, clock), isFrozen: false, group: 0,
+			id, ceilings: Ceilings.create(id, facts, clock), owner: CeilingOwner.create(facts, clock), isSuspended: false, partition: 0,
 		};
 	}
 
-	/** All that can talk exchange with all; the answer to one in three may come late. */
+	/** Exchanges demands and grants between all pairs of boxes of the same partition that are not suspended. */
 	exchange(): void {
-		for (const asker of this.boxes.filter(({isFrozen}) => !isFrozen)) {
-			const reachable = this.boxes.filter(({group, isFrozen}) => group === asker.group && !isFrozen);
+		for (const asker of this.boxes.filter(({isSuspended}) => !isSuspended)) {
+			const reachable = this.boxes.filter(({partition, isSuspended}) => partition === asker.partition && !isSuspended);
 			for (const owner of reachable) {
 				const askedAt = this.time.now + (this.ids.indexOf(asker.id) * 1_000_000);
 				const demands = asker.ceilings.demandsFor(owner.id, reachable.map(({id}) => id));
@@ -57,15 +61,15 @@
 				sum += ceilings.rate(row);
 			}
 
-			this.worst = Math.max(this.worst, sum);
-			assert.ok(sum <= ceiling + tolerance, `rates of ${row} sum up to ${sum} at ${this.time.now} ms`);
+			this.maxSum = Math.max(this.maxSum, sum);
+			assert.ok(sum <= ceiling + tolerance, `rates of ${row} add up to ${sum}, above the ceiling, at ${this.time.now} ms`);
 		}
 	}
 
-	async pass(milliseconds: number): Promise<void> {
+	async advance(milliseconds: number): Promise<void> {
 		const endsAt = this.time.now + milliseconds;
 		while (this.time.now < endsAt) {
-			await this.time.advance(lookInterval);
+			await this.time.advance(checkInterval);
 			if (this.time.now % exchangeInterval === 0) {
 				this.exchange();
 			}
@@ -86,45 +90,45 @@
 	},
 	{
 		weight: 4, arbitrary: fc.constantFrom(500, 1000, 3000, 6000).map(milliseconds => step<CeilingWorld>(`wait ${milliseconds}`, async world => {
-			await world.pass(milliseconds);
+			await world.advance(milliseconds);
 		})),
 	},
 	{
 		weight: 2, arbitrary: fc.array(fc.integer({min: 0, max: 1}), {minLength: boxCount, maxLength: boxCount}).map(groups =>
-			step<CeilingWorld>(`parted as ${groups.join('')}`, world => {
+			step<CeilingWorld>(`partition boxes as ${groups.join('')}`, world => {
 				world.faults++;
 				for (const [index, group] of groups.entries()) {
-					world.boxes[index]!.group = group;
+					world.boxes[index]!.partition = group;
 				}
 			})),
 	},
 	{
-		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isFrozen]) => step<CeilingWorld>(`frozen ${box}: ${String(isFrozen)}`, world => {
+		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isSuspended]) => step<CeilingWorld>(`box ${box} suspended: ${String(isSuspended)}`, world => {
 			world.faults++;
-			world.boxes[box]!.isFrozen = isFrozen;
+			world.boxes[box]!.isSuspended = isSuspended;
 		})),
 	},
 );
 
-/** The ceilings of five boxes whose links part and whose owners freeze. */
+/** Ceilings of five boxes under network partitions and suspended owners. */
 export const ceilingSuite: Suite<CeilingWorld> = {
 	name: 'ceilings',
 	steps,
 	create: time => new CeilingWorld(time),
-	async judge(world) {
+	async check(world) {
 		for (const box of world.boxes) {
-			box.group = 0;
-			box.isFrozen = false;
+			box.partition = 0;
+			box.isSuspended = false;
 		}
 
-		await world.pass(12_000);
-		// An idle share is usable by others: after a quiet while one box alone may have nearly all.
+		await world.advance(12_000);
+		// Other boxes can use an idle share: after an idle period, a single busy box gets nearly the whole ceiling.
 		for (let round = 0; round < 20; round++) {
 			world.boxes[0]!.ceilings.take(rows[0]!, 100);
-			await world.pass(500);
+			await world.advance(500);
 		}
 
-		assert.ok(world.boxes[0]!.ceilings.rate(rows[0]!) >= ceiling * 0.8, `one busy box gets ${world.boxes[0]!.ceilings.rate(rows[0]!)} of ${ceiling}`);
+		assert.ok(world.boxes[0]!.ceilings.rate(rows[0]!) >= ceiling * 0.8, `a single busy box gets only ${world.boxes[0]!.ceilings.rate(rows[0]!)} of ${ceiling}`);
 	},
 	faults: world => world.faults,
 };
--- a/development/fuzz/fake-object-store.ts
+++ b/development/fuzz/fake-object-store.ts
@@ -1,26 +1,26 @@
 /**
- * The Object API in memory, with the faults of the brief: outages, slowness, answers lost after the write
- * took effect, and writes that take effect after their caller has given up.
+ * An in-memory object store with injected faults: outages, slow calls, answers lost after the write took effect, and writes that take
+ * effect after the caller's timeout.
  */
 import * as Effect from 'effect/Effect';
 import {
 	ObjectStore, StoreFailure, VersionConflict, type ObjectVersion, type StoredObject,
 } from '../../src/external/object-store.js';
 
-/** Milliseconds after which a caller gives a call up. */
+/** Timeout of a call in milliseconds. */
 const callTimeout = 2000;
 
-/** What happens to one call. */
+/** Outcome of one call. */
 export type CallFate = 'normal' | 'lost-answer' | 'lost-call' | 'late' | 'slow' | 'outage';
 
 type Entry = {readonly version: ObjectVersion; readonly value: string};
 
-const lost = (mayHaveApplied: boolean) => Effect.fail(new StoreFailure({reason: 'unreachable', mayHaveApplied, detail: 'no answer'}));
+const failUnanswered = (mayHaveApplied: boolean) => Effect.fail(new StoreFailure({reason: 'unreachable', mayHaveApplied, detail: 'no answer'}));
 
 /** The objects, shared by all boxes. */
 export class FakeObjects {
 	readonly entries = new Map<string, Entry>();
-	/** Faults that took place. */
+	/** Number of injected faults that took effect. */
 	faults = 0;
 	private version = 0;
 
@@ -43,20 +43,21 @@
 	}
 }
 
-/** The store as one box reaches it. */
+/** The store as seen by one box. */
 export class FakeObjectStore extends ObjectStore {
 	/**
-	 * @param objects - Shared by all boxes.
+	 * @param objects - Objects that all boxes share.
 	 * @returns A store without faults.
 	 */
 	static create(objects: FakeObjects): FakeObjectStore {
 		return new FakeObjectStore(objects);
 	}
 
-	/** Fates of the next calls; normal when there are none. */
+	/** Outcomes of the next calls, in order; calls beyond the last are normal. */
 	fates: CallFate[] = [];
+	/** Whether the store is unavailable to this box. */
 	isOut = false;
-	/** While set, answers wait: the box is frozen. */
+	/** Whether the box is suspended; answers are delivered once it resumes. */
 	isFrozen = false;
 
 	private constructor(private readonly objects: FakeObjects) {
@@ -88,31 +89,31 @@
 		return Effect.suspend(() => {
 			const fate = this.isOut ? 'outage' : (this.fates.shift() ?? 'normal');
 			this.objects.faults += fate === 'normal' ? 0 : 1;
-			return Effect.andThen(Effect.sleep(5), this.meet(fate, act, isWrite));
-		}).pipe(Effect.tap(() => this.thawed()));
+			return Effect.andThen(Effect.sleep(5), this.applyFate(fate, act, isWrite));
+		}).pipe(Effect.tap(() => this.whenResumed()));
 	}
 
-	private meet<Answer, Failure>(fate: CallFate, act: () => Effect.Effect<Answer, Failure>, isWrite: boolean): Effect.Effect<Answer, Failure | StoreFailure> {
+	private applyFate<Answer, Failure>(fate: CallFate, act: () => Effect.Effect<Answer, Failure>, isWrite: boolean): Effect.Effect<Answer, Failure | StoreFailure> {
 		switch (fate) {
 			case 'outage': {
-				return lost(false);
+				return failUnanswered(false);
 			}
 
 			case 'lost-call': {
-				return Effect.andThen(Effect.sleep(callTimeout), lost(isWrite));
+				return Effect.andThen(Effect.sleep(callTimeout), failUnanswered(isWrite));
 			}
 
 			case 'lost-answer': {
-				return Effect.suspend(() => Effect.andThen(Effect.ignore(act()), lost(isWrite)));
+				return Effect.suspend(() => Effect.andThen(Effect.ignore(act()), failUnanswered(isWrite)));
 			}
 
 			case 'late': {
-				// It takes effect when its caller has long given up.
+				// The write takes effect after the caller's timeout.
 				return Effect.sync(() => {
 					setTimeout(() => {
 						Effect.runFork(Effect.ignore(Effect.suspend(act)));
 					}, callTimeout + 500);
-				}).pipe(Effect.andThen(Effect.sleep(callTimeout)), Effect.andThen(lost(isWrite)));
+				}).pipe(Effect.andThen(Effect.sleep(callTimeout)), Effect.andThen(failUnanswered(isWrite)));
 			}
 
 			case 'slow': {
@@ -125,9 +126,9 @@
 		}
 	}
 
-	private thawed(): Effect.Effect<void> {
+	private whenResumed(): Effect.Effect<void> {
 		return Effect.suspend((): Effect.Effect<void> => this.isFrozen
-			? Effect.andThen(Effect.sleep(50), this.thawed())
+			? Effect.andThen(Effect.sleep(50), this.whenResumed())
 			: Effect.void);
 	}
 }
--- a/development/fuzz/lease-suite.ts
+++ b/development/fuzz/lease-suite.ts
@@ -1,5 +1,5 @@
 /**
- * "At most one holder", over the real lease, with frozen boxes, late writes and lost answers.
+ * Invariant: at most one box holds the lease. Runs the real lease with suspended boxes, late writes and lost answers.
  */
 import assert from 'node:assert/strict';
 import * as Effect from 'effect/Effect';
@@ -12,7 +12,8 @@
 import {VirtualClock, type VirtualTime} from './virtual-time.js';
 
 const boxCount = 3;
-const lookInterval = 50;
+/** Milliseconds between two checks of the invariant. */
+const checkInterval = 50;
 
 type Candidate = {readonly store: FakeObjectStore; readonly lease: Lease; readonly generations: number[]};
 
@@ -39,10 +40,10 @@
 		return this.candidates.filter(({lease}) => lease.isHeld).length;
 	}
 
-	async pass(milliseconds: number): Promise<void> {
+	async advance(milliseconds: number): Promise<void> {
 		const endsAt = this.time.now + milliseconds;
 		while (this.time.now < endsAt) {
-			await this.time.advance(lookInterval);
+			await this.time.advance(checkInterval);
 			assert.ok(this.holders <= 1, `${this.holders} boxes hold the lease at ${this.time.now} ms`);
 		}
 	}
@@ -54,42 +55,42 @@
 const steps = fc.oneof(
 	{
 		weight: 4, arbitrary: fc.constantFrom(500, 3000, 9000, 15_000).map(milliseconds => step<LeaseWorld>(`wait ${milliseconds}`, async world => {
-			await world.pass(milliseconds);
+			await world.advance(milliseconds);
 		})),
 	},
 	{
-		weight: 3, arbitrary: fc.tuple(anyBox, callFates).map(([box, fates]) => step<LeaseWorld>(`next calls of ${box}: ${fates.join(', ')}`, world => {
+		weight: 3, arbitrary: fc.tuple(anyBox, callFates).map(([box, fates]) => step<LeaseWorld>(`next store calls of box ${box}: ${fates.join(', ')}`, world => {
 			world.candidates[box]!.store.fates.push(...fates);
 		})),
 	},
 	{
-		weight: 2, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isFrozen]) => step<LeaseWorld>(`frozen ${box}: ${String(isFrozen)}`, world => {
+		weight: 2, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isFrozen]) => step<LeaseWorld>(`box ${box} suspended: ${String(isFrozen)}`, world => {
 			world.candidates[box]!.store.isFrozen = isFrozen;
 		})),
 	},
 	{
-		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isOut]) => step<LeaseWorld>(`store out for ${box}: ${String(isOut)}`, world => {
+		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isOut]) => step<LeaseWorld>(`store unavailable for box ${box}: ${String(isOut)}`, world => {
 			world.candidates[box]!.store.isOut = isOut;
 		})),
 	},
 );
 
-/** Three candidates for one duty. */
+/** Three boxes that compete for one lease. */
 export const leaseSuite: Suite<LeaseWorld> = {
 	name: 'leases',
 	steps,
 	create: time => new LeaseWorld(time),
-	async judge(world) {
+	async check(world) {
 		for (const {store} of world.candidates) {
 			store.isOut = false;
 			store.isFrozen = false;
 			store.fates = [];
 		}
 
-		await world.pass(30_000);
-		assert.equal(world.holders, 1, 'nobody holds the lease when all is well');
+		await world.advance(30_000);
+		assert.equal(world.holders, 1, 'number of lease holders 30 s after the last fault');
 		const generations = world.candidates.flatMap(candidate => candidate.generations);
-		assert.equal(new Set(generations).size, generations.length, `a generation was given twice: ${generations.join(', ')}`);
+		assert.equal(new Set(generations).size, generations.length, `a generation was assigned twice: ${generations.join(', ')}`);
 	},
 	faults: world => world.objects.faults,
 };
--- a/development/fuzz/stream-suite.ts
+++ b/development/fuzz/stream-suite.ts
@@ -1,6 +1,6 @@
 /**
- * "Each caller receives the whole answer to its own request", over the real runs and records of two boxes,
- * with engines that fail and leave, callers that hang up and come back, and requests handed over.
+ * Invariant: each caller receives the complete answer to its own request. Runs the real request runs and records of two boxes, with engines
+ * that fail and leave, callers that disconnect and resume, and requests that are handed over.
  */
 import assert from 'node:assert/strict';
 import * as Effect from 'effect/Effect';
@@ -69,16 +69,18 @@
 	readonly handOver: RecordHandOver;
 };
 
-/** A caller and what it got. */
+/** A caller and the events that it received. */
 type Caller = {
 	readonly key: RequestKey;
 	readonly tokens: number;
-	/** Box that it last spoke to. */
+	/** Index of the box that the caller last connected to. */
 	box: number;
-	readonly got: string[];
+	/** Events received so far. */
+	readonly received: string[];
 	isConnected: boolean;
 	isSlow: boolean;
-	ending: string | undefined;
+	/** Reason for the end of the request, `finished` for a complete answer; `undefined` while it runs. */
+	outcome: string | undefined;
 	disconnect: () => void;
 };
 
@@ -94,10 +96,10 @@
 		this.boxes = Array.from({length: boxCount}, (_, index) => this.startBox(index));
 	}
 
-	begin(box: number, tokens: number): void {
+	startRequest(box: number, tokens: number): void {
 		const key = `request-${this.callers.length}` as RequestKey;
 		const caller: Caller = {
-			key, tokens, box, got: [], isConnected: false, isSlow: false, ending: undefined, disconnect: () => undefined,
+			key, tokens, box, received: [], isConnected: false, isSlow: false, outcome: undefined, disconnect: () => undefined,
 		};
 		this.callers.push(caller);
 		const record = RequestRecord.create({
@@ -109,8 +111,8 @@
 		this.run(box, record, tokens, 'new');
 	}
 
-	/** As the callers' door does when a connection closes. */
-	hangUp(caller: Caller): void {
+	/** Does what the HTTP handler for callers does when a connection closes. */
+	disconnect(caller: Caller): void {
 		if (!caller.isConnected) {
 			return;
 		}
@@ -123,15 +125,15 @@
 		}
 	}
 
-	/** As the callers' door does when a caller resumes: here, or from the other box. */
-	async comeBack(caller: Caller, box: number): Promise<void> {
-		if (caller.isConnected || caller.ending !== undefined) {
+	/** Does what the HTTP handler for callers does when a caller resumes, at the same box or at the other one. */
+	async resume(caller: Caller, box: number): Promise<void> {
+		if (caller.isConnected || caller.outcome !== undefined) {
 			return;
 		}
 
 		const record = this.boxes[box]!.dispatch.records.lookUp({account, key: caller.key}) ?? await this.takeOver(caller, box);
-		if (!record || record.position < caller.got.length) {
-			caller.ending = 'record-lost';
+		if (!record || record.position < caller.received.length) {
+			caller.outcome = 'record-lost';
 			return;
 		}
 
@@ -144,7 +146,7 @@
 		this.connect(caller, record);
 	}
 
-	/** The box is taken back: what runs goes over to the other one. */
+	/** Reclaims a box: its requests in progress are handed over to the other box. */
 	reclaimBox(box: number): void {
 		this.faults++;
 		Effect.runFork(this.boxes[box]!.handOver.moveActive());
@@ -171,19 +173,19 @@
 
 	private connect(caller: Caller, record: RequestRecord): void {
 		caller.isConnected = true;
-		const take = (events: readonly string[], firstIndex: number) => {
-			assert.equal(firstIndex, caller.got.length, `${caller.key} got event ${firstIndex} after ${caller.got.length}`);
-			caller.got.push(...events);
+		const receive = (events: readonly string[], firstIndex: number) => {
+			assert.equal(firstIndex, caller.received.length, `${caller.key} got event ${firstIndex} after ${caller.received.length}`);
+			caller.received.push(...events);
 		};
 
 		const end = () => {
 			caller.isConnected = false;
 			if (record.refusal?.reason !== 'moved-to-peer') {
-				caller.ending = record.refusal?.reason ?? 'finished';
+				caller.outcome = record.refusal?.reason ?? 'finished';
 			}
 		};
 
-		take(record.events.slice(caller.got.length), caller.got.length);
+		receive(record.events.slice(caller.received.length), caller.received.length);
 		if (record.state === 'finished' || record.state === 'refused') {
 			end();
 			return;
@@ -191,7 +193,7 @@
 
 		const stop = record.listen({
 			onEvents(events, firstIndex) {
-				take(events, firstIndex);
+				receive(events, firstIndex);
 				return !caller.isSlow;
 			},
 			onEnd: end,
@@ -289,8 +291,8 @@
 
 const steps = fc.oneof(
 	{
-		weight: 4, arbitrary: fc.tuple(anyBox, fc.integer({min: 1, max: 120})).map(([box, tokens]) => step<StreamWorld>(`ask for ${tokens} at ${box}`, world => {
-			world.begin(box, tokens);
+		weight: 4, arbitrary: fc.tuple(anyBox, fc.integer({min: 1, max: 120})).map(([box, tokens]) => step<StreamWorld>(`request ${tokens} tokens at box ${box}`, world => {
+			world.startRequest(box, tokens);
 		})),
 	},
 	{
@@ -299,13 +301,13 @@
 		})),
 	},
 	{
-		weight: 2, arbitrary: anyCaller.map(index => step<StreamWorld>(`caller ${index} hangs up`, withCaller(index, (world, caller) => {
-			world.hangUp(caller);
+		weight: 2, arbitrary: anyCaller.map(index => step<StreamWorld>(`caller ${index} disconnects`, withCaller(index, (world, caller) => {
+			world.disconnect(caller);
 		}))),
 	},
 	{
-		weight: 3, arbitrary: fc.tuple(anyCaller, anyBox).map(([index, box]) => step<StreamWorld>(`caller ${index} comes back at ${box}`, withCaller(index, async (world, caller) => {
-			await world.comeBack(caller, box);
+		weight: 3, arbitrary: fc.tuple(anyCaller, anyBox).map(([index, box]) => step<StreamWorld>(`caller ${index} resumes at box ${box}`, withCaller(index, async (world, caller) => {
+			await world.resume(caller, box);
 		}))),
 	},
 	{
@@ -317,12 +319,12 @@
 		}))),
 	},
 	{
-		weight: 2, arbitrary: anyEngine.map(index => step<StreamWorld>(`engine ${index} cuts`, atEngine(index, engine => {
+		weight: 2, arbitrary: anyEngine.map(index => step<StreamWorld>(`engine ${index} cuts its answers`, atEngine(index, engine => {
 			engine.cutAll();
 		}))),
 	},
 	{
-		weight: 1, arbitrary: anyEngine.map(index => step<StreamWorld>(`engine ${index} stalls`, atEngine(index, engine => {
+		weight: 1, arbitrary: anyEngine.map(index => step<StreamWorld>(`engine ${index} stalls its answers`, atEngine(index, engine => {
 			engine.stallAll();
 		}))),
 	},
@@ -333,7 +335,7 @@
 			}))),
 	},
 	{
-		weight: 1, arbitrary: fc.tuple(anyEngine, fc.constantFrom(500, 3000)).map(([index, notice]) => step<StreamWorld>(`engine ${index} goes in ${notice}`, atEngine(index, (engine, world) => {
+		weight: 1, arbitrary: fc.tuple(anyEngine, fc.constantFrom(500, 3000)).map(([index, notice]) => step<StreamWorld>(`engine ${index} leaves in ${notice} ms`, atEngine(index, (engine, world) => {
 			engine.mode = 'leaving';
 			for (const {directory} of world.boxes) {
 				directory.markLeaving(`engine-${index}` as BoxId, 'reclaim-notice', world.time.now + notice);
@@ -345,18 +347,18 @@
 		}))),
 	},
 	{
-		weight: 1, arbitrary: anyBox.map(box => step<StreamWorld>(`box ${box} hands over`, world => {
+		weight: 1, arbitrary: anyBox.map(box => step<StreamWorld>(`box ${box} hands over its requests`, world => {
 			world.reclaimBox(box);
 		})),
 	},
 );
 
-/** Two boxes, four engines, and callers that come and go. */
+/** Two boxes, four engines, and callers that disconnect and resume. */
 export const streamSuite: Suite<StreamWorld> = {
 	name: 'streams',
 	steps,
 	create: time => new StreamWorld(time),
-	async judge(world, time) {
+	async check(world, time) {
 		for (const engine of world.engines.values()) {
 			engine.mode = engine.mode === 'leaving' ? 'leaving' : 'serves';
 		}
@@ -369,17 +371,17 @@
 		for (let round = 0; round < 4; round++) {
 			await time.advance(30_000);
 			for (const caller of world.callers) {
-				await world.comeBack(caller, caller.box);
+				await world.resume(caller, caller.box);
 			}
 		}
 
 		await time.advance(30_000);
-		for (const {key, tokens, got, ending} of world.callers) {
-			assert.deepEqual(got, Array.from({length: got.length}, (_, index) => tokenEvent(key, index)), `${key} got another's tokens`);
-			assert.ok(ending !== undefined, `${key} never ended, at ${got.length} of ${tokens}`);
-			assert.ok(ending !== 'finished' || got.length === tokens, `${key} ended with ${got.length} of ${tokens}`);
-			// Once it has begun, it completes: engines that stay are never all gone here.
-			assert.ok(got.length === 0 || ending === 'finished', `${key} was given up at ${got.length} of ${tokens}: ${ending}`);
+		for (const {key, tokens, received, outcome} of world.callers) {
+			assert.deepEqual(received, Array.from({length: received.length}, (_, index) => tokenEvent(key, index)), `${key} received tokens of another request, or in the wrong order`);
+			assert.ok(outcome !== undefined, `${key} did not end; it received ${received.length} of ${tokens} tokens`);
+			assert.ok(outcome !== 'finished' || received.length === tokens, `${key} ended as finished with ${received.length} of ${tokens} tokens`);
+			// A request that has started must complete, since the last engine never fails in this suite.
+			assert.ok(received.length === 0 || outcome === 'finished', `${key} was abandoned after ${received.length} of ${tokens} tokens: ${outcome}`);
 		}
 	},
 	faults: world => world.faults,
--- a/development/soak/datagram-proxy.ts
+++ b/development/soak/datagram-proxy.ts
@@ -1,52 +1,52 @@
 /**
- * Stands before the UDP port of one box on loopback, and loses, delays or cuts off what passes. Development only.
+ * Proxy in front of the UDP port of one box on loopback that drops, duplicates, delays or blocks datagrams. Development only.
  */
 import {createSocket, type Socket} from 'node:dgram';
 import {once} from 'node:events';
 
-/** What is done to datagrams, until changed. */
+/** Fault that applies to all datagrams until it is changed. */
 export type DatagramFault =
 	| {readonly kind: 'none'}
-	/** This part of them is lost, and as many come twice. */
+	/** This fraction of the datagrams is lost, and the same fraction is duplicated. */
 	| {readonly kind: 'lose'; readonly part: number}
-	/** Each waits up to so many milliseconds by itself, so that later ones overtake it. */
+	/** Each datagram is delayed independently by up to this many milliseconds, so that later ones may overtake it. */
 	| {readonly kind: 'delay'; readonly milliseconds: number}
-	/** None comes from these ports; what goes the other way is another proxy's. */
+	/** Datagrams from these ports are dropped; the opposite direction passes through the proxy of the other box. */
 	| {readonly kind: 'cut-from'; readonly ports: ReadonlySet<number>};
 
 const loopback = '127.0.0.1';
 
-/** @returns A UDP port of loopback that nobody listens on. */
+/** @returns A free UDP port of loopback. */
 export async function freeDatagramPort(): Promise<number> {
-	const socket = await boundTo(0);
+	const socket = await bindSocket(0);
 	const {port} = socket.address();
 	socket.close();
 	return port;
 }
 
-async function boundTo(port: number): Promise<Socket> {
+async function bindSocket(port: number): Promise<Socket> {
 	const socket = createSocket('udp4');
 	socket.bind(port, loopback);
 	await once(socket, 'listening');
 	return socket;
 }
 
-/** The proxy. */
+/** Proxy in front of one UDP port. */
 export class DatagramProxy {
 	/**
-	 * @param toldPort - Port at which it listens.
+	 * @param toldPort - Port on which the proxy listens.
 	 * @param ownPort - Port of the box.
-	 * @param random - Draws which are lost, and how long they wait.
+	 * @param random - Draws which datagrams are lost or duplicated, and their delays.
 	 * @returns The proxy, listening.
 	 */
 	static async create(toldPort: number, ownPort: number, random: () => number): Promise<DatagramProxy> {
-		return new DatagramProxy(await boundTo(toldPort), ownPort, random);
+		return new DatagramProxy(await bindSocket(toldPort), ownPort, random);
 	}
 
-	/** Datagrams that were lost, came twice, or were late. */
-	struck = 0;
+	/** Number of datagrams that were dropped, duplicated or delayed. */
+	affected = 0;
 	fault: DatagramFault = {kind: 'none'};
-	/** Whether nothing passes, whatever else is done. */
+	/** Whether all datagrams are dropped, whatever the fault in force. */
 	isShut = false;
 	private isClosed = false;
 
@@ -59,7 +59,7 @@
 		});
 	}
 
-	/** Ends it. */
+	/** Closes the socket, and discards delayed datagrams. */
 	close(): void {
 		this.isClosed = true;
 		this.socket.close();
@@ -76,7 +76,7 @@
 			case 'lose': {
 				const draw = this.random();
 				const copies = draw < fault.part ? 0 : (draw > 1 - fault.part ? 2 : 1);
-				this.struck += copies === 1 ? 0 : 1;
+				this.affected += copies === 1 ? 0 : 1;
 				for (let copy = 0; copy < copies; copy++) {
 					this.send(data);
 				}
@@ -85,7 +85,7 @@
 			}
 
 			case 'delay': {
-				this.struck++;
+				this.affected++;
 				setTimeout(() => {
 					this.send(data);
 				}, this.random() * fault.milliseconds);
@@ -94,7 +94,7 @@
 
 			default: {
 				if (fault.ports.has(from)) {
-					this.struck++;
+					this.affected++;
 				} else {
 					this.send(data);
 				}
--- a/development/soak/soak-clients.ts
+++ b/development/soak/soak-clients.ts
@@ -1,6 +1,5 @@
 /**
- * Clients of a soak: they keep their connections until the relay closes them, and go to relays that a balancer would send
- * them to.
+ * Clients of a soak test. They keep their connections open until the relay closes them, and choose a relay as a load balancer would.
  */
 import {Agent} from 'node:http';
 import {setTimeout as pause} from 'node:timers/promises';
@@ -9,10 +8,10 @@
 } from '../relay/relay-installation.js';
 import type {SoakRelay} from './soak-relay.js';
 
-/** What a client sends. */
+/** Kinds of requests that a client sends. */
 export type SoakRequestKind = 'calls' | 'once' | 'stream';
 
-/** One try of a client, and what came of it. */
+/** One attempt of a client, and its outcome. */
 export type SoakAttempt = ClientView & {
 	readonly id: string;
 	readonly kind: SoakRequestKind;
@@ -20,47 +19,49 @@
 	readonly sent: string;
 	readonly relay: SoakRelay;
 	readonly key: string;
-	/** Number of the event behind which it asks for a stream; zero asks for all of it. */
+	/** Number of the last event already received, after which the stream is to continue; zero requests the whole stream. */
 	readonly after: number;
-	/** Monotonic milliseconds. */
+	/** Monotonic milliseconds at which the request was sent, and at which its answer ended. */
 	readonly sentAt: number;
 	readonly endedAt: number;
 };
 
-/** A key that may be taken away, and one that is while a box is cut off; the usual one never is. */
-export const spareKey = 'key-that-may-go';
-export const loneKey = 'key-that-goes-unheard';
+/** A key that may be revoked at any time, and one that is revoked while a box is isolated. The default key is never revoked. */
+export const revocableKey = 'key-that-may-go';
+export const isolationKey = 'key-that-goes-unheard';
 const kinds: readonly SoakRequestKind[] = ['calls', 'once', 'stream'];
+/** Milliseconds between two requests of a client. */
 const clientPause = 25;
+/** Milliseconds between two readiness checks of the load balancer. */
 const readyInterval = 250;
-/** Every so many requests of a client bears the spare key; and comes with the same body as before. */
-const spareEvery = 7;
+/** Every nth request of a client uses the spare key, and every nth request has the same body. */
+const revocableKeyEvery = 7;
 const sameBodyEvery = 3;
 
-/** Where a request goes, by which connections, with which key, and behind which event. */
-export type SoakWay = {
+/** The relay, connections and key of a request, and the event after which a stream continues. */
+export type SoakDestination = {
 	readonly relay: SoakRelay;
 	readonly agent?: Agent;
 	readonly key?: string;
 	readonly after?: number;
 };
 
-/** The clients. */
+/** The clients of one soak test. */
 export class SoakClients {
 	/**
 	 * @param installation - Store and replicas.
-	 * @param relays - Where requests go.
-	 * @param random - Draws the relay of each new connection.
-	 * @returns Clients that send nothing yet.
+	 * @param relays - Relays that requests are sent to.
+	 * @param random - Draws the relay of each request.
+	 * @returns Clients that do not send requests yet.
 	 */
 	static create(installation: RelayInstallation, relays: readonly SoakRelay[], random: () => number): SoakClients {
 		return new SoakClients(installation, relays, random);
 	}
 
 	readonly attempts: SoakAttempt[] = [];
-	private ready: readonly SoakRelay[] = [];
+	private readyRelays: readonly SoakRelay[] = [];
 	private isOver = false;
-	private sent = 0;
+	private sentCount = 0;
 
 	private constructor(
 		private readonly installation: RelayInstallation,
@@ -69,8 +70,10 @@
 	) {}
 
 	/**
-	 * @param count - How many clients.
-	 * @param whileRunning - Runs beside them; they end after it.
+	 * Runs clients concurrently with a task, and stops them when the task completes.
+	 *
+	 * @param count - Number of clients.
+	 * @param whileRunning - The task.
 	 */
 	async run(count: number, whileRunning: () => Promise<void>): Promise<void> {
 		const balancing = this.balance();
@@ -83,14 +86,14 @@
 	/**
 	 * Sends one request.
 	 *
-	 * @param kind - What.
-	 * @param body - Its body.
-	 * @param way - Where to, and how.
-	 * @returns What came of it.
+	 * @param kind - Kind of the request.
+	 * @param body - Body of the request.
+	 * @param way - Relay, connections, key and position in the stream.
+	 * @returns The attempt with its outcome.
 	 */
-	async send(kind: SoakRequestKind, body: string, {relay, agent, key = testKey, after = 0}: SoakWay): Promise<SoakAttempt> {
-		this.sent++;
-		const id = `soak-${this.sent}`;
+	async send(kind: SoakRequestKind, body: string, {relay, agent, key = testKey, after = 0}: SoakDestination): Promise<SoakAttempt> {
+		this.sentCount++;
+		const id = `soak-${this.sentCount}`;
 		const sentAt = performance.now();
 		const headers = {'Attempt-Id': id, Authorization: `Bearer ${key}`, ...(after > 0 ? {'Last-Event-Id': String(after)} : {})};
 		const view = await this.installation.call({
@@ -103,11 +106,11 @@
 		return attempt;
 	}
 
-	/** Asks as the balancer does; while nobody is ready all are used. */
+	/** Checks the readiness of the relays as a load balancer does. While no relay is ready, clients use all of them. */
 	private async balance(): Promise<void> {
 		while (!this.isOver) {
 			const ready = await Promise.all(this.relays.map(async relay => relay.isReady()));
-			this.ready = this.relays.filter((_, index) => ready[index]);
+			this.readyRelays = this.relays.filter((_, index) => ready[index]);
 			await pause(readyInterval);
 		}
 	}
@@ -116,13 +119,13 @@
 		const agents = new Map<SoakRelay, Agent>();
 		for (let count = 0; !this.isOver; count++) {
 			const kind = kinds[(index + count) % kinds.length]!;
-			const key = count % spareEvery === 0 ? spareKey : testKey;
+			const key = count % revocableKeyEvery === 0 ? revocableKey : testKey;
 			const body = `question of ${index}${count % sameBodyEvery === 0 ? '' : ` number ${count}`}`;
-			const attempt = await this.send(kind, body, {...this.way(agents), key});
+			const attempt = await this.send(kind, body, {...this.chooseRelay(agents), key});
 			await pause(clientPause);
 			const after = lastEventOf(attempt);
 			if (after > 0 && !attempt.isWhole) {
-				await this.send(kind, body, {...this.way(agents), key, after});
+				await this.send(kind, body, {...this.chooseRelay(agents), key, after});
 				await pause(clientPause);
 			}
 		}
@@ -132,17 +135,17 @@
 		}
 	}
 
-	/** A relay as the balancer draws it, by the client's connection to it. */
-	private way(agents: Map<SoakRelay, Agent>): SoakWay {
-		const among = this.ready.length > 0 ? this.ready : this.relays;
-		const relay = among[Math.floor(this.random() * among.length)]!;
+	/** Draws a relay as the load balancer does, and reuses the client's connection to it. */
+	private chooseRelay(agents: Map<SoakRelay, Agent>): SoakDestination {
+		const candidates = this.readyRelays.length > 0 ? this.readyRelays : this.relays;
+		const relay = candidates[Math.floor(this.random() * candidates.length)]!;
 		const agent = agents.get(relay) ?? new Agent({keepAlive: true, maxSockets: 1});
 		agents.set(relay, agent);
 		return {relay, agent};
 	}
 }
 
-/** Number of the last whole event of a stream that a client got; zero without one. */
+/** Number of the last complete event that a client received from a stream; zero if there is none. */
 function lastEventOf({kind, body, after}: SoakAttempt): number {
 	const whole = body.split('\n\n').slice(0, -1).length;
 	return kind === 'stream' && whole > 0 ? after + whole : 0;
