--- a/development/bench/exchange.ts
+++ b/development/bench/exchange.ts
@@ -27,23 +27,23 @@
 			boxes, replicas, clientAccounts, inProgress,
 		}, SystemClock.create());
 		if (areLimited) {
-			fleet.limitReplicas();
+			fleet.announceLimits();
 		}
 
 		for (let round = 0; round < warmUpRounds; round++) {
 			fleet.round();
 		}
 
-		const before = fleet.spent;
+		const before = fleet.processingTime;
 		const rounds = Array.from({length: measuredRounds}, () => fleet.round());
-		const total = (key: 'messages' | 'heard' | 'sent') => sumOf(rounds.map(round => round[key]));
+		const total = (key: 'messages' | 'received' | 'sent') => sumOf(rounds.map(round => round[key]));
 		const seconds = measuredRounds * fleet.interval / millisecondsPerSecond;
-		const spent = fleet.spent - before;
+		const spent = fleet.processingTime - before;
 		const cells = [
 			boxes,
 			areLimited ? replicas : 0,
 			Math.round(total('messages') / seconds),
-			`${Math.round(total('heard') / seconds / millisecondsPerSecond)} KB/s`,
+			`${Math.round(total('received') / seconds / millisecondsPerSecond)} KB/s`,
 			`${Math.round(total('sent') / seconds / millisecondsPerSecond)} KB/s`,
 			`${Math.round(spent / total('messages') * microsecondsPerMillisecond)} µs`,
 			`${Math.round(spent / seconds)} ms/s`,
--- a/development/demo/direct-caller.ts
+++ b/development/demo/direct-caller.ts
@@ -38,7 +38,7 @@
 				incoming.once('close', () => {
 					resolve({
 						firstToken: (arrivals[0] ?? Number.NaN) - startedAt,
-						between: arrivals.slice(1).map((arrival, index) => arrival - arrivals[index]!),
+						tokenIntervals: arrivals.slice(1).map((arrival, index) => arrival - arrivals[index]!),
 					});
 				});
 			}).once('error', reject).end(body);
--- a/development/demo/main.ts
+++ b/development/demo/main.ts
@@ -158,7 +158,7 @@
 
 function summarise(timings: readonly Timing[]) {
 	const first = timings.map(({firstToken}) => firstToken).filter(value => !Number.isNaN(value));
-	const between = timings.flatMap(timing => timing.between);
+	const between = timings.flatMap(timing => timing.tokenIntervals);
 	const round = (value: number) => Math.round(value * 10) / 10;
 	return {
 		firstTokenP50: round(percentile(first, 0.5)),
--- a/development/demo/relay-demo.ts
+++ b/development/demo/relay-demo.ts
@@ -7,7 +7,7 @@
 import {setTimeout as pause} from 'node:timers/promises';
 import {RelayInstallation, type ClientView} from '../relay/relay-installation.js';
 import type {ReplicaStandin} from '../relay/replica-standin.js';
-import {faultOfAnswer} from '../soak/soak-answers.js';
+import {describeAnswerFault} from '../soak/soak-answers.js';
 import type {SoakRequestKind} from '../soak/soak-clients.js';
 import {SoakStreams} from '../soak/soak-streams.js';
 
@@ -30,13 +30,13 @@
 	await pause(loadTime / 4);
 	const [, killedRelay] = installation.relays;
 	installation.relays.splice(1, 1);
-	await killedRelay!.end();
+	await killedRelay!.crashReplica();
 	await pause(loadTime / 8);
 	installation.list('i-2', {state: 'draining', seq: 2});
 	await pause(loadTime / 8);
 	installation.store.faults = {isSilent: false, isBusy: true, losesAnswers: false};
 	await pause(loadTime / 6);
-	installation.store.heal();
+	installation.store.clearFaults();
 	await installation.addRelay('relay-4');
 }
 
@@ -70,7 +70,7 @@
 		refused: requests.filter(({view}) => view.status === 429 || view.status === 503).length,
 		'cut or 502': requests.filter(({view}) => view.status === 0 || view.status === 502 || (view.status === 200 && !view.isWhole)).length,
 		'gone on elsewhere': complete.filter(({id, kind}) => kind === 'stream' && replicasThatRan(id).length > 1).length,
-		misdelivered: requests.filter(({id, kind, view}) => view.status === 200 && faultOfAnswer({
+		misdelivered: requests.filter(({id, kind, view}) => view.status === 200 && describeAnswerFault({
 			attempt: {
 				...view, id, kind, after: 0,
 			}, runners: replicasThatRan(id), streamEvents: events,
--- a/development/fuzz/claim-suite.ts
+++ b/development/fuzz/claim-suite.ts
@@ -12,7 +12,7 @@
 import type {ClaimLedger} from '../../src/claims/claim.js';
 import {StoreClaimLedger} from '../../src/claims/store-claim-ledger.js';
 import {runWithClaim} from '../../src/dispatch/claimed-run.js';
-import {FakeObjectStore, FakeObjects, type CallFate} from './fake-object-store.js';
+import {FakeObjectStore, FakeObjects, type CallOutcome} from './fake-object-store.js';
 import {step, type Suite} from './suite.js';
 import {VirtualClock, type VirtualTime} from './virtual-time.js';
 
@@ -91,7 +91,7 @@
 const anyBox = fc.integer({min: 0, max: boxCount - 1});
 const anyKey = fc.integer({min: 1, max: keyCount}).map(key => `key-${key}`);
 const anyOutcome = fc.constantFrom<UpstreamOutcome>('answers', 'answers', 'refuses', 'cut-after-execution', 'cut-before-execution');
-const callFates = fc.array(fc.constantFrom<CallFate>('normal', 'lost-answer', 'lost-call', 'late', 'slow'), {minLength: 1, maxLength: 4});
+const callFates = fc.array(fc.constantFrom<CallOutcome>('normal', 'lost-answer', 'lost-call', 'late', 'slow'), {minLength: 1, maxLength: 4});
 
 const steps = fc.oneof(
 	{
@@ -101,17 +101,17 @@
 	},
 	{
 		weight: 3, arbitrary: fc.tuple(anyBox, callFates).map(([box, fates]) => step<ClaimWorld>(`next store calls of box ${box}: ${fates.join(', ')}`, world => {
-			world.boxes[box]!.store.fates.push(...fates);
+			world.boxes[box]!.store.callOutcomes.push(...fates);
 		})),
 	},
 	{
 		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isOut]) => step<ClaimWorld>(`store unavailable for box ${box}: ${String(isOut)}`, world => {
-			world.boxes[box]!.store.isOut = isOut;
+			world.boxes[box]!.store.isUnavailable = isOut;
 		})),
 	},
 	{
 		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isFrozen]) => step<ClaimWorld>(`box ${box} suspended: ${String(isFrozen)}`, world => {
-			world.boxes[box]!.store.isFrozen = isFrozen;
+			world.boxes[box]!.store.isSuspended = isFrozen;
 		})),
 	},
 	{
@@ -133,9 +133,9 @@
 	create: time => new ClaimWorld(time),
 	async check(world, time) {
 		for (const {store} of world.boxes) {
-			store.isOut = false;
-			store.isFrozen = false;
-			store.fates = [];
+			store.isUnavailable = false;
+			store.isSuspended = false;
+			store.callOutcomes = [];
 		}
 
 		await time.advance(20_000);
--- a/development/fuzz/decoder-suite.ts
+++ b/development/fuzz/decoder-suite.ts
@@ -17,7 +17,7 @@
 import {Fingerprint} from '../../src/quarantine/fingerprint.js';
 import {ReplicaDirectory} from '../../src/replicas/replica-directory.js';
 import {RouteTable} from '../../src/routes/route-table.js';
-import {usualAvailability} from '../harness/store-outage.js';
+import {createAvailability} from '../harness/store-outage.js';
 import {step, type Suite} from './suite.js';
 import {VirtualClock, type VirtualTime} from './virtual-time.js';
 
@@ -75,7 +75,7 @@
 		this.replicas = ReplicaDirectory.create(clock, log);
 		this.role = ReplicaRole.create({
 			link: {names: {replicaKind: 'replicas', decodeReplica}} as unknown as PlatformLink, clock, log,
-			replicas: this.replicas, followsStore: () => true, fallbackDelay: 5000, ...usualAvailability(clock),
+			replicas: this.replicas, followsStore: () => true, fallbackDelay: 5000, ...createAvailability(clock),
 		});
 		this.role.applyListing({at: this.revision, objects: ['good-1', 'good-2'].map(name => ({name, revision: 1, spec: validReplica}))}, 0);
 	}
--- a/development/fuzz/fake-object-store.ts
+++ b/development/fuzz/fake-object-store.ts
@@ -11,7 +11,7 @@
 const callTimeout = 2000;
 
 /** Outcome of one call. */
-export type CallFate = 'normal' | 'lost-answer' | 'lost-call' | 'late' | 'slow' | 'outage';
+export type CallOutcome = 'normal' | 'lost-answer' | 'lost-call' | 'late' | 'slow' | 'outage';
 
 type Entry = {readonly version: ObjectVersion; readonly value: string};
 
@@ -54,11 +54,11 @@
 	}
 
 	/** Outcomes of the next calls, in order; calls beyond the last are normal. */
-	fates: CallFate[] = [];
+	callOutcomes: CallOutcome[] = [];
 	/** Whether the store is unavailable to this box. */
-	isOut = false;
+	isUnavailable = false;
 	/** Whether the box is suspended; answers are delivered once it resumes. */
-	isFrozen = false;
+	isSuspended = false;
 
 	private constructor(private readonly objects: FakeObjects) {
 		super();
@@ -87,13 +87,13 @@
 
 	private call<Answer, Failure>(act: () => Effect.Effect<Answer, Failure>, isWrite: boolean): Effect.Effect<Answer, Failure | StoreFailure> {
 		return Effect.suspend(() => {
-			const fate = this.isOut ? 'outage' : (this.fates.shift() ?? 'normal');
+			const fate = this.isUnavailable ? 'outage' : (this.callOutcomes.shift() ?? 'normal');
 			this.objects.faults += fate === 'normal' ? 0 : 1;
-			return Effect.andThen(Effect.sleep(5), this.applyFate(fate, act, isWrite));
+			return Effect.andThen(Effect.sleep(5), this.applyOutcome(fate, act, isWrite));
 		}).pipe(Effect.tap(() => this.whenResumed()));
 	}
 
-	private applyFate<Answer, Failure>(fate: CallFate, act: () => Effect.Effect<Answer, Failure>, isWrite: boolean): Effect.Effect<Answer, Failure | StoreFailure> {
+	private applyOutcome<Answer, Failure>(fate: CallOutcome, act: () => Effect.Effect<Answer, Failure>, isWrite: boolean): Effect.Effect<Answer, Failure | StoreFailure> {
 		switch (fate) {
 			case 'outage': {
 				return failUnanswered(false);
@@ -127,7 +127,7 @@
 	}
 
 	private whenResumed(): Effect.Effect<void> {
-		return Effect.suspend((): Effect.Effect<void> => this.isFrozen
+		return Effect.suspend((): Effect.Effect<void> => this.isSuspended
 			? Effect.andThen(Effect.sleep(50), this.whenResumed())
 			: Effect.void);
 	}
--- a/development/fuzz/lease-suite.ts
+++ b/development/fuzz/lease-suite.ts
@@ -7,7 +7,7 @@
 import {SilentEventLog} from '../../src/base/event-log.js';
 import type {BoxId} from '../../src/base/identifiers.js';
 import {Lease} from '../../src/lease/lease.js';
-import {FakeObjectStore, FakeObjects, type CallFate} from './fake-object-store.js';
+import {FakeObjectStore, FakeObjects, type CallOutcome} from './fake-object-store.js';
 import {step, type Suite} from './suite.js';
 import {VirtualClock, type VirtualTime} from './virtual-time.js';
 
@@ -50,7 +50,7 @@
 }
 
 const anyBox = fc.integer({min: 0, max: boxCount - 1});
-const callFates = fc.array(fc.constantFrom<CallFate>('normal', 'lost-answer', 'lost-call', 'late', 'slow'), {minLength: 1, maxLength: 5});
+const callFates = fc.array(fc.constantFrom<CallOutcome>('normal', 'lost-answer', 'lost-call', 'late', 'slow'), {minLength: 1, maxLength: 5});
 
 const steps = fc.oneof(
 	{
@@ -60,17 +60,17 @@
 	},
 	{
 		weight: 3, arbitrary: fc.tuple(anyBox, callFates).map(([box, fates]) => step<LeaseWorld>(`next store calls of box ${box}: ${fates.join(', ')}`, world => {
-			world.candidates[box]!.store.fates.push(...fates);
+			world.candidates[box]!.store.callOutcomes.push(...fates);
 		})),
 	},
 	{
 		weight: 2, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isFrozen]) => step<LeaseWorld>(`box ${box} suspended: ${String(isFrozen)}`, world => {
-			world.candidates[box]!.store.isFrozen = isFrozen;
+			world.candidates[box]!.store.isSuspended = isFrozen;
 		})),
 	},
 	{
 		weight: 1, arbitrary: fc.tuple(anyBox, fc.boolean()).map(([box, isOut]) => step<LeaseWorld>(`store unavailable for box ${box}: ${String(isOut)}`, world => {
-			world.candidates[box]!.store.isOut = isOut;
+			world.candidates[box]!.store.isUnavailable = isOut;
 		})),
 	},
 );
@@ -82,9 +82,9 @@
 	create: time => new LeaseWorld(time),
 	async check(world) {
 		for (const {store} of world.candidates) {
-			store.isOut = false;
-			store.isFrozen = false;
-			store.fates = [];
+			store.isUnavailable = false;
+			store.isSuspended = false;
+			store.callOutcomes = [];
 		}
 
 		await world.advance(30_000);
--- a/development/fuzz/stream-suite.ts
+++ b/development/fuzz/stream-suite.ts
@@ -24,7 +24,7 @@
 import {Ceilings} from '../../src/limits/ceilings.js';
 import type {PeerState} from '../../src/peers/peer-messages.js';
 import type {Box} from '../../src/external/box-list.js';
-import {RecordBook} from '../../src/records/record-book.js';
+import {RecordRegistry} from '../../src/records/record-registry.js';
 import {RequestRecord} from '../../src/records/request-record.js';
 import {describePrompt} from '../../src/routing/prefix-cache-estimate.js';
 import {ExpectedCostPolicy} from '../../src/routing/routing-policy.js';
@@ -120,7 +120,7 @@
 		caller.disconnect();
 		const {records, runs} = this.boxes[caller.box]!.dispatch;
 		const record = records.lookUp({account, key: caller.key});
-		if (record && !record.isRead && record.state === 'running') {
+		if (record && !record.hasListeners && record.state === 'running') {
 			Effect.runFork(runs.stop(record));
 		}
 	}
@@ -244,7 +244,7 @@
 				store: FakeObjectStore.create(this.objects), clock, log, metrics,
 			}),
 			policy: ExpectedCostPolicy.create(() => 0.5),
-			records: RecordBook.create({retention: 600_000, maximumBytes: 1e9}, clock),
+			records: RecordRegistry.create({retention: 600_000, maximumBytes: 1e9}, clock),
 			runs: RunRegistry.create(metrics),
 		};
 		const state = (): PeerState => ({
@@ -314,7 +314,7 @@
 		weight: 1, arbitrary: fc.tuple(anyCaller, fc.boolean()).map(([index, isSlow]) => step<StreamWorld>(`caller ${index} slow: ${String(isSlow)}`, withCaller(index, (world, caller) => {
 			caller.isSlow = isSlow;
 			if (!isSlow) {
-				world.boxes[caller.box]!.dispatch.records.lookUp({account, key: caller.key})?.drained();
+				world.boxes[caller.box]!.dispatch.records.lookUp({account, key: caller.key})?.notifyDrained();
 			}
 		}))),
 	},
@@ -365,7 +365,7 @@
 
 		for (const caller of world.callers) {
 			caller.isSlow = false;
-			world.boxes[caller.box]!.dispatch.records.lookUp({account, key: caller.key})?.drained();
+			world.boxes[caller.box]!.dispatch.records.lookUp({account, key: caller.key})?.notifyDrained();
 		}
 
 		for (let round = 0; round < 4; round++) {
--- a/development/fuzz/table-suite.ts
+++ b/development/fuzz/table-suite.ts
@@ -11,7 +11,7 @@
 import {TableView} from '../../src/table/table-view.js';
 import {TableWatch} from '../../src/table/table-watch.js';
 import {decodeVersionedTable, tableKey} from '../../src/table/versioned-table.js';
-import {FakeObjectStore, FakeObjects, type CallFate} from './fake-object-store.js';
+import {FakeObjectStore, FakeObjects, type CallOutcome} from './fake-object-store.js';
 import {step, type Suite} from './suite.js';
 import type {VirtualTime} from './virtual-time.js';
 
@@ -97,7 +97,7 @@
 }
 
 /** Mostly normal outcomes, since an edit consists of three calls and the fault of interest is that of the last one. */
-const callFates = fc.array(fc.constantFrom<CallFate>('normal', 'normal', 'normal', 'normal', 'lost-answer', 'lost-answer', 'lost-call', 'late', 'slow'), {minLength: 1, maxLength: 6});
+const callFates = fc.array(fc.constantFrom<CallOutcome>('normal', 'normal', 'normal', 'normal', 'lost-answer', 'lost-answer', 'lost-call', 'late', 'slow'), {minLength: 1, maxLength: 6});
 
 const steps = fc.oneof(
 	{
@@ -108,13 +108,13 @@
 	{
 		weight: 3, arbitrary: fc.tuple(fc.integer({min: 0, max: operatorCount - 1}), callFates).map(([operator, fates]) =>
 			step<TableWorld>(`next store calls of operator ${operator}: ${fates.join(', ')}`, world => {
-				world.operators[operator]!.fates.push(...fates);
+				world.operators[operator]!.callOutcomes.push(...fates);
 			})),
 	},
 	{
 		weight: 2, arbitrary: fc.tuple(fc.integer({min: 0, max: boxCount - 1}), fc.boolean()).map(([box, isOut]) =>
 			step<TableWorld>(`store unavailable for box ${box}: ${String(isOut)}`, world => {
-				world.boxes[box]!.store.isOut = isOut;
+				world.boxes[box]!.store.isUnavailable = isOut;
 			})),
 	},
 	{
@@ -136,8 +136,8 @@
 	create: time => new TableWorld(time),
 	async check(world, time) {
 		for (const store of [...world.operators, ...world.boxes.map(box => box.store)]) {
-			store.isOut = false;
-			store.fates = [];
+			store.isUnavailable = false;
+			store.callOutcomes = [];
 		}
 
 		await time.advance(90_000);
--- a/development/harness/caller.ts
+++ b/development/harness/caller.ts
@@ -24,7 +24,7 @@
 	/** Milliseconds from the start of the request to the first token. */
 	readonly firstToken: number;
 	/** Milliseconds between tokens. */
-	readonly between: readonly number[];
+	readonly tokenIntervals: readonly number[];
 };
 
 /** The outcome of a request with its measurements. */
@@ -116,7 +116,7 @@
 	async call(call: Call): Promise<Result> {
 		const startedAt = performance.now();
 		const result = (judgement: Judgement, tries: number): Result => ({
-			judgement, tries, restarts: 0, timing: {firstToken: performance.now() - startedAt, between: []},
+			judgement, tries, restarts: 0, timing: {firstToken: performance.now() - startedAt, tokenIntervals: []},
 		});
 		for (let tries = 1; tries <= maxAttempts; tries++) {
 			const answer = await this.send(`/v1/services/${call.service}${call.path}`, call.body, {'Idempotency-Key': call.key});
@@ -239,7 +239,7 @@
 class StreamReceiver {
 	position = 0;
 	restarts = 0;
-	readonly timing: {firstToken: number; readonly between: number[]} = {firstToken: Number.NaN, between: []};
+	readonly timing: {firstToken: number; readonly tokenIntervals: number[]} = {firstToken: Number.NaN, tokenIntervals: []};
 	private answerId: string | undefined;
 	private readonly frame: Omit<TokenFrame, 'id'>;
 	private fault: string | undefined;
@@ -329,7 +329,7 @@
 		if (this.lastAt === 0) {
 			this.timing.firstToken = now - this.startedAt;
 		} else {
-			this.timing.between.push(now - this.lastAt);
+			this.timing.tokenIntervals.push(now - this.lastAt);
 		}
 
 		this.lastAt = now;
--- a/development/harness/departure-fleet.ts
+++ b/development/harness/departure-fleet.ts
@@ -21,16 +21,16 @@
 import type {RouteTableView} from '../../src/routes/route-table-view.js';
 import {VirtualClock, type VirtualTime} from '../fuzz/virtual-time.js';
 import {
-	heartbeat, modelReplicaKind, ModelStore, ModelStoreClient, type ModelReplica,
+	heartbeatInterval, modelReplicaKind, ModelStore, ModelStoreClient, type ModelReplica,
 } from './model-metadata-store.js';
-import {randomOf} from './seeded-random.js';
+import {createRandom} from './seeded-random.js';
 
 /** Parameters of the simulated fleet. */
 export type DepartureFleetShape = {
 	readonly boxes: number;
 	readonly replicas: number;
 	/** Milliseconds after the store acknowledges a replica's departure, after which the replica must receive no request. */
-	readonly bound: number;
+	readonly departureBound: number;
 	/** Share of datagrams that are lost, from 0 to 1. */
 	readonly loss: number;
 	readonly seed: number;
@@ -52,7 +52,7 @@
 	readonly replicas: ReplicaDirectory;
 	readonly role: ReplicaRole;
 	readonly state: ExchangeState;
-	readonly door: ModelStoreClient;
+	readonly storeClient: ModelStoreClient;
 	readonly fibers: ReadonlyArray<Fiber.Fiber<unknown>>;
 	sequence: number;
 	round: number;
@@ -89,7 +89,7 @@
 	private isClosed = false;
 
 	private constructor(private readonly shape: DepartureFleetShape, private readonly time: VirtualTime, private readonly log: EventLog) {
-		this.random = randomOf(shape.seed);
+		this.random = createRandom(shape.seed);
 		this.store = ModelStore.create(() => time.now, this.random);
 		for (let index = 0; index < shape.replicas; index++) {
 			this.store.add(`i-${index}`);
@@ -103,11 +103,11 @@
 	}
 
 	/** @param duration - Milliseconds of virtual time to advance; in each step, every box sends to all replicas that it lists as ready. */
-	async pass(duration: number): Promise<void> {
+	async advance(duration: number): Promise<void> {
 		const end = this.time.now + duration;
 		while (this.time.now < end) {
 			await this.time.advance(stepTime);
-			this.store.pass();
+			this.store.advance();
 			await nextTurn();
 			for (const box of this.boxes) {
 				this.sendFrom(box);
@@ -119,7 +119,7 @@
 	 * @param replica - A replica.
 	 * @returns Number of boxes that list it as ready.
 	 */
-	usersOf({id}: ModelReplica): number {
+	countSenders({id}: ModelReplica): number {
 		return this.boxes.filter(({replicas}) => replicas.ready(service).some(({entry}) => entry.id === id)).length;
 	}
 
@@ -134,18 +134,18 @@
 		const clock = VirtualClock.create(this.time, index * clockSpread);
 		clock.wallStep = epoch;
 		const peers = PeerTable.create(address.name, clock, log);
-		peers.learn(this.addresses);
+		peers.addMembers(this.addresses);
 		const topology = ExchangeTopology.create(address, peers);
 		const replicas = ReplicaDirectory.create(clock, log);
 		const door = ModelStoreClient.create(this.store);
 		const table = createTable(clock);
-		const availability = StoreAvailability.create(clock, () => lapseTime(heartbeat));
+		const availability = StoreAvailability.create(clock, () => lapseTime(heartbeatInterval));
 		const followed = {
 			link: {store: door, names: storeNames} as unknown as PlatformLink, clock, log, availability, followsStore: () => topology.isAggregator,
 		};
 		const configuration = ConfigurationRole.create({...followed, table, fallbackDelay: 3000 + (100 * index)});
 		const role = ReplicaRole.create({
-			...followed, replicas, drain: () => this.shape.bound, fallbackDelay: 4500 + (100 * index), openFetch: (_, take) => this.fetchFor(take),
+			...followed, replicas, drain: () => this.shape.departureBound, fallbackDelay: 4500 + (100 * index), openFetch: (_, take) => this.fetchFor(take),
 		});
 		// Contains only the parts that replica list updates use.
 		const parts = {
@@ -154,7 +154,7 @@
 		} as unknown as ExchangeParts;
 		const fibers = [role.follow(), role.sweep(), configuration.follow(), configuration.prove()].map(effect => Effect.runFork(effect));
 		return {
-			address, clock, peers, topology, replicas, role, state: ExchangeState.create(parts), door, fibers, sequence: 0, round: index,
+			address, clock, peers, topology, replicas, role, state: ExchangeState.create(parts), storeClient: door, fibers, sequence: 0, round: index,
 		};
 	}
 
@@ -176,7 +176,7 @@
 		for (const {entry: {id}} of box.replicas.ready(service)) {
 			const {leftAt} = this.store.replicas.find(replica => replica.id === id)!;
 			const after = leftAt === undefined ? 0 : this.time.now - leftAt;
-			if (after > this.shape.bound) {
+			if (after > this.shape.departureBound) {
 				this.late.push({box: box.address.name, replica: id, after});
 			}
 		}
@@ -200,7 +200,7 @@
 		const message = this.messageOf(box, state.localState(true));
 		const targets = topology.targets(box.round);
 		for (const [place, {address}] of targets.entries()) {
-			peers.noteTold(address.name);
+			peers.recordSent(address.name);
 			const other = this.boxes.find(({address: {name}}) => name === address.name)!;
 			const asksDigest = topology.isLarge && place === box.round % targets.length;
 			this.deliver(() => {
@@ -212,13 +212,13 @@
 	private receiveGossip(box: Box, sender: Box, data: Uint8Array): void {
 		const message = decodeGossip(data)!;
 		const {peers, topology, state} = box;
-		const contact = peers.take(message);
+		const contact = peers.recordMessage(message);
 		if (contact === undefined) {
 			return;
 		}
 
 		if (message.digest) {
-			peers.noteFleetSize(message.digest.boxes);
+			peers.recordFleetSize(message.digest.boxes);
 			state.applyDigest(message, message.digest);
 			return;
 		}
--- a/development/harness/exchange-fleet.ts
+++ b/development/harness/exchange-fleet.ts
@@ -32,7 +32,7 @@
 /** Traffic of the aggregator in one gossip round; sizes in bytes. */
 export type RoundTraffic = {
 	readonly messages: number;
-	readonly heard: number;
+	readonly received: number;
 	readonly sent: number;
 };
 
@@ -58,7 +58,7 @@
 	}
 
 	/** Total milliseconds that the aggregator took to process messages and create responses. */
-	spent = 0;
+	processingTime = 0;
 	private readonly boxes: readonly Box[];
 	private sequence = 0;
 	private rounds = 0;
@@ -81,13 +81,13 @@
 		const requests = senders.map(box => encodeGossip({...this.headerOf(box, membersNamed, false), ...box.state.localState(this.rounds % roundsBetweenWholeStates === 0), asksDigest: true}));
 		const beganAt = performance.now();
 		const responses = requests.map((data, index) => this.respondTo(data, index % aggregatorCount === 0));
-		this.spent += performance.now() - beganAt;
+		this.processingTime += performance.now() - beganAt;
 		const bytesOf = (datagrams: readonly Uint8Array[]) => sumOf(datagrams.map(({length}) => length));
-		return {messages: senders.length, heard: bytesOf(requests), sent: bytesOf(responses)};
+		return {messages: senders.length, received: bytesOf(requests), sent: bytesOf(responses)};
 	}
 
 	/** Crashes all replicas; on each box, each crash has two suspects: one request that only this box sent to this replica, and one common to all. */
-	endReplicas(): void {
+	crashReplicas(): void {
 		for (const {address, quarantine, replicas} of this.boxes) {
 			for (const replica of replicas.all) {
 				const suspects = ['common-to-all', `${address.name}${replica.start}`].map(text => ({fingerprint: Fingerprint(text.slice(-fingerprintLength)), ranFor: 60}));
@@ -97,7 +97,7 @@
 	}
 
 	/** Makes every replica announce a rate limit in a response to every box. */
-	limitReplicas(): void {
+	announceLimits(): void {
 		for (const {limits, replicas} of this.boxes) {
 			for (const replica of replicas.all) {
 				limits.recordResponse(replica, 12.5, this.clock.monotonic());
@@ -113,8 +113,8 @@
 		const {aggregator} = this;
 		const {peers, state} = aggregator;
 		const message = decodeGossip(data)!;
-		peers.learn(message.members);
-		const meeting = peers.take(message);
+		peers.addMembers(message.members);
+		const meeting = peers.recordMessage(message);
 		if (meeting !== undefined) {
 			state.applyMessage(message, meeting);
 		}
@@ -132,7 +132,7 @@
 		return {
 			sender: address, incarnation: 'c3b40934', sequence: this.sequence, uptime: 50_000, wall: this.clock.wall(),
 			echo: {incarnation: 'c3b40934', sequence: this.sequence, age: 100},
-			members: topology.namesToTell(memberCount, this.sequence, isSuccession).map(peer => peer.address),
+			members: topology.membersToName(memberCount, this.sequence, isSuccession).map(peer => peer.address),
 		};
 	}
 
@@ -140,7 +140,7 @@
 		const {clock, shape} = this;
 		const log: EventLog = SilentEventLog.create();
 		const peers = PeerTable.create(address.name, clock, log);
-		peers.learn(addresses);
+		peers.addMembers(addresses);
 		const topology = ExchangeTopology.create(address, peers);
 		peers.isLarge = topology.isLarge;
 		peers.heardWithin = topology.heardWithin;
@@ -182,7 +182,7 @@
 
 		const table = {version: 33, proofAge: 420};
 		const configuration = {fetchFrom: () => undefined};
-		const availability = {ownSilence: 120, notePeerAnswer: () => undefined};
+		const availability = {timeSinceOwnAnswer: 120, recordPeerAnswer: () => undefined};
 		const replicaRole = {listState: {at: 812, age: 95}, applyPeerUpdate: () => undefined, changesSince: () => ({at: 812, changes: []})};
 		const parts = {
 			clock, log, peers, topology, services: {
--- a/development/harness/limit-fleet.ts
+++ b/development/harness/limit-fleet.ts
@@ -15,9 +15,9 @@
 import {maxStatementsPerMessage} from '../../src/replicas/replica-statement.js';
 import {ReplicaStatements} from '../../src/replicas/replica-statements.js';
 import {ServiceDemands} from '../../src/replicas/service-demand.js';
-import {mostWithin} from './most-within.js';
-import {MovedClock} from './moved-clock.js';
-import {randomOf} from './seeded-random.js';
+import {maxWithin} from './max-within.js';
+import {ManualClock} from './manual-clock.js';
+import {createRandom} from './seeded-random.js';
 
 /** Parameters of the simulated fleet. */
 export type LimitFleetShape = {
@@ -27,18 +27,18 @@
 	/** The limit that a response announces, in requests per second, given the time in milliseconds and the number of responses so far. */
 	readonly limitAt: (now: number, answers: number) => number | 'unreadable' | undefined;
 	/** Whether a datagram from the first box reaches the second at that time; always by default. */
-	readonly reach?: (left: number, right: number, now: number) => boolean;
+	readonly canReach?: (left: number, right: number, now: number) => boolean;
 	/** Network delay of a request in milliseconds, drawn from a random number from 0 to 1; 1 ms by default. */
-	readonly wayOf?: (random: number) => number;
+	readonly networkDelay?: (random: number) => number;
 	/** Time in milliseconds at which a box restarts. */
-	readonly startsAt?: (box: number) => number | undefined;
+	readonly restartsAt?: (box: number) => number | undefined;
 	readonly seed: number;
 };
 
 type Box = {
 	readonly index: number;
 	readonly address: MemberAddress;
-	readonly clock: MovedClock;
+	readonly clock: ManualClock;
 	readonly peers: PeerTable;
 	readonly topology: ExchangeTopology;
 	readonly demands: ServiceDemands;
@@ -98,13 +98,13 @@
 	private answers = 0;
 
 	private constructor(private readonly shape: LimitFleetShape) {
-		this.random = randomOf(shape.seed);
+		this.random = createRandom(shape.seed);
 		this.addresses = Array.from({length: shape.boxes}, (_, index) => ({name: `edge-${index}`, host: '10.0.0.1', port: 1 + index}));
 		this.boxes = this.addresses.map((_, index) => this.createBox(index));
 	}
 
 	/** @param time - Milliseconds of virtual time to advance. */
-	pass(time: number): void {
+	advance(time: number): void {
 		const end = this.now + time;
 		while (this.now < end) {
 			this.now += stepTime;
@@ -117,17 +117,17 @@
 	 * @param since - Time in milliseconds from which requests are counted.
 	 * @returns The maximum number of {@link arrivalsFromInformedBoxes} in any such window.
 	 */
-	mostWithin(span: number, since: number): number {
-		return mostWithin(this.arrivalsFromInformedBoxes.filter(at => at >= since), span);
+	maxArrivalsWithin(span: number, since: number): number {
+		return maxWithin(this.arrivalsFromInformedBoxes.filter(at => at >= since), span);
 	}
 
 	private createBox(index: number): Box {
 		const address = this.addresses[index]!;
-		const clock = new MovedClock(this.now);
-		clock.shift = epoch + ((this.random() - 0.5) * clockSpread);
+		const clock = new ManualClock(this.now);
+		clock.wallOffset = epoch + ((this.random() - 0.5) * clockSpread);
 		const log = SilentEventLog.create();
 		const peers = PeerTable.create(address.name, clock, log);
-		peers.learn(this.addresses);
+		peers.addMembers(this.addresses);
 		const topology = ExchangeTopology.create(address, peers);
 		const demands = ServiceDemands.create(clock);
 		const stretches = LimitStretches.create({
@@ -153,7 +153,7 @@
 	private step(): void {
 		for (const {index, clock} of this.boxes) {
 			clock.now = this.now;
-			const startsAt = this.shape.startsAt?.(index) ?? Number.POSITIVE_INFINITY;
+			const startsAt = this.shape.restartsAt?.(index) ?? Number.POSITIVE_INFINITY;
 			if (startsAt <= this.now && startsAt > this.now - stepTime) {
 				this.boxes[index] = this.createBox(index);
 			}
@@ -192,7 +192,7 @@
 		}
 
 		const sentAt = this.now;
-		const arrivesAt = this.now + (this.shape.wayOf?.(this.random()) ?? 1);
+		const arrivesAt = this.now + (this.shape.networkDelay?.(this.random()) ?? 1);
 		this.events.push({
 			at: arrivesAt, run: () => {
 				this.arrivals.push(this.now);
@@ -225,7 +225,7 @@
 		const message = this.messageOf(box, {demand: box.demands.snapshots, ...(updates ? {statements: updates} : {})});
 		const targets = topology.targets(box.round);
 		for (const [place, {address}] of targets.entries()) {
-			peers.noteTold(address.name);
+			peers.recordSent(address.name);
 			const other = this.boxes.find(({address: {name}}) => name === address.name)!;
 			this.deliver(box, other, () => {
 				this.receiveGossip(other, box, message, place === box.round % targets.length);
@@ -237,13 +237,13 @@
 		const {
 			peers, limits, statements, stretches, topology,
 		} = box;
-		if (peers.take(message) === undefined) {
+		if (peers.recordMessage(message) === undefined) {
 			return;
 		}
 
 		statements.merge(sender.address.name, message.statements ?? [], message.digest ? 'digest' : 'box');
 		if (message.digest) {
-			peers.noteFleetSize(message.digest.boxes);
+			peers.recordFleetSize(message.digest.boxes);
 			stretches.applyReceived(message.digest.stretches ?? []);
 			return;
 		}
@@ -269,7 +269,7 @@
 	}
 
 	private deliver(from: Box, to: Box, receive: () => void): void {
-		const isReached = this.shape.reach?.(from.index, to.index, this.now) ?? true;
+		const isReached = this.shape.canReach?.(from.index, to.index, this.now) ?? true;
 		if (isReached && this.random() > lossShare) {
 			this.events.push({at: this.now + datagramDelay, run: receive});
 		}
--- a/development/harness/moved-clock.ts
+++ b/development/harness/manual-clock.ts
@@ -4,9 +4,9 @@
 import {Clock} from '../../src/base/clock.js';
 
 /** A clock whose time a test sets. */
-export class MovedClock extends Clock {
+export class ManualClock extends Clock {
 	/** Offset of the wall clock from the monotonic clock, in milliseconds. */
-	shift = 0;
+	wallOffset = 0;
 
 	private resumedAt = Number.NEGATIVE_INFINITY;
 
@@ -20,7 +20,7 @@
 	}
 
 	override wall(): number {
-		return this.now + this.shift;
+		return this.now + this.wallOffset;
 	}
 
 	override lastResumedAt(): number {
@@ -29,7 +29,7 @@
 
 	/** @param time - Milliseconds for which the machine is suspended; only the wall clock advances meanwhile. */
 	suspend(time: number): void {
-		this.shift += time;
+		this.wallOffset += time;
 		this.now++;
 		this.resumedAt = this.now;
 	}
--- a/development/harness/most-within.ts
+++ b/development/harness/max-within.ts
@@ -7,6 +7,6 @@
  * @param span - Length of the window in milliseconds.
  * @returns The maximum number of events in any window of that length.
  */
-export function mostWithin(times: readonly number[], span: number): number {
+export function maxWithin(times: readonly number[], span: number): number {
 	return Math.max(0, ...times.map(from => times.filter(at => at >= from && at < from + span).length));
 }
--- a/development/harness/model-metadata-store.ts
+++ b/development/harness/model-metadata-store.ts
@@ -14,7 +14,7 @@
 /** Milliseconds after which a call without a response fails; for a watch, in addition to its wait. */
 const answerTimeout = 900;
 /** Maximum milliseconds between two heartbeat writes of a replica. */
-export const heartbeat = 1200;
+export const heartbeatInterval = 1200;
 /** Number of missed heartbeats after which an entry lapses. */
 const heartbeatsToLapse = 3;
 
@@ -67,7 +67,7 @@
 	add(id: string): void {
 		const now = this.now();
 		this.replicas.push({
-			id, leftAt: undefined, isAlive: true, state: 'ready', writtenAt: now, nextWriteAt: now + (heartbeat * this.random()),
+			id, leftAt: undefined, isAlive: true, state: 'ready', writtenAt: now, nextWriteAt: now + (heartbeatInterval * this.random()),
 		});
 		this.write(id, 'ready');
 	}
@@ -90,7 +90,7 @@
 	}
 
 	/** @param fault - How all calls fail from now on, including waiting watches. */
-	goAway(fault: CallFault): void {
+	startOutage(fault: CallFault): void {
 		this.outage = fault;
 		const waiting = this.removeAllWatches();
 		if (fault === 'refused') {
@@ -101,15 +101,15 @@
 	}
 
 	/** Writes the heartbeats that are due and removes entries whose heartbeats are missing, even during an outage. */
-	pass(): void {
+	advance(): void {
 		const now = this.now();
 		for (const replica of this.replicas) {
 			if (replica.isAlive && replica.nextWriteAt <= now) {
-				replica.nextWriteAt += heartbeat * (0.9 + (0.1 * this.random()));
+				replica.nextWriteAt += heartbeatInterval * (0.9 + (0.1 * this.random()));
 				this.sendHeartbeat(replica);
 			}
 
-			if (this.entries.has(replica.id) && now - replica.writtenAt > heartbeat * heartbeatsToLapse) {
+			if (this.entries.has(replica.id) && now - replica.writtenAt > heartbeatInterval * heartbeatsToLapse) {
 				this.remove(replica.id);
 			}
 		}
@@ -193,7 +193,7 @@
 	}
 
 	/** @param fault - How the waiting watch of replicas fails, or the next call if no watch waits. */
-	loseAnswer(fault: CallFault): void {
+	injectFault(fault: CallFault): void {
 		if (!this.waiting) {
 			this.nextFault = fault;
 			return;
--- a/development/harness/keeping-calls.ts
+++ b/development/harness/recording-calls.ts
@@ -5,7 +5,7 @@
 import {DutyCalls, type ReplicaOrder} from '../../src/duties/duty-calls.js';
 
 /** Records replica orders and ignores usage reports. */
-export class KeepingCalls extends DutyCalls {
+export class RecordingCalls extends DutyCalls {
 	readonly orders: ReplicaOrder[] = [];
 
 	override reportUsage(): Effect.Effect<void> {
--- a/development/harness/seeded-random.ts
+++ b/development/harness/seeded-random.ts
@@ -8,7 +8,7 @@
  * @param seed - Seed of the sequence.
  * @returns A generator of numbers from 0 (inclusive) to 1 (exclusive); the sequence depends only on the seed.
  */
-export function randomOf(seed: number): () => number {
+export function createRandom(seed: number): () => number {
 	let state = seed;
 	return () => {
 		/* eslint-disable no-bitwise -- the algorithm consists of bit operations */
--- a/development/harness/store-outage.ts
+++ b/development/harness/store-outage.ts
@@ -4,7 +4,7 @@
 import type {Clock} from '../../src/base/clock.js';
 import {StoreAvailability} from '../../src/follow/store-availability.js';
 import {lapseTime} from '../../src/node/replica-role.js';
-import type {MovedClock} from './moved-clock.js';
+import type {ManualClock} from './manual-clock.js';
 
 /** Milliseconds between two heartbeat writes of a replica. */
 const heartbeat = 1200;
@@ -13,7 +13,7 @@
  * @param clock - Clock of the box.
  * @returns Dependencies of a role that follows replicas: a store without an outage so far, and the time limit for a drain in milliseconds.
  */
-export const usualAvailability = (clock: Clock) => ({availability: StoreAvailability.create(clock, () => lapseTime(heartbeat)), drain: () => 2000});
+export const createAvailability = (clock: Clock) => ({availability: StoreAvailability.create(clock, () => lapseTime(heartbeat)), drain: () => 2000});
 
 /**
  * Simulates an outage that lasts long enough for entries to lapse.
@@ -21,8 +21,8 @@
  * @param availability - Store availability of the box.
  * @param clock - Clock of the box; advanced by the length of the outage.
  */
-export function passOutage(availability: StoreAvailability, clock: MovedClock): void {
-	availability.noteOwnAnswer();
+export function simulateOutage(availability: StoreAvailability, clock: ManualClock): void {
+	availability.recordOwnAnswer();
 	clock.now += lapseTime(heartbeat);
-	availability.noteOwnAnswer();
+	availability.recordOwnAnswer();
 }
--- a/development/relay/relay-installation.ts
+++ b/development/relay/relay-installation.ts
@@ -21,7 +21,7 @@
 export type LoggedEvent = EventFields & {readonly eventName: EventName};
 
 /** An event log that keeps all events in memory. */
-export class KeepingLog extends EventLog {
+export class RecordingLog extends EventLog {
 	readonly lines: LoggedEvent[] = [];
 
 	override write(eventName: EventName, fields: EventFields = {}): void {
@@ -35,10 +35,10 @@
 	readonly node: RelayNode;
 	readonly port: number;
 	readonly readyPort: number;
-	readonly log: KeepingLog;
+	readonly log: RecordingLog;
 	readonly metrics: RelayMetrics;
 	/** Stops the relay at once, without draining, as a killed process does. */
-	readonly end: () => Promise<void>;
+	readonly crashReplica: () => Promise<void>;
 };
 
 /** A response as its client received it; the status is 0 if the connection failed before the response began. */
@@ -135,7 +135,7 @@
 
 	readonly replicas = new Map<string, ReplicaStandin>();
 	/** All replica processes so far; a restarted replica adds a new one. */
-	readonly everyReplica: ReplicaStandin[] = [];
+	readonly allReplicas: ReplicaStandin[] = [];
 	/** The last entry that each replica wrote, which may differ from the store's after a fault. */
 	readonly entries = new Map<string, unknown>();
 	readonly relays: RelayMember[] = [];
@@ -179,7 +179,7 @@
 	async addReplica(id: string, entry: Readonly<Record<string, unknown>> = {}): Promise<ReplicaStandin> {
 		const replica = await ReplicaStandin.start(id);
 		this.replicas.set(id, replica);
-		this.everyReplica.push(replica);
+		this.allReplicas.push(replica);
 		this.prepare?.(replica);
 		this.startTimes.set(id, Date.now());
 		this.setCrashMark(id, replica);
@@ -263,7 +263,7 @@
 			released: this.plan.released ?? [],
 			bounds: {...bounds, ...this.plan.bounds},
 		};
-		const log = new KeepingLog();
+		const log = new RecordingLog();
 		const metrics = RelayMetrics.create();
 		let fiber: Fiber.Fiber<unknown> | undefined;
 		const node = await new Promise<RelayNode>(resolve => {
@@ -279,7 +279,7 @@
 		};
 
 		return {
-			name, node, port: front!, readyPort: ready!, log, metrics, end: kill,
+			name, node, port: front!, readyPort: ready!, log, metrics, crashReplica: kill,
 		};
 	}
 
@@ -303,7 +303,7 @@
 	/** Stops all relays, replicas and the store. */
 	async close(): Promise<void> {
 		this.isClosing = true;
-		await Promise.all(this.relays.map(async ({end: kill}) => kill()));
+		await Promise.all(this.relays.map(async ({crashReplica: kill}) => kill()));
 		await Promise.all(this.restarts);
 		await Promise.all([...this.replicas.values()].map(async replica => replica.close()));
 		await this.store.close();
--- a/development/relay/replica-standin.ts
+++ b/development/relay/replica-standin.ts
@@ -53,12 +53,12 @@
 	/** Time of arrival, in monotonic milliseconds. */
 	readonly at: number;
 	/** Pause in milliseconds that the response asked for; `undefined` if the request was not shed. */
-	readonly pauseAsked: number | undefined;
+	readonly requestedPause: number | undefined;
 	/** Whether the response announced that the replica is leaving. */
-	readonly saidLeaving: boolean;
+	readonly announcedLeaving: boolean;
 	isAbandoned: boolean;
 	/** Whether the response is a correct stream that was sent completely. */
-	isRightStream: boolean;
+	isCorrectStream: boolean;
 };
 
 const millisecondsPerSecond = 1000;
@@ -75,13 +75,13 @@
  * @param request - Id of a request that it ran.
  * @returns The text by which a response identifies its producer if responses also name their request.
  */
-export const makerOf = (replica: string, request: string): string => `${replica} for ${request}`;
+export const producerOf = (replica: string, request: string): string => `${replica} for ${request}`;
 
 /**
  * @param maker - Text that identifies the producer of the response.
  * @returns Body of a plain response.
  */
-export const wholeAnswerOf = (maker: string): string => `answer of ${maker}`;
+export const plainResponseOf = (maker: string): string => `answer of ${maker}`;
 
 /**
  * @param replica - Id of a replica.
@@ -180,8 +180,8 @@
 		const isShed = shedding !== undefined && (this.seen.length + 1) % shedding.every === 0;
 		const hasRun = !isElsewhere && !isShed && conduct.fault !== 'refuse';
 		const seen: SeenRequest = {
-			id, method: request.method, target: incoming.url ?? '', body: request.body, headers, hasRun, at: performance.now(), isAbandoned: false, isRightStream: false,
-			pauseAsked: isShed ? Number(shedding.retryAfter) * millisecondsPerSecond : undefined, saidLeaving: this.isLeaving,
+			id, method: request.method, target: incoming.url ?? '', body: request.body, headers, hasRun, at: performance.now(), isAbandoned: false, isCorrectStream: false,
+			requestedPause: isShed ? Number(shedding.retryAfter) * millisecondsPerSecond : undefined, announcedLeaving: this.isLeaving,
 		};
 		this.seen.push(seen);
 		response.once('close', () => {
@@ -216,7 +216,7 @@
 		if (events > 0 && streamFaults.has(conduct.fault)) {
 			const isRight = await this.stream(request, {...conduct, events}, commonHeaders);
 			response.once('finish', () => {
-				seen.isRightStream = isRight;
+				seen.isCorrectStream = isRight;
 			});
 			return;
 		}
@@ -225,7 +225,7 @@
 	}
 
 	private answerPlain({response, incoming}: StandinRequest, {fault}: ReplicaConduct, commonHeaders: Readonly<Record<string, string>>): void {
-		const body = wholeAnswerOf(this.producerFor(commonHeaders['Attempt-Id']!));
+		const body = plainResponseOf(this.producerFor(commonHeaders['Attempt-Id']!));
 		const length = {'Content-Length': String(body.length)};
 		switch (fault) {
 			case 'mute': {
@@ -294,7 +294,7 @@
 	}
 
 	private producerFor(request: string): string {
-		return this.namesRequests ? makerOf(this.id, request) : this.id;
+		return this.namesRequests ? producerOf(this.id, request) : this.id;
 	}
 
 	private async stream({response, headers, body, incoming: {socket}}: StandinRequest, conduct: ReplicaConduct, commonHeaders: Readonly<Record<string, string>>): Promise<boolean> {
--- a/development/relay/store-standin.ts
+++ b/development/relay/store-standin.ts
@@ -42,21 +42,21 @@
 };
 
 /** A backup of the store. */
-export type StoreCopy = {
+export type StoreBackup = {
 	readonly revision: number;
 	readonly objects: ReadonlyMap<string, ReadonlyMap<string, StoredObject>>;
 	readonly history: readonly RecordedChange[];
-	readonly forgottenUpTo: number;
+	readonly discardedUpTo: number;
 };
 
 /** A separate listener of the store for one box. */
-export type StoreDoor = {
+export type StoreListener = {
 	/** TCP port. */
 	readonly port: number;
 	/** HTTP status with which this listener refuses all calls; `undefined` if it accepts them. */
-	turnsAway: number | undefined;
+	refusalStatus: number | undefined;
 	/** Whether this listener closes the connection of each call without a response. */
-	isShut: boolean;
+	isClosed: boolean;
 };
 
 const noFaults: StoreFaults = {isSilent: false, isBusy: false, losesAnswers: false};
@@ -84,7 +84,7 @@
 	private revision = 1;
 	private objects = new Map<string, Map<string, StoredObject>>();
 	private history: readonly RecordedChange[] = [];
-	private forgottenUpTo = 0;
+	private discardedUpTo = 0;
 	private watchers: readonly Watcher[] = [];
 
 	private constructor() {
@@ -97,18 +97,18 @@
 	}
 
 	/** @returns A further listener of the same store, on loopback. */
-	async openDoor(): Promise<StoreDoor> {
+	async openListener(): Promise<StoreListener> {
 		const server = await startStandin(0, async request => {
-			if (door.isShut) {
+			if (door.isClosed) {
 				request.incoming.socket.destroy();
-			} else if (door.turnsAway === undefined) {
+			} else if (door.refusalStatus === undefined) {
 				this.answer(request);
 			} else {
-				sendJson(request.response, door.turnsAway);
+				sendJson(request.response, door.refusalStatus);
 			}
 		});
 		this.listenerServers.push(server);
-		const door: StoreDoor = {port: portOf(server), turnsAway: undefined, isShut: false};
+		const door: StoreListener = {port: portOf(server), refusalStatus: undefined, isClosed: false};
 		return door;
 	}
 
@@ -155,16 +155,16 @@
 
 	/** Discards the change history and closes the connections of all waiting watches. */
 	forgetHistory(): void {
-		this.forgottenUpTo = this.revision;
+		this.discardedUpTo = this.revision;
 		this.history = [];
 		this.cutWatches();
 	}
 
 	/** @returns A backup of the current state. */
-	copy(): StoreCopy {
+	backUp(): StoreBackup {
 		const objects = new Map([...this.objects].map(([kind, held]) => [kind, new Map(held)]));
 		return {
-			revision: this.revision, objects, history: this.history, forgottenUpTo: this.forgottenUpTo,
+			revision: this.revision, objects, history: this.history, discardedUpTo: this.discardedUpTo,
 		};
 	}
 
@@ -174,19 +174,19 @@
 	 * @param copy - The backup.
 	 * @param cutsWatches - Whether the connections of waiting watches are closed; otherwise the watches keep waiting for changes after the restore.
 	 */
-	restore({revision, objects, history, forgottenUpTo}: StoreCopy, cutsWatches = true): void {
+	restore({revision, objects, history, discardedUpTo: forgottenUpTo}: StoreBackup, cutsWatches = true): void {
 		this.era++;
 		this.revision = revision;
 		this.objects = new Map([...objects].map(([kind, held]) => [kind, new Map(held)]));
 		this.history = history;
-		this.forgottenUpTo = forgottenUpTo;
+		this.discardedUpTo = forgottenUpTo;
 		if (cutsWatches) {
 			this.cutWatches();
 		}
 	}
 
 	/** Removes all injected faults. */
-	heal(): void {
+	clearFaults(): void {
 		this.faults = noFaults;
 	}
 
@@ -278,7 +278,7 @@
 		const watcher: Watcher = {
 			kind, after, response, timer,
 		};
-		if (after < this.forgottenUpTo || after > this.revision || this.history.some(event => event.kind === kind && event.rev > after)) {
+		if (after < this.discardedUpTo || after > this.revision || this.history.some(event => event.kind === kind && event.rev > after)) {
 			clearTimeout(timer);
 			this.sendChanges(watcher);
 			return;
@@ -289,7 +289,7 @@
 
 	private sendChanges({kind, after, response}: Watcher): void {
 		response.setHeader('Store-Era', String(this.era));
-		if (after < this.forgottenUpTo || after > this.revision) {
+		if (after < this.discardedUpTo || after > this.revision) {
 			sendJson(response, 410);
 			return;
 		}
--- a/development/relay/stream-writer.ts
+++ b/development/relay/stream-writer.ts
@@ -19,16 +19,16 @@
 	/** How a breaking connection ends. */
 	readonly ending: 'reset' | 'close';
 	/** Where a resumed stream continues: at the next event, at the first event, or at the event after the next if there is one. */
-	readonly goesOn: 'behind' | 'anew' | 'too-far';
+	readonly resumesAt: 'behind' | 'anew' | 'too-far';
 	/** Number of the event that is written without an id. */
-	readonly nameless: number | undefined;
+	readonly eventWithoutId: number | undefined;
 	/** Number of the event that is omitted. */
-	readonly leftOut: number | undefined;
+	readonly omittedEvent: number | undefined;
 };
 
 /** A correct stream, with one write per event. */
 export const wholeStream: StreamConduct = {
-	pieces: 'whole', framing: 'chunked', breaksAt: undefined, silentFrom: undefined, ending: 'close', goesOn: 'behind', nameless: undefined, leftOut: undefined,
+	pieces: 'whole', framing: 'chunked', breaksAt: undefined, silentFrom: undefined, ending: 'close', resumesAt: 'behind', eventWithoutId: undefined, omittedEvent: undefined,
 };
 
 /** The stream to write. */
@@ -108,13 +108,13 @@
 	}
 
 	private get isRight(): boolean {
-		const {conduct: {nameless}, after, events} = this.order;
+		const {conduct: {eventWithoutId: nameless}, after, events} = this.order;
 		const {eventNumbers: numbers} = this;
 		return numbers.length === events - after && numbers.every((event, index) => event === after + index + 1 && event !== nameless);
 	}
 
 	private get eventNumbers(): readonly number[] {
-		const {conduct: {goesOn, leftOut}, after, events} = this.order;
+		const {conduct: {resumesAt: goesOn, omittedEvent: leftOut}, after, events} = this.order;
 		const skipped = goesOn === 'too-far' && after > 0 && after + 1 < events ? 1 : 0;
 		const first = goesOn === 'anew' ? 1 : after + 1 + skipped;
 		return Array.from({length: Math.max(0, events - first + 1)}, (_, index) => first + index).filter(event => event !== leftOut);
@@ -123,7 +123,7 @@
 	private textOf(event: number): string {
 		const {conduct, replica} = this.order;
 		const text = eventOf(replica, event);
-		return event === conduct.nameless ? text.slice(text.indexOf('\n') + 1) : text;
+		return event === conduct.eventWithoutId ? text.slice(text.indexOf('\n') + 1) : text;
 	}
 
 	private begin(): void {
--- a/development/soak/soak-answers.ts
+++ b/development/soak/soak-answers.ts
@@ -1,7 +1,7 @@
 /**
  * Checks that an answer consists, byte for byte, of output of the replicas that ran the request.
  */
-import {makerOf, stampOf, wholeAnswerOf} from '../relay/replica-standin.js';
+import {producerOf, stampOf, plainResponseOf} from '../relay/replica-standin.js';
 import {eventOf} from '../relay/stream-writer.js';
 import type {SoakAttempt} from './soak-clients.js';
 
@@ -24,7 +24,7 @@
  * @param answer - The answer, and the replicas that ran its request.
  * @returns A description of the first fault found; `undefined` if the answer is correct.
  */
-export function faultOfAnswer(answer: JudgedAnswer): string | undefined {
+export function describeAnswerFault(answer: JudgedAnswer): string | undefined {
 	const {attempt: {id, kind, headers, body}} = answer;
 	const fault = headers['attempt-id'] === id
 		? (kind === 'stream' ? faultOfStream(answer) : faultOfWhole(answer))
@@ -39,7 +39,7 @@
 		return `has the signature ${String(headers['server-stamp'])}, but ran at ${runners.join(' ')}`;
 	}
 
-	const expected = wholeAnswerOf(makerOf(maker, id));
+	const expected = plainResponseOf(producerOf(maker, id));
 	return (isWhole ? body === expected : expected.startsWith(body)) ? undefined : `differs from the output of ${maker}`;
 }
 
@@ -49,7 +49,7 @@
  */
 function faultOfStream({attempt: {id, after, body, isWhole, headers}, runners, streamEvents}: JudgedAnswer): string | undefined {
 	const events = body === '' ? [] : body.split(betweenEvents);
-	const makers = events.map((event, index) => runners.find(runner => event === eventOf(makerOf(runner, id), after + index + 1)));
+	const makers = events.map((event, index) => runners.find(runner => event === eventOf(producerOf(runner, id), after + index + 1)));
 	const firstForeign = makers.indexOf(undefined);
 	if (firstForeign !== -1) {
 		return `event ${after + firstForeign + 1} was not produced by any replica that ran the request (${isWhole ? 'whole' : 'cut'}): ${JSON.stringify(events[firstForeign])}`;
--- a/development/soak/soak-judge.ts
+++ b/development/soak/soak-checker.ts
@@ -2,11 +2,11 @@
  * Checks the invariants of a soak test against what clients and replicas observed.
  */
 import {Buffer} from 'node:buffer';
-import {mostWithin} from '../harness/most-within.js';
+import {maxWithin} from '../harness/max-within.js';
 import {routeTimeout, testKey} from '../relay/relay-installation.js';
 import type {ReplicaStandin, SeenRequest} from '../relay/replica-standin.js';
 import {fingerprintOf} from '../../src/quarantine/fingerprint.js';
-import {faultOfAnswer} from './soak-answers.js';
+import {describeAnswerFault} from './soak-answers.js';
 import {type SoakAttempt, type SoakRequestKind} from './soak-clients.js';
 import {
 	drainTime, poisonMark, revokeTime, type CutOff, type Drain, type LimitPeriod,
@@ -104,7 +104,7 @@
 		const {id, kind, status, key, sentAt} = attempt;
 		const runners = this.runnersOf.get(id) ?? [];
 		const runs = runners.length;
-		const wrong = status === 200 ? faultOfAnswer({attempt, runners, streamEvents: this.record.streamEvents}) : undefined;
+		const wrong = status === 200 ? describeAnswerFault({attempt, runners, streamEvents: this.record.streamEvents}) : undefined;
 		const revokedAt = this.record.revokedAt.get(key) ?? Number.POSITIVE_INFINITY;
 		const checks: ReadonlyArray<readonly [isBroken: boolean, what: string]> = [
 			[kind === 'once' && runs > 1, `ran ${runs} times, but may run only once`],
@@ -129,7 +129,7 @@
 
 	private wasCutNeedlessly(attempt: SoakAttempt): boolean {
 		const {sentAt, endedAt} = attempt;
-		return !wasKilledAround(attempt) && endedAt - sentAt < routeTimeout && this.lastRunOf.get(attempt.id)?.isRightStream === true;
+		return !wasKilledAround(attempt) && endedAt - sentAt < routeTimeout && this.lastRunOf.get(attempt.id)?.isCorrectStream === true;
 	}
 
 	private get lateArrivals(): readonly string[] {
@@ -142,7 +142,7 @@
 	private get arrivalsAfterAnnouncement(): readonly string[] {
 		return this.record.replicas.flatMap(({id: replica, seen}) => {
 			const announcedAt = new Map<SoakRelay, number>();
-			for (const {id} of seen.filter(({saidLeaving, hasRun}) => saidLeaving && hasRun)) {
+			for (const {id} of seen.filter(({announcedLeaving: saidLeaving, hasRun}) => saidLeaving && hasRun)) {
 				const attempt = this.attemptOf.get(id);
 				if (attempt?.status === 200 && this.runnersOf.get(id)?.at(-1) === replica) {
 					announcedAt.set(attempt.relay, Math.min(attempt.endedAt, announcedAt.get(attempt.relay) ?? Number.POSITIVE_INFINITY));
@@ -160,7 +160,7 @@
 
 	/** Requests that a relay sent to a replica during a pause that the replica had asked it for. */
 	private get arrivalsDuringPauses(): readonly string[] {
-		return this.record.replicas.flatMap(({id: replica, seen}) => seen.flatMap(({id, at, pauseAsked}) => {
+		return this.record.replicas.flatMap(({id: replica, seen}) => seen.flatMap(({id, at, requestedPause: pauseAsked}) => {
 			const relay = this.relayOf.get(id);
 			const until = at + (pauseAsked ?? 0);
 			const others = pauseAsked === undefined ? [] : seen.filter(other => other.at > at + pauseGrace && other.at < until && this.relayOf.get(other.id) === relay);
@@ -190,7 +190,7 @@
 	private get limitViolations(): readonly string[] {
 		return this.record.limitPeriods.flatMap(({replica, limit, from, to}) => {
 			const times = replica.seen.filter(({id, at}) => at >= from + propagationTime && at <= to && !this.wasInterrupted(id, from - startTime, at)).map(({at}) => at);
-			const most = mostWithin(times, limitWindow);
+			const most = maxWithin(times, limitWindow);
 			const allowed = (limitTolerance.factor * limit * limitWindow / 1000) + limitTolerance.requests;
 			return most > allowed ? [`${replica.id} announced a limit of ${limit} requests per second and got ${most} in ${limitWindow} ms; ${allowed} are allowed`] : [];
 		});
--- a/development/soak/soak-faults.ts
+++ b/development/soak/soak-faults.ts
@@ -216,9 +216,9 @@
 	private async injectStoreFault(kind: SoakFaultKind, relay: SoakRelay, duration: number, target: number): Promise<void> {
 		const {store} = this.installation;
 		if (kind === 'store-turns-away') {
-			relay.storeDoor.turnsAway = storeRefusals[target % storeRefusals.length];
+			relay.storeDoor.refusalStatus = storeRefusals[target % storeRefusals.length];
 			await pause(duration);
-			relay.storeDoor.turnsAway = undefined;
+			relay.storeDoor.refusalStatus = undefined;
 			return;
 		}
 
@@ -242,15 +242,15 @@
 
 		store.faults = {...store.faults, ...(kind === 'store-busy' ? {isBusy: true} : {losesAnswers: true})};
 		await pause(duration);
-		store.heal();
+		store.clearFaults();
 	}
 
 	/** Restores the store from a backup, so that recent writes are lost; replicas and the operator then rewrite their objects. */
 	private async restoreStore(duration: number): Promise<void> {
 		const {store} = this.installation;
-		const copy = store.copy();
+		const copy = store.backUp();
 		await pause(duration);
-		const lost = store.copy();
+		const lost = store.backUp();
 		store.restore(copy, duration % 2 === 0);
 		await pause(rewriteDelay);
 		for (const [id, entry] of this.installation.entries) {
--- a/development/soak/soak-plan.ts
+++ b/development/soak/soak-plan.ts
@@ -2,7 +2,7 @@
  * The schedule of faults of one soak test, determined by the seed alone. Faults overlap.
  */
 
-import {randomOf} from '../harness/seeded-random.js';
+import {createRandom} from '../harness/seeded-random.js';
 import {seededBy} from './seeded-by.js';
 
 /** A scheduled fault: its target and duration. */
@@ -80,7 +80,7 @@
 export function planSoak(seed: number, length: number, relays = defaultRelays): readonly SoakFault[] {
 	// Each group has its own generator, so that a kind added to one group does not change the faults of the others.
 	return [
-		...drawFaults(randomOf(seed), length, generalKinds, generalPause),
+		...drawFaults(createRandom(seed), length, generalKinds, generalPause),
 		...drawFaults(seededBy(seed, 'streams'), length, streamKinds, streamPause),
 		...drawFaults(seededBy(seed, 'boxes'), length, boxKinds, boxPause),
 		...drawFaults(seededBy(seed, 'cut-offs'), length, cutOffKinds, cutOffPause),
--- a/development/soak/soak-relay.ts
+++ b/development/soak/soak-relay.ts
@@ -6,7 +6,7 @@
 import path from 'node:path';
 import {Child} from '../harness/child.js';
 import {FaultProxy} from '../harness/fault-proxy.js';
-import type {StoreDoor} from '../relay/store-standin.js';
+import type {StoreListener} from '../relay/store-standin.js';
 import {freeRelayPorts, relaySettingsText, type RelayPorts} from '../relay/relay-settings-text.js';
 import {DatagramProxy, freeDatagramPort} from './datagram-proxy.js';
 import {hookOptions} from './process-hooks.js';
@@ -17,7 +17,7 @@
 	/** Folder of the settings file. */
 	readonly folder: string;
 	/** The relay's own endpoint of the store. */
-	readonly storeDoor: StoreDoor;
+	readonly storeDoor: StoreListener;
 	/** Draws which datagrams are lost. */
 	readonly random: () => number;
 	/** Addresses at which other relays receive gossip. */
@@ -82,7 +82,7 @@
 	}
 
 	/** The relay's own endpoint of the store, which can refuse its calls. */
-	get storeDoor(): StoreDoor {
+	get storeDoor(): StoreListener {
 		return this.plan.storeDoor;
 	}
 
@@ -153,7 +153,7 @@
 
 	/** @param isCutOff - Whether the relay is isolated from the store and receives no datagrams of other boxes, from now on. */
 	cutOff(isCutOff: boolean): void {
-		this.storeDoor.isShut = isCutOff;
+		this.storeDoor.isClosed = isCutOff;
 		this.datagrams.isShut = isCutOff;
 		if (isCutOff) {
 			// Closes open connections to the store: a pending watch would still deliver updates.
--- a/development/soak/soak-streams.ts
+++ b/development/soak/soak-streams.ts
@@ -70,7 +70,7 @@
 			case 'stream-misfits': {
 				// Neither the first nor the last event: a relay does not know the first number of a stream, nor its number of events.
 				const leftOut = draw.among(Array.from({length: this.events - 2}, (_, index) => index + 2));
-				return draw.among<Partial<StreamConduct>>([{goesOn: 'anew'}, {goesOn: 'too-far'}, {leftOut}, {nameless: event}]);
+				return draw.among<Partial<StreamConduct>>([{resumesAt: 'anew'}, {resumesAt: 'too-far'}, {omittedEvent: leftOut}, {eventWithoutId: event}]);
 			}
 
 			default: {
--- a/development/soak/soak.ts
+++ b/development/soak/soak.ts
@@ -8,13 +8,13 @@
 import {
 	RelayInstallation, testKey,
 } from '../relay/relay-installation.js';
-import {randomOf} from '../harness/seeded-random.js';
+import {createRandom} from '../harness/seeded-random.js';
 import {seededBy} from './seeded-by.js';
 import {
 	SoakClients, isolationKey, revocableKey, type SoakRequestKind,
 } from './soak-clients.js';
 import {SoakFaults} from './soak-faults.js';
-import {SoakChecker, fingerprintOfRequest, wrongQuarantines} from './soak-judge.js';
+import {SoakChecker, fingerprintOfRequest, wrongQuarantines} from './soak-checker.js';
 import {planSoak, type SoakFault} from './soak-plan.js';
 import {SoakRelay} from './soak-relay.js';
 import {SoakStreams} from './soak-streams.js';
@@ -75,14 +75,14 @@
 		}
 
 		relays.push(await SoakRelay.start({
-			name: `relay-${index + 1}`, folder, storeDoor: await installation.store.openDoor(), random: seededBy(seed, `datagrams of ${index}`), seeds: relays.map(({exchange}) => exchange),
+			name: `relay-${index + 1}`, folder, storeDoor: await installation.store.openListener(), random: seededBy(seed, `datagrams of ${index}`), seeds: relays.map(({exchange}) => exchange),
 		}));
 	}
 
 	try {
 		await untilReady(relays);
 		const plan = planSoak(seed, length, count);
-		const clients = SoakClients.create(installation, relays, randomOf(seed + 1));
+		const clients = SoakClients.create(installation, relays, createRandom(seed + 1));
 		const faults = SoakFaults.create(installation, relays, clients, streams);
 		await clients.run(Math.max(clientCount, count * clientsPerRelay), async () => faults.run(plan));
 		const unserved = await findUnserved(clients, relays);
@@ -91,7 +91,7 @@
 			drains, cutOffs, limitPeriods, poisonCrashes, revokedAt,
 		} = faults;
 		const judge = SoakChecker.create({
-			attempts: clients.attempts, replicas: installation.everyReplica, relays, drains, cutOffs, limitPeriods, poisonCrashes, revokedAt, streamEvents, lines,
+			attempts: clients.attempts, replicas: installation.allReplicas, relays, drains, cutOffs, limitPeriods, poisonCrashes, revokedAt, streamEvents, lines,
 		});
 		return {
 			plan, attempts: clients.attempts.length, served: clients.attempts.filter(({status}) => status === 200).length, violations: [...judge.violations, ...unserved], lines,
--- a/development/soak/test/soak-answers.test.ts
+++ b/development/soak/test/soak-answers.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {stampOf, wholeAnswerOf} from '../../relay/replica-standin.js';
+import {stampOf, plainResponseOf} from '../../relay/replica-standin.js';
 import {eventOf} from '../../relay/stream-writer.js';
-import {faultOfAnswer} from '../soak-answers.js';
+import {describeAnswerFault} from '../soak-answers.js';
 import type {SoakAttempt, SoakRequestKind} from '../soak-clients.js';
 
 const streamEvents = 3;
@@ -24,7 +24,7 @@
 	const attempt: SoakAttempt = {
 		kind, body, isWhole, after, id: 'r', sent: '', status: 200, headers, relay: nowhere, key: '', sentAt: 0, endedAt: 0,
 	};
-	return faultOfAnswer({attempt, runners, streamEvents});
+	return describeAnswerFault({attempt, runners, streamEvents});
 };
 
 const made = (replica: string, ...numbers: readonly number[]): string => numbers.map(number => eventOf(`${replica} for r`, number)).join('');
@@ -37,8 +37,8 @@
 		{body: '', isWhole: false},
 		{body: made('i-1', 2, 3), after: 1},
 		{body: '', after: 3},
-		{kind: 'calls', body: wholeAnswerOf('i-2 for r'), signer: 'i-2'},
-		{kind: 'once', body: wholeAnswerOf('i-1 for r').slice(0, 5), isWhole: false},
+		{kind: 'calls', body: plainResponseOf('i-2 for r'), signer: 'i-2'},
+		{kind: 'once', body: plainResponseOf('i-1 for r').slice(0, 5), isWhole: false},
 	];
 	assert.deepEqual(right.map(seen => judge(seen)), right.map(() => undefined));
 });
@@ -66,10 +66,10 @@
 		{body: '', isWhole: false, signer: 'i-3'},
 		{body: made('i-1', 1, 2, 3), id: 'another'},
 		// Non-streamed answers: wrong signature, extra byte, truncated, of another request, unknown content.
-		{kind: 'calls', body: wholeAnswerOf('i-2 for r')},
-		{kind: 'calls', body: wholeAnswerOf('i-1 for r') + ' '},
-		{kind: 'calls', body: wholeAnswerOf('i-1 for r').slice(0, 5)},
-		{kind: 'once', body: wholeAnswerOf('i-1 for another')},
+		{kind: 'calls', body: plainResponseOf('i-2 for r')},
+		{kind: 'calls', body: plainResponseOf('i-1 for r') + ' '},
+		{kind: 'calls', body: plainResponseOf('i-1 for r').slice(0, 5)},
+		{kind: 'once', body: plainResponseOf('i-1 for another')},
 		{kind: 'once', body: 'x', isWhole: false},
 	];
 	assert.deepEqual(wrong.filter(seen => judge(seen) === undefined), []);
--- a/development/soak/test/soak-judge.test.ts
+++ b/development/soak/test/soak-checker.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import type {SeenRequest} from '../../relay/replica-standin.js';
 import type {SoakAttempt} from '../soak-clients.js';
-import {SoakChecker, type SoakObservations} from '../soak-judge.js';
+import {SoakChecker, type SoakObservations} from '../soak-checker.js';
 import type {SoakRelay} from '../soak-relay.js';
 
 const relay = {
@@ -10,9 +10,9 @@
 };
 
 /** A request that reached the replica, and what the replica announced in its answer. */
-const reached = (at: number, said: Partial<Pick<SeenRequest, 'pauseAsked' | 'saidLeaving'>> = {}): SeenRequest => ({
-	id: `request-${at}`, method: 'GET', target: '/calls/x', body: '', headers: {}, hasRun: said.pauseAsked === undefined, at,
-	pauseAsked: undefined, saidLeaving: false, isAbandoned: false, isRightStream: false, ...said,
+const reached = (at: number, said: Partial<Pick<SeenRequest, 'requestedPause' | 'announcedLeaving'>> = {}): SeenRequest => ({
+	id: `request-${at}`, method: 'GET', target: '/calls/x', body: '', headers: {}, hasRun: said.requestedPause === undefined, at,
+	requestedPause: undefined, announcedLeaving: false, isAbandoned: false, isCorrectStream: false, ...said,
 });
 
 function violationsOf(seen: readonly SeenRequest[], {kills = []}: {readonly kills?: number[]} = {}): readonly string[] {
@@ -27,7 +27,7 @@
 }
 
 test('from the third request on, requests during a pause that a replica asked for violate an invariant, unless the relay was restarted meanwhile', () => {
-	const inPause = [reached(10_000, {pauseAsked: 3000}), reached(10_400), reached(10_600), reached(11_000)];
+	const inPause = [reached(10_000, {requestedPause: 3000}), reached(10_400), reached(10_600), reached(11_000)];
 	assert.deepEqual(violationsOf(inPause), []);
 	assert.equal(violationsOf([...inPause, reached(12_900)]).length, 1);
 	assert.deepEqual(violationsOf([...inPause, reached(13_100)]), []);
@@ -35,7 +35,7 @@
 });
 
 test('a request later than the drain time after an answer that announced that its replica is leaving violates an invariant', () => {
-	const announced = reached(10_000, {saidLeaving: true});
+	const announced = reached(10_000, {announcedLeaving: true});
 	assert.deepEqual(violationsOf([announced, reached(11_900)]), []);
 	assert.equal(violationsOf([announced, reached(13_000)]).length, 1);
 	assert.deepEqual(violationsOf([announced, reached(13_000)], {kills: [11_000]}), []);
--- a/development/standins/model-engine.ts
+++ b/development/standins/model-engine.ts
@@ -4,7 +4,7 @@
  * orders and departure. Development only.
  */
 import type {Server, ServerResponse} from 'node:http';
-import {randomOf} from '../harness/seeded-random.js';
+import {createRandom} from '../harness/seeded-random.js';
 import {EventWriter, type WritingTraits} from './event-writer.js';
 import {
 	portOf, sendJson, startStandin, type StandinRequest,
@@ -189,7 +189,7 @@
 			id,
 			input,
 			response,
-			writer: EventWriter.create(response, this.traits.writing, randomOf(this.traits.writing.seed + this.totals.started)),
+			writer: EventWriter.create(response, this.traits.writing, createRandom(this.traits.writing.seed + this.totals.started)),
 			promptTokens,
 			cachedTokens,
 			seed: seedOf(input.messages),
--- a/src/claims/test/claim-outage-model.test.ts
+++ b/src/claims/test/claim-outage-model.test.ts
@@ -8,7 +8,7 @@
 import * as Exit from 'effect/Exit';
 import {FakeObjects} from '../../../development/fuzz/fake-object-store.js';
 import {VirtualClock, VirtualTime} from '../../../development/fuzz/virtual-time.js';
-import {randomOf} from '../../../development/harness/seeded-random.js';
+import {createRandom} from '../../../development/harness/seeded-random.js';
 import {SilentEventLog} from '../../base/event-log.js';
 import {Metrics} from '../../base/metrics.js';
 import {
@@ -99,7 +99,7 @@
 
 /** @returns The calls of one box after the outage of its store. */
 async function play(seed: number, isThrottling: boolean): Promise<readonly Call[]> {
-	const random = randomOf(seed);
+	const random = createRandom(seed);
 	const time = VirtualTime.start();
 	const ownRandom = Math.random;
 	// The pauses use Math.random too; each seed must be reproducible.
--- a/src/claims/test/claim-shard.test.ts
+++ b/src/claims/test/claim-shard.test.ts
@@ -30,10 +30,10 @@
 async function afterOutage() {
 	const store = FakeObjectStore.create(new FakeObjects(() => performance.now()));
 	const shard = shardOver(store);
-	store.isOut = true;
+	store.isUnavailable = true;
 	const waiting = readEntry(shard, 'a');
 	await pause(longOutage);
-	store.isOut = false;
+	store.isUnavailable = false;
 	return {shard, waiting};
 }
 
@@ -80,14 +80,14 @@
 	const objects = new ContestedObjects(() => performance.now());
 	const store = FakeObjectStore.create(objects);
 	const shard = shardOver(store);
-	store.isOut = true;
+	store.isUnavailable = true;
 	const recorded = Effect.runPromiseExit(shard.run('a', (_, storeTime) => ({
 		write: {
 			attempt: 'x', fingerprint: 'f', state: 'ran', claimedAt: storeTime,
 		}, outcome: undefined,
 	})));
 	await pause(longOutage);
-	store.isOut = false;
+	store.isUnavailable = false;
 	objects.contested = 1;
 	assert.ok(Exit.isSuccess(await readEntry(shard, 'b')));
 	assert.ok(Exit.isSuccess(await recorded));
@@ -97,7 +97,7 @@
 	const objects = new FakeObjects(() => performance.now());
 	const store = FakeObjectStore.create(objects);
 	const shard = shardOver(store);
-	store.isOut = true;
+	store.isUnavailable = true;
 	const waiting = readEntry(shard, 'a');
 	await pause(longOutage);
 	const before = objects.faults;
@@ -107,6 +107,6 @@
 	}));
 	assert.ok(exits.every(exit => Exit.isFailure(exit)));
 	assert.ok(objects.faults - before <= 10, `${objects.faults - before} calls`);
-	store.isOut = false;
+	store.isUnavailable = false;
 	await waiting;
 });
--- a/src/command/test/settings-file.test.ts
+++ b/src/command/test/settings-file.test.ts
@@ -3,7 +3,7 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import {after, test} from 'node:test';
-import {KeepingLog} from '../../../development/relay/relay-installation.js';
+import {RecordingLog} from '../../../development/relay/relay-installation.js';
 import {relaySettingsText} from '../../../development/relay/relay-settings-text.js';
 import {SettingsFile} from '../settings-file.js';
 
@@ -24,7 +24,7 @@
 	const before = settingsText(['AbC-_1234567', 'AbC-_7654321']);
 	const next = settingsText(['AbC-_1234567', 'AbC-_7654321', 'AbC-_0000000']);
 	writeFileSync(file, before);
-	const log = new KeepingLog();
+	const log = new RecordingLog();
 	const settings = SettingsFile.create(file, log);
 	settings.poll();
 	const inForce = settings.current?.released;
@@ -44,7 +44,7 @@
 
 test('a reload applies a changed file at once; an invalid or missing file leaves the settings in force unchanged', () => {
 	writeFileSync(file, settingsText(['AbC-_1234567']));
-	const log = new KeepingLog();
+	const log = new RecordingLog();
 	const settings = SettingsFile.create(file, log);
 	settings.reload();
 	writeFileSync(file, settingsText(['AbC-_7654321']));
--- a/src/daemon/entry-box.ts
+++ b/src/daemon/entry-box.ts
@@ -23,12 +23,12 @@
 import {Lease} from '../lease/lease.js';
 import {CeilingOwner, type CeilingFacts} from '../limits/ceiling-owner.js';
 import {Ceilings} from '../limits/ceilings.js';
-import {PeerLinks, reportOf} from '../peers/peer-links.js';
+import {PeerLinks, leavingReportOf} from '../peers/peer-links.js';
 import type {PeerState, StoredTable} from '../peers/peer-messages.js';
 import {listenForPeers} from '../peers/peer-server.js';
 import type {BoxList} from '../external/box-list.js';
 import type {ObjectStore} from '../external/object-store.js';
-import {RecordBook} from '../records/record-book.js';
+import {RecordRegistry} from '../records/record-registry.js';
 import {ExpectedCostPolicy} from '../routing/routing-policy.js';
 import type {Settings} from '../settings/settings.js';
 import {SummaryDuty} from '../status/summary-duty.js';
@@ -205,7 +205,7 @@
 				store: this.platform.store, clock, log, metrics,
 			}),
 			policy: ExpectedCostPolicy.create(),
-			records: RecordBook.create(retention, clock),
+			records: RecordRegistry.create(retention, clock),
 			runs: RunRegistry.create(metrics),
 		};
 		const peers = PeerLinks.create({
@@ -218,7 +218,7 @@
 			metrics,
 			state: () => this.state(),
 			rowNames: () => table.rowNames,
-			takeTable: stored => {
+			applyTable: stored => {
 				this.applyPeerTable(stored);
 			},
 		});
@@ -301,7 +301,7 @@
 			tableVersion: table.version,
 			inProgress: this.inProgress,
 			isStopping: this.isStopping,
-			leaving: directory.leavingBoxes.map(({box, endsAt}) => reportOf(box, endsAt, now)),
+			leaving: directory.leavingBoxes.map(({box, endsAt}) => leavingReportOf(box, endsAt, now)),
 		};
 	}
 
--- a/src/daemon/local-peer.ts
+++ b/src/daemon/local-peer.ts
@@ -11,7 +11,7 @@
 import type {CeilingOwner} from '../limits/ceiling-owner.js';
 import {decodeRates, encodeRates} from '../limits/row-rates.js';
 import {Peer, type PeerFailure} from '../peers/peer.js';
-import {endOf} from '../peers/peer-links.js';
+import {stopTimeOf} from '../peers/peer-links.js';
 import type {
 	Exchange, ExchangeAnswer, LeavingReport, PeerState, RecordQuery, RecordSnapshot, StoredTable,
 } from '../peers/peer-messages.js';
@@ -100,7 +100,7 @@
 	private markLeaving(reports: readonly LeavingReport[]): void {
 		const now = this.services.clock.monotonic();
 		for (const report of reports) {
-			this.services.directory.markLeaving(report.box, 'peer', endOf(report, now));
+			this.services.directory.markLeaving(report.box, 'peer', stopTimeOf(report, now));
 		}
 	}
 
--- a/src/daemon/record-hand-over.ts
+++ b/src/daemon/record-hand-over.ts
@@ -12,7 +12,7 @@
 import type {Peer} from '../peers/peer.js';
 import type {ReachablePeer} from '../peers/peer-links.js';
 import type {RecordSnapshot} from '../peers/peer-messages.js';
-import type {RecordBook} from '../records/record-book.js';
+import type {RecordRegistry} from '../records/record-registry.js';
 import type {RequestRecord} from '../records/request-record.js';
 
 /** Timeout of an adopted request, in milliseconds. It replaces the caller's deadline, so that the request can complete. */
@@ -26,7 +26,7 @@
 export type RecordHandOverServices = {
 	readonly dataCentre: DataCentre;
 	readonly directory: BoxDirectory;
-	readonly records: RecordBook;
+	readonly records: RecordRegistry;
 	readonly runs: RunRegistry;
 	readonly log: EventLog;
 	/** @returns The peers that can be reached. */
--- a/src/daemon/test/record-hand-over.test.ts
+++ b/src/daemon/test/record-hand-over.test.ts
@@ -18,7 +18,7 @@
 import {listenForPeers} from '../../peers/peer-server.js';
 import {RemotePeer} from '../../peers/remote-peer.js';
 import type {ReachablePeer} from '../../peers/peer-links.js';
-import {RecordBook} from '../../records/record-book.js';
+import {RecordRegistry} from '../../records/record-registry.js';
 import {RequestRecord} from '../../records/request-record.js';
 import {RecordHandOver} from '../record-hand-over.js';
 
@@ -66,7 +66,7 @@
 	const handingOver = Effect.gen(function * () {
 		const port = yield * listenForPeers(receiver, '127.0.0.1', 0);
 		const peer = RemotePeer.create('127.0.0.1', port);
-		const records = RecordBook.create({retention: 1000, maximumBytes: 1000}, clock);
+		const records = RecordRegistry.create({retention: 1000, maximumBytes: 1000}, clock);
 		for (const [index, prompt] of prompts.entries()) {
 			records.add(recordWith(`key-${String(index).padStart(3, '0')}`, prompt));
 		}
--- a/src/daemon/test/role.test.ts
+++ b/src/daemon/test/role.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import * as Effect from 'effect/Effect';
-import {KeepingLog, until} from '../../../development/relay/relay-installation.js';
+import {RecordingLog, until} from '../../../development/relay/relay-installation.js';
 import {superviseRoles} from '../role.js';
 
 test('a role that fails is reported, counted and restarted, and the other roles keep running', async () => {
-	const log = new KeepingLog();
+	const log = new RecordingLog();
 	const failed: string[] = [];
 	let starts = 0;
 	let steadyRuns = 0;
--- a/src/dispatch/dispatch-services.ts
+++ b/src/dispatch/dispatch-services.ts
@@ -7,7 +7,7 @@
 import type {BoxDirectory} from '../boxes/box-directory.js';
 import type {ClaimLedger} from '../claims/claim.js';
 import type {Ceilings} from '../limits/ceilings.js';
-import type {RecordBook} from '../records/record-book.js';
+import type {RecordRegistry} from '../records/record-registry.js';
 import type {RoutingPolicy} from '../routing/routing-policy.js';
 import type {PoolGates} from './pool-gates.js';
 import type {RunRegistry} from './run-registry.js';
@@ -24,6 +24,6 @@
 	readonly ceilings: Ceilings;
 	readonly ledger: ClaimLedger;
 	readonly policy: RoutingPolicy;
-	readonly records: RecordBook;
+	readonly records: RecordRegistry;
 	readonly runs: RunRegistry;
 };
--- a/src/door/chat-handler.ts
+++ b/src/door/chat-handler.ts
@@ -206,7 +206,7 @@
 
 	/** Stops a repeatable request that has no reader left; the caller may resume it. */
 	private afterDisconnect(record: RequestRecord, {serviceRow}: Call): Effect.Effect<void> {
-		return record.isRead || !serviceRow.row.repeatable || record.state !== 'running'
+		return record.hasListeners || !serviceRow.row.repeatable || record.state !== 'running'
 			? Effect.void
 			: this.services.runs.stop(record);
 	}
--- a/src/door/event-stream.ts
+++ b/src/door/event-stream.ts
@@ -40,7 +40,7 @@
 			: events.map((event, index) => `id: ${firstIndex + index + 1}\n${event}`).join(''));
 		if (!isReady) {
 			this.response.once('drain', () => {
-				this.plan.record.drained();
+				this.plan.record.notifyDrained();
 			});
 		}
 
--- a/src/duties/test/duty-campaign.test.ts
+++ b/src/duties/test/duty-campaign.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import * as Effect from 'effect/Effect';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {StoreStandin} from '../../../development/relay/store-standin.js';
 import {HttpMetadataStore} from '../../../platform/metadata-store.js';
 import {
@@ -31,7 +31,7 @@
 
 test('a holder counts as alive while it writes its draft, and as stopped after 4 s without a write', async () => {
 	const standin = await StoreStandin.start();
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const life = HolderLiveness.create(HttpMetadataStore.create('127.0.0.1', standin.port), clock);
 	const look = async (write: boolean): Promise<boolean> => {
 		clock.now += 1100;
--- a/src/duties/test/duty-lease.test.ts
+++ b/src/duties/test/duty-lease.test.ts
@@ -4,7 +4,7 @@
 } from 'node:test';
 import * as Effect from 'effect/Effect';
 import * as Exit from 'effect/Exit';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {StoreStandin} from '../../../development/relay/store-standin.js';
 import {HttpMetadataStore} from '../../../platform/metadata-store.js';
 import {SilentEventLog} from '../../base/event-log.js';
@@ -13,14 +13,14 @@
 /** Milliseconds during which calls of a previous holder may still take effect. */
 const wait = 3000;
 let standin: StoreStandin;
-let clock: MovedClock;
+let clock: ManualClock;
 
 before(async () => {
 	standin = await StoreStandin.start();
 });
 
 beforeEach(() => {
-	clock = new MovedClock(1000);
+	clock = new ManualClock(1000);
 	standin.remove('waydrift-duties', 'record');
 });
 
@@ -87,7 +87,7 @@
 test('a fence is not reused after the store has lost its holder', async () => {
 	const first = leaseOf('a', true);
 	await acquire(first);
-	const copy = standin.copy();
+	const copy = standin.backUp();
 	const second = leaseOf('b', true);
 	await acquire(second);
 	const {signer} = await Effect.runPromise(second.decide(record => record));
@@ -104,7 +104,7 @@
 test('after a restore a holder does not act until it has acquired the duties again, and continues from its own last decision', async () => {
 	const lease = leaseOf('a', false);
 	await acquire(lease);
-	const copy = standin.copy();
+	const copy = standin.backUp();
 	const before = await Effect.runPromise(lease.decide(record => ({...record, report: reportOf(7), orders: [order]})));
 	standin.restore(copy);
 	await Effect.runPromise(lease.read());
@@ -121,7 +121,7 @@
 	const first = leaseOf('a', false);
 	await acquire(first);
 	await Effect.runPromise(first.decide(record => ({...record, report: reportOf(6)})));
-	const copy = standin.copy();
+	const copy = standin.backUp();
 	await Effect.runPromise(first.decide(record => ({...record, report: reportOf(7)})));
 	standin.restore(copy);
 	const second = leaseOf('b', false);
--- a/src/duties/test/fleet-duty.test.ts
+++ b/src/duties/test/fleet-duty.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import * as Effect from 'effect/Effect';
-import {KeepingCalls} from '../../../development/harness/keeping-calls.js';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {RecordingCalls} from '../../../development/harness/recording-calls.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {OneObjectStore} from '../../../development/harness/one-object-store.js';
 import {SilentEventLog} from '../../base/event-log.js';
 import {ReplicaDirectory} from '../../replicas/replica-directory.js';
@@ -12,13 +12,13 @@
 import {MeasuredLoadPolicy} from '../fleet-plan.js';
 
 test('a holder that was suspended after its decision was written sends no orders for it', async () => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const log = SilentEventLog.create();
 	let pause = 0;
 	const store = new OneObjectStore(() => {
 		clock.now += pause;
 	});
-	const calls = new KeepingCalls();
+	const calls = new RecordingCalls();
 	const replicas = ReplicaDirectory.create(clock, log);
 	const table = RouteTableView.create(clock, log);
 	const scaling = {
--- a/src/duties/test/fleet-load.test.ts
+++ b/src/duties/test/fleet-load.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {FleetLoad, type LoadSample} from '../fleet-load.js';
 
-const clock = new MovedClock(1000);
+const clock = new ManualClock(1000);
 const play = (load: FleetLoad, seconds: number, sample: LoadSample): void => {
 	for (let step = 0; step < seconds * 4; step++) {
 		clock.now += 250;
--- a/src/duties/test/fleet-size.test.ts
+++ b/src/duties/test/fleet-size.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import type {LoadSample} from '../fleet-load.js';
 import {FleetSizes, type SizeFacts} from '../fleet-size.js';
 
-const clock = new MovedClock(1000);
+const clock = new ManualClock(1000);
 const load = (requests: number, missedPart: number): LoadSample => ({
 	requests, slots: 21, reading: 0, waits: 0, missedPart,
 });
--- a/src/duties/test/fleet-take-over.test.ts
+++ b/src/duties/test/fleet-take-over.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import * as Effect from 'effect/Effect';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {OneObjectStore} from '../../../development/harness/one-object-store.js';
 import {SilentEventLog} from '../../base/event-log.js';
 import type {Replica} from '../../replicas/replica.js';
@@ -55,7 +55,7 @@
 	limitOf: (replica: Replica) => number | undefined = () => undefined,
 	pausedPart: (replica: Replica) => number = () => 0,
 ) => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const log = SilentEventLog.create();
 	const store = new OneObjectStore();
 	const calls = new ScarceCalls(dryDataCentre);
--- a/src/duties/test/fleet-unknown.test.ts
+++ b/src/duties/test/fleet-unknown.test.ts
@@ -5,8 +5,8 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import * as Effect from 'effect/Effect';
-import {KeepingCalls} from '../../../development/harness/keeping-calls.js';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {RecordingCalls} from '../../../development/harness/recording-calls.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {OneObjectStore} from '../../../development/harness/one-object-store.js';
 import {SilentEventLog} from '../../base/event-log.js';
 import {ReplicaDirectory} from '../../replicas/replica-directory.js';
@@ -24,9 +24,9 @@
 });
 
 const startHolder = async () => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const log = SilentEventLog.create();
-	const calls = new KeepingCalls();
+	const calls = new RecordingCalls();
 	const replicas = ReplicaDirectory.create(clock, log);
 	const table = RouteTableView.create(clock, log);
 	table.apply({
--- a/src/duties/test/order-registry.test.ts
+++ b/src/duties/test/order-registry.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import type {ReplicaOrder} from '../duty-calls.js';
 import {OrderRegistry} from '../order-registry.js';
 
-const clock = new MovedClock(1000);
+const clock = new ManualClock(1000);
 const order = (dataCentre: string, count: number, isReclaimable = true): ReplicaOrder => ({
 	service: 's', dataCentre, count, isReclaimable,
 });
--- a/src/duties/test/usage-draft.test.ts
+++ b/src/duties/test/usage-draft.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import * as Effect from 'effect/Effect';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {StoreStandin} from '../../../development/relay/store-standin.js';
 import {HttpMetadataStore} from '../../../platform/metadata-store.js';
 import {UsageCounts} from '../usage-counts.js';
@@ -10,7 +10,7 @@
 test('after the loss of all boxes the next holder restores their counts and counts none twice', async () => {
 	const standin = await StoreStandin.start();
 	const store = HttpMetadataStore.create('127.0.0.1', standin.port);
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const countsOf = () => UsageCounts.create(() => clock.now, () => 5000);
 	const first = countsOf();
 	first.recordRequest('basin');
--- a/src/duties/test/usage-restored.test.ts
+++ b/src/duties/test/usage-restored.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {after, before, test} from 'node:test';
 import * as Effect from 'effect/Effect';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {StoreStandin} from '../../../development/relay/store-standin.js';
 import {HttpMetadataStore} from '../../../platform/metadata-store.js';
 import {SilentEventLog} from '../../base/event-log.js';
@@ -40,7 +40,7 @@
 }
 
 test('a window whose report the store has lost is not reported with different counts, and later windows are reported', async () => {
-	const clock = new MovedClock(windowLength * 20);
+	const clock = new ManualClock(windowLength * 20);
 	const calls = new KeptCalls();
 	const boxOf = (self: string) => {
 		const counts = UsageCounts.create(() => clock.now, () => windowLength);
@@ -70,7 +70,7 @@
 	const [first, second] = [boxOf('a'), boxOf('b')];
 	await Effect.runPromise(first.lease.acquire());
 	await run(first, windowLength * 2);
-	const copy = standin.copy();
+	const copy = standin.backUp();
 	const known = calls.reports.length;
 	await run(first, windowLength * 2);
 	assert.ok(calls.reports.length > known);
--- a/src/follow/store-availability.ts
+++ b/src/follow/store-availability.ts
@@ -25,23 +25,23 @@
 	private constructor(private readonly clock: Clock, private readonly lapseTime: () => number) {}
 
 	/** Milliseconds since the store last answered this box. */
-	get ownSilence(): number {
+	get timeSinceOwnAnswer(): number {
 		return this.clock.ageOf(this.ownAnswerAt);
 	}
 
 	/** When the last outage ended, in monotonic milliseconds; negative infinity where no outage is known. */
-	get returnedAt(): number {
+	get lastOutageEndedAt(): number {
 		return this.outageEndedAt;
 	}
 
 	/** Records that the store has answered this box. */
-	noteOwnAnswer(): void {
+	recordOwnAnswer(): void {
 		this.ownAnswerAt = this.clock.monotonic();
 		this.recordAnswer(this.ownAnswerAt);
 	}
 
 	/** @param age - Milliseconds since the store answered another box, as reported by that box; `unknownAgeMs` and more is ignored. */
-	notePeerAnswer(age: number): void {
+	recordPeerAnswer(age: number): void {
 		if (age < unknownAgeMs) {
 			this.recordAnswer(this.clock.monotonic() - age);
 		}
@@ -53,14 +53,14 @@
 	 *
 	 * @param age - Milliseconds since the store answered some box; `unknownAgeMs` and more is ignored.
 	 */
-	noteIndirectAnswer(age: number): void {
+	recordIndirectAnswer(age: number): void {
 		if (this.isAfterOutage(this.clock.monotonic() - age)) {
-			this.notePeerAnswer(age);
+			this.recordPeerAnswer(age);
 		}
 	}
 
 	/** Records that the store was restored from a backup: entries may be missing even after a short outage. */
-	noteRestore(): void {
+	recordRestore(): void {
 		this.outageEndedAt = this.clock.monotonic();
 		this.outageBeganAt = this.outageEndedAt;
 	}
--- a/src/gossip/exchange-topology.ts
+++ b/src/gossip/exchange-topology.ts
@@ -130,12 +130,12 @@
 	/**
 	 * @param count - Number of boxes to name.
 	 * @param round - Number of the round; the names rotate from round to round.
-	 * @param isSuccession - Whether to add the aggregators and their successors, at the front.
+	 * @param includesSuccessors - Whether to add the aggregators and their successors, at the front.
 	 * @returns Boxes to list as members in a message.
 	 */
-	namesToTell(count: number, round: number, isSuccession = true): readonly Peer[] {
+	membersToName(count: number, round: number, includesSuccessors = true): readonly Peer[] {
 		const {heard} = this.peers;
-		const first = this.isLarge && isSuccession ? this.ranked().filter(({peer}) => heard.includes(peer)).slice(0, successorsNamed).map(({peer}) => peer) : [];
+		const first = this.isLarge && includesSuccessors ? this.ranked().filter(({peer}) => heard.includes(peer)).slice(0, successorsNamed).map(({peer}) => peer) : [];
 		const all = this.isLarge ? heard : this.peers.all;
 		const start = all.length === 0 ? 0 : (round * count) % all.length;
 		const others = [...all, ...all].slice(start, start + Math.min(count, all.length));
--- a/src/gossip/gossip.ts
+++ b/src/gossip/gossip.ts
@@ -13,8 +13,8 @@
 import {
 	canBeSentTo, type FleetDigest, type GossipMessage, type MemberAddress,
 } from './gossip-message.js';
-import {RecipientRegistry} from './listener-book.js';
-import type {Meeting, Peer, PeerTable} from './peer-table.js';
+import {RecipientRegistry} from './recipient-registry.js';
+import type {SenderRelation, Peer, PeerTable} from './peer-table.js';
 
 /** Members listed in one message, besides the aggregators. */
 export const membersNamed = 6;
@@ -28,10 +28,10 @@
 const roundsBetweenSeeds = 25;
 
 /** Fields that this box supplies for every message; the exchange adds the others. */
-export type LocalNews = Pick<GossipMessage, 'version' | 'proofAge' | 'isStopping' | 'storeAge' | 'departed' | 'replicas' | 'ends' | 'statements'>;
+export type CommonUpdate = Pick<GossipMessage, 'version' | 'proofAge' | 'isStopping' | 'storeAge' | 'departed' | 'replicas' | 'ends' | 'statements'>;
 
 /** State of this box, including its own counters and work. */
-export type LocalState = LocalNews & Pick<GossipMessage, 'quota' | 'isWhole' | 'work' | 'demand' | 'usage'>;
+export type LocalState = CommonUpdate & Pick<GossipMessage, 'quota' | 'isWhole' | 'work' | 'demand' | 'usage'>;
 
 /** Dependencies of the exchange. */
 export type GossipServices = {
@@ -43,17 +43,17 @@
 	readonly topology: ExchangeTopology;
 	readonly traffic: ExchangeTraffic;
 	/** @returns Fields for every message: all current updates, or only the new ones. */
-	readonly news: (isWhole: boolean) => LocalNews;
+	readonly commonUpdate: (isWhole: boolean) => CommonUpdate;
 	/** @returns The same with this box's own counters and work: all counters, or only those that changed recently. */
-	readonly state: (isWhole: boolean) => LocalState;
+	readonly localState: (isWhole: boolean) => LocalState;
 	/** @returns The digest of all other boxes for one box: complete, or only what is new. */
-	readonly digest: (peer: Peer, isWhole: boolean) => FleetDigest;
+	readonly digestFor: (peer: Peer, isWhole: boolean) => FleetDigest;
 	/** Applies the state that a box sent of itself. */
-	readonly take: (message: GossipMessage, meeting: Meeting) => void;
+	readonly applyMessage: (message: GossipMessage, meeting: SenderRelation) => void;
 	/** Applies the digest of all boxes that an aggregator sent. */
-	readonly takeDigest: (message: GossipMessage, digest: FleetDigest) => void;
+	readonly applyDigest: (message: GossipMessage, digest: FleetDigest) => void;
 	/** Records a moment, on this box's monotonic clock, at which a configuration version is known to have been the newest. */
-	readonly prove: (version: number, at: number) => void;
+	readonly recordProof: (version: number, at: number) => void;
 	/** Addresses to contact before any other box is known. */
 	readonly seeds: () => ReadonlyArray<Omit<MemberAddress, 'name'>>;
 };
@@ -120,10 +120,10 @@
 		const newRecipients = this.recipients.newAmong(targets);
 		const sendsToSeeds = hearsNoBox || this.rounds % roundsBetweenSeeds === 0;
 		const isWholeNeeded = isWholeRound || sendsToSeeds || newRecipients.size > 0;
-		const state = {...head, ...this.services.state(isWholeRound)};
-		const wholeState = isWholeNeeded && !isWholeRound ? {...head, ...this.services.state(true)} : state;
+		const state = {...head, ...this.services.localState(isWholeRound)};
+		const wholeState = isWholeNeeded && !isWholeRound ? {...head, ...this.services.localState(true)} : state;
 		for (const peer of targets) {
-			peers.noteTold(peer.address.name);
+			peers.recordSent(peer.address.name);
 			this.send(socket, peer.address, {...(newRecipients.has(peer) ? wholeState : state), ...this.echoOf(peer), ...(asked.includes(peer) ? {asksDigest: true} : {})});
 		}
 
@@ -153,7 +153,7 @@
 			sequence: this.nextSequence(),
 			uptime: Math.round(peers.uptime),
 			wall: Math.round(peers.ownTime),
-			members: topology.namesToTell(memberCount, this.rounds, isSuccession).map(({address}) => address),
+			members: topology.membersToName(memberCount, this.rounds, isSuccession).map(({address}) => address),
 		};
 	}
 
@@ -187,24 +187,24 @@
 	private receive(socket: Socket, data: Uint8Array): void {
 		const message = decodeGossip(data);
 		const {
-			peers, topology, self, take, takeDigest, incarnation,
+			peers, topology, self, applyMessage, applyDigest, incarnation,
 		} = this.services;
 		if (!message || message.sender.name === self.name || !canBeSentTo(message.sender)) {
 			return;
 		}
 
-		peers.learn(message.members);
-		const meeting = peers.take(message);
+		peers.addMembers(message.members);
+		const meeting = peers.recordMessage(message);
 		if (meeting === undefined) {
 			return;
 		}
 
 		this.recordProof(message, incarnation);
 		if (message.digest) {
-			peers.noteFleetSize(message.digest.boxes);
-			takeDigest(message, message.digest);
+			peers.recordFleetSize(message.digest.boxes);
+			applyDigest(message, message.digest);
 		} else {
-			take(message, meeting);
+			applyMessage(message, meeting);
 		}
 
 		if (message.asksDigest === true || (topology.isLarge && !message.digest)) {
@@ -217,7 +217,7 @@
 	 * for a digest receives the fleet size and new updates, which also show it that this box receives its messages.
 	 */
 	private answer(socket: Socket, name: string, isWhole: boolean): void {
-		const {peers, news, digest, clock} = this.services;
+		const {peers, commonUpdate, digestFor, clock} = this.services;
 		const peer = peers.named(name);
 		if (!peer) {
 			return;
@@ -225,12 +225,12 @@
 
 		this.send(socket, peer.address, {
 			...this.head(isWhole ? membersNamed : membersAcknowledged, isWhole),
-			...news(isWhole),
+			...commonUpdate(isWhole),
 			// The median of many clocks: a box that hears few others cannot tell which of their clocks is wrong.
 			wall: Math.round(peers.commonTime),
 			quota: [], isWhole: false, work: [], usage: [],
 			...this.echoOf(peer),
-			digest: digest(peer, isWhole),
+			digest: digestFor(peer, isWhole),
 		});
 	}
 
@@ -245,7 +245,7 @@
 
 		const leftAt = this.sentAt.get(echo.sequence);
 		if (leftAt !== undefined) {
-			this.services.prove(version, leftAt + echo.age - proofAge);
+			this.services.recordProof(version, leftAt + echo.age - proofAge);
 		}
 	}
 }
--- a/src/gossip/peer-table.ts
+++ b/src/gossip/peer-table.ts
@@ -18,7 +18,7 @@
 const newcomerUptime = 2500;
 
 /** Classification of a message's sender, which decides how its quota counters are applied; see `QuotaLedger.applyCounts`. */
-export type Meeting = 'known' | 'younger' | 'other' | 'apart';
+export type SenderRelation = 'known' | 'younger' | 'other' | 'apart';
 
 /** Another box. */
 export type Peer = {
@@ -169,7 +169,7 @@
 	}
 
 	/** @param boxes - Number of boxes that another box knows. */
-	noteFleetSize(boxes: number): void {
+	recordFleetSize(boxes: number): void {
 		const now = this.clock.monotonic();
 		// A smaller size counts only once the larger one has expired: in a network partition, each part would otherwise soon take
 		// itself for the whole fleet and spend the whole quota.
@@ -179,7 +179,7 @@
 	}
 
 	/** @param name - Name of the box that a message is sent to. */
-	noteTold(name: string): void {
+	recordSent(name: string): void {
 		const peer = this.peers.get(name);
 		if (peer) {
 			this.put({...peer, unanswered: peer.unanswered + 1});
@@ -187,7 +187,7 @@
 	}
 
 	/** @param members - Boxes that another box or the store lists; those with an invalid address are ignored. */
-	learn(members: readonly MemberAddress[]): void {
+	addMembers(members: readonly MemberAddress[]): void {
 		const now = this.clock.monotonic();
 		for (const address of members.filter(member => canBeSentTo(member))) {
 			const known = this.peers.get(address.name);
@@ -206,7 +206,7 @@
 	 * @param message - The message.
 	 * @returns The classification of its sender; `undefined` where the message is not newer than the newest one received.
 	 */
-	take(message: GossipMessage): Meeting | undefined {
+	recordMessage(message: GossipMessage): SenderRelation | undefined {
 		const now = this.clock.monotonic();
 		const {sender, incarnation, sequence} = message;
 		const known = this.peers.get(sender.name);
@@ -232,7 +232,7 @@
 	 * @param message - A message of a box whose counters have not been applied yet.
 	 * @returns The classification of its sender as though this were its first message.
 	 */
-	meetAnew({uptime}: GossipMessage): Meeting {
+	classifyAsNew({uptime}: GossipMessage): SenderRelation {
 		const isYounger = this.isLarge ? uptime < newcomerUptime : uptime < this.uptime;
 		return isYounger ? 'younger' : this.otherMeeting;
 	}
@@ -267,15 +267,15 @@
 	}
 
 	/** In a large fleet most boxes have never sent to this one, and the bucket levels that they send are no more accurate than its own. */
-	private get otherMeeting(): Meeting {
+	private get otherMeeting(): SenderRelation {
 		return this.isLarge ? 'apart' : 'other';
 	}
 
-	private classify(message: GossipMessage, known: Peer | undefined, now: number): Meeting {
+	private classify(message: GossipMessage, known: Peer | undefined, now: number): SenderRelation {
 		if (known?.last?.incarnation === message.incarnation) {
 			return now - known.heardAt <= this.heardWithin ? 'known' : this.otherMeeting;
 		}
 
-		return this.meetAnew(message);
+		return this.classifyAsNew(message);
 	}
 }
--- a/src/gossip/test/exchange-topology.test.ts
+++ b/src/gossip/test/exchange-topology.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {SilentEventLog} from '../../base/event-log.js';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {aggregatorCapacity} from '../aggregator-capacity.js';
 import {ExchangeTopology} from '../exchange-topology.js';
 import type {GossipMessage} from '../gossip-message.js';
@@ -17,9 +17,9 @@
 
 /** The topology of a fleet from the view of one box. */
 const viewOf = (self: string, boxes: number) => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const peers = PeerTable.create(self, clock, SilentEventLog.create());
-	peers.learn(Array.from({length: boxes}, (_, index) => addressOf(nameOf(index))));
+	peers.addMembers(Array.from({length: boxes}, (_, index) => addressOf(nameOf(index))));
 	return {clock, peers, topology: ExchangeTopology.create({name: self}, peers)};
 };
 
@@ -47,8 +47,8 @@
 	const strong = new Set(['box-7', 'box-30', 'box-31', 'box-80']);
 	const capacityOf = (name: string) => strong.has(name) ? 3 : 1;
 	const aggregatorsAt = (self: string) => {
-		const peers = PeerTable.create(self, new MovedClock(1000), SilentEventLog.create());
-		peers.learn(Array.from({length: 87}, (_, index) => ({...addressOf(nameOf(index)), capacity: capacityOf(nameOf(index))})));
+		const peers = PeerTable.create(self, new ManualClock(1000), SilentEventLog.create());
+		peers.addMembers(Array.from({length: 87}, (_, index) => ({...addressOf(nameOf(index)), capacity: capacityOf(nameOf(index))})));
 		const topology = ExchangeTopology.create({name: self, capacity: capacityOf(self)}, peers);
 		return {names: namesOf(topology.aggregators), topology, peers};
 	};
@@ -58,7 +58,7 @@
 	assert.deepEqual(aggregatorsAt('box-1').names, names);
 	assert.equal([...strong].filter(name => aggregatorsAt(name).topology.isAggregator).length, 3);
 	for (const name of [...strong].flatMap(gone => [gone, gone, gone, gone, gone])) {
-		peers.noteTold(name);
+		peers.recordSent(name);
 	}
 
 	assert.equal(topology.aggregators.length, 3, 'other boxes replace them when none of them answers');
@@ -76,20 +76,20 @@
 	const {topology, peers} = viewOf('box-0', 87);
 	const before = namesOf(topology.targets(1));
 	for (let round = 0; round < 5; round++) {
-		peers.noteTold(before[0]!);
+		peers.recordSent(before[0]!);
 	}
 
 	const after = namesOf(topology.targets(1));
 	assert.ok(!after.includes(before[0]!));
 	assert.equal(after.length, 3);
 	assert.ok(namesOf(topology.targets(5)).includes(before[0]!), 'a skipped box is contacted every few rounds');
-	peers.take(message(before[0]!, 1));
+	peers.recordMessage(message(before[0]!, 1));
 	assert.deepEqual(namesOf(topology.targets(1)), before);
 });
 
 test('a box that receives the size of a large fleet sends to aggregators even if it knows few boxes, until that size expires', () => {
 	const {topology, peers, clock} = viewOf('box-0', 5);
-	peers.noteFleetSize(87);
+	peers.recordFleetSize(87);
 	assert.equal(topology.isLarge, true);
 	assert.equal(peers.boxes, 87);
 	assert.equal(topology.targets(1).length, 3);
@@ -114,26 +114,26 @@
 test('a message lists the aggregators first, so that a new box finds them at once', () => {
 	const {topology, peers} = viewOf('box-0', 87);
 	for (const {address: {name}} of peers.all) {
-		peers.take(message(name, 1));
+		peers.recordMessage(message(name, 1));
 	}
 
 	const aggregators = namesOf(topology.targets(1));
-	assert.deepEqual(namesOf(topology.namesToTell(6, 4)).slice(0, 3), aggregators);
-	assert.ok(topology.namesToTell(6, 4).length > 6);
+	assert.deepEqual(namesOf(topology.membersToName(6, 4)).slice(0, 3), aggregators);
+	assert.ok(topology.membersToName(6, 4).length > 6);
 });
 
 test('boxes that know the others only from digests fail over to the same aggregators when theirs fail', () => {
 	const {topology, peers} = viewOf('box-0', 87);
 	for (const {address: {name}} of peers.all) {
-		peers.take(message(name, 1));
+		peers.recordMessage(message(name, 1));
 	}
 
 	const after = [3, 17, 40].map(round => {
 		const leaf = viewOf('box-86', 0);
-		leaf.peers.learn(topology.namesToTell(6, round).map(({address}) => address));
-		leaf.peers.noteFleetSize(87);
+		leaf.peers.addMembers(topology.membersToName(6, round).map(({address}) => address));
+		leaf.peers.recordFleetSize(87);
 		for (const name of namesOf(leaf.topology.targets(1)).flatMap(gone => [gone, gone, gone, gone, gone])) {
-			leaf.peers.noteTold(name);
+			leaf.peers.recordSent(name);
 		}
 
 		return namesOf(leaf.topology.targets(1)).join(' ');
--- a/src/gossip/test/exchange-traffic.test.ts
+++ b/src/gossip/test/exchange-traffic.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {EventLog, type EventFields} from '../../base/event-log.js';
 import {ExchangeTraffic} from '../exchange-traffic.js';
 
@@ -13,7 +13,7 @@
 }
 
 test('rates are logged every five seconds, and counting restarts then', () => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const log = new RecordingLog();
 	const traffic = ExchangeTraffic.create(clock, log);
 	const context = {boxes: 86, heard: 85, isAggregator: true};
--- a/src/gossip/test/gossip-exchange.test.ts
+++ b/src/gossip/test/gossip-exchange.test.ts
@@ -30,20 +30,20 @@
 	const self = {name, host: '127.0.0.1', port: await freePort()};
 	const gossip = Gossip.create({
 		self, incarnation: 'one', clock, peers, topology, traffic: ExchangeTraffic.create(clock, SilentEventLog.create()),
-		news: () => ({
+		commonUpdate: () => ({
 			version: 1, isStopping: false, storeAge: 0, departed: [],
 		}),
-		state: () => ({
+		localState: () => ({
 			version: 1, isStopping: false, storeAge: 0, quota: [], isWhole: true, work: [], departed: [], usage: [],
 		}),
-		digest: () => ({boxes: peers.boxes, quota: [], work: []}),
-		take() {
+		digestFor: () => ({boxes: peers.boxes, quota: [], work: []}),
+		applyMessage() {
 			// This test ignores received state.
 		},
-		takeDigest() {
+		applyDigest() {
 			// This test ignores received digests.
 		},
-		prove() {
+		recordProof() {
 			// This test ignores proofs of the configuration version.
 		},
 		seeds: () => [],
@@ -58,11 +58,11 @@
 	const knowing = await startBox('knowing');
 	const unaware = await startBox('unaware');
 	const neighbour = await startBox('neighbour');
-	neighbour.peers.learn([unaware.self]);
+	neighbour.peers.addMembers([unaware.self]);
 	// A box that hears no other box asks for a digest; this one hears a neighbour.
 	await until(() => unaware.peers.heard.length === 1);
-	knowing.peers.learn(Array.from({length: 20}, (_, index) => ({name: `silent-${index}`, host: '127.0.0.1', port: 9})));
-	unaware.peers.learn([knowing.self]);
+	knowing.peers.addMembers(Array.from({length: 20}, (_, index) => ({name: `silent-${index}`, host: '127.0.0.1', port: 9})));
+	unaware.peers.addMembers([knowing.self]);
 	await until(() => unaware.topology.isLarge);
 	assert.ok(unaware.peers.boxes >= 21);
 	await Promise.all([knowing.end(), unaware.end(), neighbour.end()]);
@@ -93,8 +93,8 @@
 		});
 		return sender;
 	}));
-	box.peers.noteFleetSize(87);
-	box.peers.learn(aggregators);
+	box.peers.recordFleetSize(87);
+	box.peers.addMembers(aggregators);
 	await until(() => box.peers.heard.length === 3);
 	heard.length = 0;
 	await until(() => heard.length >= 21);
--- a/src/gossip/test/gossip-proof.test.ts
+++ b/src/gossip/test/gossip-proof.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {SilentEventLog} from '../../base/event-log.js';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import type {GossipMessage} from '../gossip-message.js';
 import {PeerTable} from '../peer-table.js';
 
@@ -13,46 +13,46 @@
 });
 
 test('a message that arrives after a newer one is ignored', () => {
-	const clock = new MovedClock(1000);
-	clock.shift = epoch;
+	const clock = new ManualClock(1000);
+	clock.wallOffset = epoch;
 	const table = PeerTable.create('self', clock, SilentEventLog.create());
-	assert.equal(table.take(message('a', {sequence: 5})), 'other');
-	assert.equal(table.take(message('a', {sequence: 4})), undefined);
-	assert.equal(table.take(message('a', {sequence: 6})), 'known');
+	assert.equal(table.recordMessage(message('a', {sequence: 5})), 'other');
+	assert.equal(table.recordMessage(message('a', {sequence: 4})), undefined);
+	assert.equal(table.recordMessage(message('a', {sequence: 6})), 'known');
 });
 
 test('a process that started later than this one is classified as younger, and one that was silent for long as other', () => {
-	const clock = new MovedClock(1000);
-	clock.shift = epoch;
+	const clock = new ManualClock(1000);
+	clock.wallOffset = epoch;
 	const table = PeerTable.create('self', clock, SilentEventLog.create());
 	clock.now += 10_000;
-	table.take(message('a', {uptime: 100}));
-	assert.equal(table.take(message('a', {uptime: 50, incarnation: 'two'})), 'younger');
+	table.recordMessage(message('a', {uptime: 100}));
+	assert.equal(table.recordMessage(message('a', {uptime: 50, incarnation: 'two'})), 'younger');
 	clock.now += 5000;
-	assert.equal(table.take(message('a', {incarnation: 'two', sequence: 2})), 'other');
+	assert.equal(table.recordMessage(message('a', {incarnation: 'two', sequence: 2})), 'other');
 });
 
 test('common time is the median of all clocks, even if one of them is wrong', () => {
-	const clock = new MovedClock(1000);
-	clock.shift = epoch;
+	const clock = new ManualClock(1000);
+	clock.wallOffset = epoch;
 	const table = PeerTable.create('self', clock, SilentEventLog.create());
 	const truth = clock.wall();
-	clock.shift += 4000;
-	table.take(message('a', {wall: truth}));
-	table.take(message('b', {wall: truth + 5}));
+	clock.wallOffset += 4000;
+	table.recordMessage(message('a', {wall: truth}));
+	table.recordMessage(message('b', {wall: truth + 5}));
 	assert.ok(Math.abs((clock.now + table.wallOffset) - truth) <= 5);
 });
 
 test('setting wall clocks while boxes run does not move common time, even if all are set at once', () => {
-	const clocks = [0, 1, 2].map(() => new MovedClock(1000));
+	const clocks = [0, 1, 2].map(() => new ManualClock(1000));
 	const tables = clocks.map((clock, index) => {
-		clock.shift = epoch;
+		clock.wallOffset = epoch;
 		return PeerTable.create(`box-${index}`, clock, SilentEventLog.create());
 	});
 	const exchange = (sequence: number) => {
 		for (const [index, table] of tables.entries()) {
 			for (const other of tables.filter(one => one !== table)) {
-				other.take(message(`box-${index}`, {sequence, wall: table.ownTime}));
+				other.recordMessage(message(`box-${index}`, {sequence, wall: table.ownTime}));
 			}
 		}
 	};
@@ -60,7 +60,7 @@
 	exchange(1);
 	for (const clock of clocks) {
 		clock.suspend(0);
-		clock.shift += 3000;
+		clock.wallOffset += 3000;
 		clock.now += 200;
 	}
 
@@ -69,11 +69,11 @@
 });
 
 test('boxes that are silent for long are removed, and the table reports the fraction of boxes that are heard', () => {
-	const clock = new MovedClock(1000);
-	clock.shift = epoch;
+	const clock = new ManualClock(1000);
+	clock.wallOffset = epoch;
 	const table = PeerTable.create('self', clock, SilentEventLog.create());
-	table.take(message('a'));
-	table.learn([{name: 'b', host: '127.0.0.1', port: 2}, {name: 'self', host: '127.0.0.1', port: 3}]);
+	table.recordMessage(message('a'));
+	table.addMembers([{name: 'b', host: '127.0.0.1', port: 2}, {name: 'self', host: '127.0.0.1', port: 3}]);
 	assert.equal(table.boxes, 3);
 	assert.equal(table.heardPart, 2 / 3);
 	clock.now += 25_000;
@@ -83,20 +83,20 @@
 });
 
 test('a partition of a large fleet keeps the size of the whole fleet, and thus knows which fraction of it is heard', () => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const table = PeerTable.create('self', clock, SilentEventLog.create());
-	table.noteFleetSize(86);
+	table.recordFleetSize(86);
 	for (let second = 1; second < 12; second++) {
 		clock.now += 1000;
-		table.noteFleetSize(4);
+		table.recordFleetSize(4);
 		for (const name of ['a', 'b', 'c']) {
-			table.take(message(name, {sequence: second}));
+			table.recordMessage(message(name, {sequence: second}));
 		}
 
 		assert.ok(table.heardPart <= 4 / 86);
 	}
 
 	clock.now += 25_000;
-	table.noteFleetSize(4);
+	table.recordFleetSize(4);
 	assert.equal(table.boxes, 4);
 });
--- a/src/gossip/test/odd-addresses.test.ts
+++ b/src/gossip/test/invalid-addresses.test.ts
@@ -74,14 +74,14 @@
 	const gossip = Gossip.create({
 		self: {name: 'box', host: '127.0.0.1', port}, incarnation: 'one', clock, peers, topology: ExchangeTopology.create({name: 'box'}, peers),
 		traffic: ExchangeTraffic.create(clock, SilentEventLog.create()),
-		news: () => update,
-		state: () => ({
+		commonUpdate: () => update,
+		localState: () => ({
 			...update, quota: [], isWhole: true, work: [], usage: [],
 		}),
-		digest: () => ({boxes: peers.boxes, quota: [], work: []}),
-		take: () => undefined,
-		takeDigest: () => undefined,
-		prove: () => undefined,
+		digestFor: () => ({boxes: peers.boxes, quota: [], work: []}),
+		applyMessage: () => undefined,
+		applyDigest: () => undefined,
+		recordProof: () => undefined,
 		seeds: () => seeds,
 	});
 	const fiber = Effect.runFork(gossip.run());
@@ -117,7 +117,7 @@
 test('invalid addresses in the settings or the store do not stop the exchange', async () => {
 	const socket = await openSocket();
 	const box = await startBox([...invalidAddresses, {host: '127.0.0.1', port: socket.address().port}]);
-	box.peers.learn(invalidAddresses.map((address, index) => ({name: `listed-${index}`, ...address})));
+	box.peers.addMembers(invalidAddresses.map((address, index) => ({name: `listed-${index}`, ...address})));
 	const [data] = await once(socket, 'message', {signal: AbortSignal.timeout(maxWait)}) as [Uint8Array];
 	assert.equal(decodeGossip(data)?.sender.name, 'box', 'the valid address receives a message');
 	await pause(someRounds);
--- a/src/gossip/test/listener-book.test.ts
+++ b/src/gossip/test/recipient-registry.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {RecipientRegistry} from '../listener-book.js';
+import {RecipientRegistry} from '../recipient-registry.js';
 import type {Peer} from '../peer-table.js';
 
 const peer = (name: string, incarnation: string): Peer => ({
--- a/src/node/configuration-role.ts
+++ b/src/node/configuration-role.ts
@@ -73,7 +73,7 @@
 			store, clock, log, watchWait, isNeeded: followsStore,
 		}, {
 			onAnswer() {
-				availability.noteOwnAnswer();
+				availability.recordOwnAnswer();
 			},
 			list: ({objects}, sentAt) => {
 				const object = objects.find(({name}) => name === names.configurationName);
@@ -96,7 +96,7 @@
 			const sentAt = clock.monotonic();
 			return store.read(names.configurationKind, names.configurationName).pipe(
 				Effect.map(object => {
-					availability.noteOwnAnswer();
+					availability.recordOwnAnswer();
 					if (object) {
 						this.applyStoredObject(object, sentAt);
 					}
--- a/src/node/duty-roles.ts
+++ b/src/node/duty-roles.ts
@@ -96,7 +96,7 @@
 		this.life = HolderLiveness.create(store, clock);
 		this.draft = UsageDraft.create({
 			start: `${self}/${incarnation}`, store, counts: services.usage, clock, onAnswer() {
-				parts.availability.noteOwnAnswer();
+				parts.availability.recordOwnAnswer();
 			},
 		});
 		this.fleet = FleetDuty.create({
@@ -202,7 +202,7 @@
 			heard: peers.heard,
 			rivals: peers.heard.filter(peer => aggregators.some(({address}) => address.name === peer.address.name)),
 			heardPart: peers.heardPart,
-			storeSilence: availability.ownSilence,
+			storeSilence: availability.timeSinceOwnAnswer,
 			isStopping: isStopping(),
 			isAggregator: topology.isAggregator,
 		};
--- a/src/node/exchange-state.ts
+++ b/src/node/exchange-state.ts
@@ -5,11 +5,11 @@
 import type {EventLog} from '../base/event-log.js';
 import type {StoreAvailability} from '../follow/store-availability.js';
 import type {ExchangeTopology} from '../gossip/exchange-topology.js';
-import type {LocalNews, LocalState} from '../gossip/gossip.js';
+import type {CommonUpdate, LocalState} from '../gossip/gossip.js';
 import {
 	type FleetDigest, type GossipMessage, type ReplicaLoad,
 } from '../gossip/gossip-message.js';
-import type {Meeting, Peer, PeerTable} from '../gossip/peer-table.js';
+import type {SenderRelation, Peer, PeerTable} from '../gossip/peer-table.js';
 import {maxCrashesSent} from '../quarantine/crash-ledger.js';
 import {maxStatementsPerMessage, recentWindow, type StatementSource} from '../replicas/replica-statement.js';
 import type {RelayServices} from '../relay/relay-services.js';
@@ -59,7 +59,7 @@
 	 * @param sources - Sources of the replica statements to include; a reply also passes on those received from other boxes.
 	 * @returns The fields that every message of this box has.
 	 */
-	commonUpdate(isWhole: boolean, sources: readonly StatementSource[] = ['answer', 'box']): LocalNews {
+	commonUpdate(isWhole: boolean, sources: readonly StatementSource[] = ['answer', 'box']): CommonUpdate {
 		const {
 			services: {table, replicas, quarantine, statements: replicaStatements}, availability, replicaRole, isStopping, topology,
 		} = this.parts;
@@ -69,7 +69,7 @@
 			version: table.version,
 			...(Number.isFinite(table.proofAge) ? {proofAge: Math.ceil(table.proofAge)} : {}),
 			isStopping: isStopping(),
-			storeAge: Math.min(unknownAgeMs, Math.round(availability.ownSilence)),
+			storeAge: Math.min(unknownAgeMs, Math.round(availability.timeSinceOwnAnswer)),
 			departed: replicas.departedWithin(topology.isLarge ? recentWindow : undefined),
 			...(replicaRole.listState ? {replicas: replicaRole.listState} : {}),
 			...(ends ? {ends} : {}),
@@ -130,13 +130,13 @@
 	 * @param message - The message.
 	 * @param meeting - How the sender was known before; see `QuotaLedger.takeCounts`.
 	 */
-	applyMessage(message: GossipMessage, meeting: Meeting): void {
+	applyMessage(message: GossipMessage, meeting: SenderRelation): void {
 		const {services: {replicas, quota, usage}, topology, peers} = this.parts;
 		const {sender, work} = message;
 		const start = processNameOf(message);
 		this.applyCommonUpdate(message, 'box');
 		// A sender that is known from its digests alone counts as new to the quota, so that requests that it admitted earlier are not charged now.
-		quota.applyCounts(start, message.quota, quota.knows(start) ? meeting : peers.meetAnew(message), message.isWhole);
+		quota.applyCounts(start, message.quota, quota.knows(start) ? meeting : peers.classifyAsNew(message), message.isWhole);
 		usage.merge(start, message.usage);
 		if (!topology.isAggregator) {
 			return;
@@ -185,7 +185,7 @@
 	/** Applies the fields that every message has, such as the version of the configuration, the state of the replica list and departures of replicas. */
 	private applyCommonUpdate(message: GossipMessage, source: StatementSource): void {
 		const {services: {table, replicas, quarantine, statements}, availability, configuration, replicaRole} = this.parts;
-		availability.notePeerAnswer(message.storeAge);
+		availability.recordPeerAnswer(message.storeAge);
 		if (message.version > table.version) {
 			configuration.fetchFrom(message.sender);
 		}
--- a/src/node/member-role.ts
+++ b/src/node/member-role.ts
@@ -75,7 +75,7 @@
 			const {objects} = yield * store.list(memberKind);
 			const members = objects.flatMap(object => memberOf(object));
 			const dead = yield * this.removeDead(objects);
-			peers.learn(members.filter(({name}) => !dead.has(name)));
+			peers.addMembers(members.filter(({name}) => !dead.has(name)));
 			const own = members.find(({name}) => name === self.name);
 			const spec = {host: self.host, port: self.port, capacity: self.capacity ?? 0};
 			if (own?.host === self.host && own.port === self.port && own.capacity === spec.capacity) {
--- a/src/node/relay-node.ts
+++ b/src/node/relay-node.ts
@@ -290,16 +290,16 @@
 				metrics.exchangeMessages.inc({direction});
 				metrics.exchangeBytes.inc({direction}, bytes);
 			}),
-			news: isWhole => exchange.commonUpdate(isWhole),
-			state: isWhole => exchange.localState(isWhole),
-			digest: (peer, isWhole) => exchange.digestFor(peer, isWhole),
-			take(message, meeting) {
+			commonUpdate: isWhole => exchange.commonUpdate(isWhole),
+			localState: isWhole => exchange.localState(isWhole),
+			digestFor: (peer, isWhole) => exchange.digestFor(peer, isWhole),
+			applyMessage(message, meeting) {
 				exchange.applyMessage(message, meeting);
 			},
-			takeDigest(message, digest) {
+			applyDigest(message, digest) {
 				exchange.applyDigest(message, digest);
 			},
-			prove: (version, at) => {
+			recordProof: (version, at) => {
 				this.services.table.prove(version, at);
 			},
 			seeds: () => settings().seeds,
--- a/src/node/replica-role.ts
+++ b/src/node/replica-role.ts
@@ -155,7 +155,7 @@
 			store, clock, log, watchWait, isNeeded: () => followsStore() || this.age > fallbackDelay,
 		}, {
 			onAnswer() {
-				availability.noteOwnAnswer();
+				availability.recordOwnAnswer();
 			},
 			list: (listing, sentAt) => {
 				this.applyListing(listing, sentAt);
@@ -206,7 +206,7 @@
 	 * @param changes - The changes that this box misses; `undefined` if the peer did not send them.
 	 */
 	applyPeerUpdate(sender: MemberAddress, listState: NonNullable<GossipMessage['replicas']>, changes: Changes | undefined): void {
-		this.services.availability.noteIndirectAnswer(listState.age);
+		this.services.availability.recordIndirectAnswer(listState.age);
 		const isLaterEra = eraOf(listState.at) > eraOf(this.at);
 		if (listState.at > this.at && (isLaterEra || !changes || (changes.from ?? this.at) > this.at)) {
 			this.fetch.from(sender);
@@ -272,7 +272,7 @@
 		log.write('storeRestored', {
 			kind: names.replicaKind, ...positionFieldsOf(at, this.at), missing: missing.map(({name}) => name).join(' '),
 		});
-		availability.noteRestore();
+		availability.recordRestore();
 		replicas.advanceDepartures(at);
 	}
 
@@ -286,7 +286,7 @@
 		}
 
 		const {age, ...listing} = decoded.success;
-		this.services.availability.noteIndirectAnswer(Math.max(0, age));
+		this.services.availability.recordIndirectAnswer(Math.max(0, age));
 		this.applyListing(listing, clock.monotonic() - Math.max(0, age));
 	}
 
@@ -366,7 +366,7 @@
 	/** Milliseconds within which an entry that is missing now may still be written again; negative once that time is over. */
 	private get graceLeft(): number {
 		const {clock, availability, drain} = this.services;
-		return availability.returnedAt + Math.min(rewriteTime, drain() - sendingMargin) - clock.monotonic();
+		return availability.lastOutageEndedAt + Math.min(rewriteTime, drain() - sendingMargin) - clock.monotonic();
 	}
 
 	/**
@@ -388,7 +388,7 @@
 		const {clock, log, replicas, availability} = this.services;
 		const now = clock.monotonic();
 		const until = now + Math.min(rewriteTime, left);
-		const storeBackFor = Math.min(unknownAgeMs, Math.round(now - availability.returnedAt));
+		const storeBackFor = Math.min(unknownAgeMs, Math.round(now - availability.lastOutageEndedAt));
 		log.write('replicaLapsed', {
 			replica: object.name, revision, source, storeBackFor, inUseFor: Math.round(until - now),
 		});
--- a/src/node/test/departure-model.test.ts
+++ b/src/node/test/departure-model.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {DepartureFleet, type DepartureFleetShape, type LateRequest} from '../../../development/harness/departure-fleet.js';
 import type {CallFault} from '../../../development/harness/model-metadata-store.js';
-import {randomOf} from '../../../development/harness/seeded-random.js';
+import {createRandom} from '../../../development/harness/seeded-random.js';
 import {VirtualTime} from '../../../development/fuzz/virtual-time.js';
 
 /** Number of boxes, milliseconds after its departure from which on a replica must get no requests, and number of simulated histories. */
@@ -22,11 +22,11 @@
 async function simulate(shape: Omit<DepartureFleetShape, 'replicas' | 'loss'>, scenario: (fleet: DepartureFleet) => Promise<void>) {
 	const time = VirtualTime.start();
 	const {random} = Math;
-	Math.random = randomOf(shape.seed);
+	Math.random = createRandom(shape.seed);
 	try {
 		const fleet = DepartureFleet.create({...shape, replicas: replicaCount, loss: 0.05}, time);
-		await fleet.pass(startTime);
-		assert.ok(fleet.store.replicas.every(replica => fleet.usersOf(replica) === shape.boxes), 'all replicas are in use');
+		await fleet.advance(startTime);
+		assert.ok(fleet.store.replicas.every(replica => fleet.countSenders(replica) === shape.boxes), 'all replicas are in use');
 		await scenario(fleet);
 		const closing = fleet.close();
 		await time.advance(0);
@@ -46,7 +46,7 @@
 	const lines: string[] = [];
 	for (const {boxes, bound, histories} of fleets) {
 		for (const seed of seedsUpTo(histories)) {
-			const {late} = await simulate({boxes, bound, seed}, scenario);
+			const {late} = await simulate({boxes, departureBound: bound, seed}, scenario);
 			lines.push(...late.length > 0 ? [`${boxes} boxes, seed ${seed}: ${summaryOf(late)}`] : []);
 		}
 	}
@@ -59,11 +59,11 @@
 /** Boxes lose single responses of the store; entries change while these boxes read the list again, and replicas leave soon after. */
 async function loseAnswersAndLeave(fleet: DepartureFleet): Promise<void> {
 	const {store, boxes, random} = fleet;
-	const upTo = async (duration: number) => fleet.pass(random() * duration);
+	const upTo = async (duration: number) => fleet.advance(random() * duration);
 	for (const [index, replica] of store.replicas.slice(1).entries()) {
 		const losing = random() < 0.5 ? [pick(boxes, random)] : boxes.filter(() => random() < 0.7);
-		for (const {door} of losing) {
-			door.loseAnswer('refused');
+		for (const {storeClient: door} of losing) {
+			door.injectFault('refused');
 		}
 
 		await upTo(400);
@@ -76,7 +76,7 @@
 		await upTo(2500);
 	}
 
-	await fleet.pass(4000);
+	await fleet.advance(4000);
 }
 
 /** Guards against a departed replica that stays in use at all boxes because one of them lost a response of the store. */
@@ -92,12 +92,12 @@
 /** The store is unavailable for longer than entries last, and replicas leave as soon as it has answered a box again. */
 async function leaveAfterOutage(fleet: DepartureFleet): Promise<void> {
 	const {store, random} = fleet;
-	store.goAway(random() < 0.5 ? 'refused' : 'silent');
-	await fleet.pass(outages[2] + (random() * 3000));
+	store.startOutage(random() < 0.5 ? 'refused' : 'silent');
+	await fleet.advance(outages[2] + (random() * 3000));
 	store.outage = undefined;
 	const {answers} = store;
 	while (store.answers === answers) {
-		await fleet.pass(checkInterval);
+		await fleet.advance(checkInterval);
 	}
 
 	for (const replica of store.replicas.slice(1)) {
@@ -105,24 +105,24 @@
 			store.leave(replica, 'removed');
 		}
 
-		await fleet.pass(random() * 400);
+		await fleet.advance(random() * 400);
 	}
 
-	await fleet.pass(4000);
+	await fleet.advance(4000);
 }
 
 for (const {boxes, bound} of fleets) {
 	for (const fault of ['refused', 'silent'] satisfies readonly CallFault[]) {
 		test(`running replicas stay in use at ${boxes} boxes during a store outage (${fault}) and until they have written their entries again`, async () => {
 			for (const [seed, outage] of outages.entries()) {
-				await simulate({boxes, bound, seed}, async fleet => {
+				await simulate({boxes, departureBound: bound, seed}, async fleet => {
 					const {store} = fleet;
-					store.goAway(fault);
-					await fleet.pass(outage);
+					store.startOutage(fault);
+					await fleet.advance(outage);
 					store.outage = undefined;
 					for (let passed = 0; passed < rewriteTime * 2; passed += 100) {
-						await fleet.pass(100);
-						assert.deepEqual(store.replicas.map(replica => fleet.usersOf(replica)), store.replicas.map(() => boxes), `${passed} ms after an outage of ${outage} ms`);
+						await fleet.advance(100);
+						assert.deepEqual(store.replicas.map(replica => fleet.countSenders(replica)), store.replicas.map(() => boxes), `${passed} ms after an outage of ${outage} ms`);
 					}
 				});
 			}
@@ -142,14 +142,14 @@
 test('a replica that leaves while all watches hang gets no requests once boxes must be connected again', async () => {
 	for (const {boxes, histories} of fleets) {
 		for (const seed of seedsUpTo(histories)) {
-			const {late} = await simulate({boxes, bound: contactTime, seed}, async fleet => {
-				await fleet.pass(fleet.random() * contactTime);
-				for (const {door} of fleet.boxes) {
-					door.loseAnswer('silent');
+			const {late} = await simulate({boxes, departureBound: contactTime, seed}, async fleet => {
+				await fleet.advance(fleet.random() * contactTime);
+				for (const {storeClient: door} of fleet.boxes) {
+					door.injectFault('silent');
 				}
 
 				fleet.store.leave(fleet.store.replicas[1]!, 'removed');
-				await fleet.pass(contactTime * 2);
+				await fleet.advance(contactTime * 2);
 			});
 			assert.deepEqual(late, [], `${boxes} boxes, seed ${seed}: ${summaryOf(late)}`);
 		}
--- a/src/node/test/ended-replicas.test.ts
+++ b/src/node/test/ended-replicas.test.ts
@@ -26,9 +26,9 @@
 	replica.behave({delay: longRunTime});
 	const calls = [];
 	while (replica.seen.length === 0) {
-		const seen = installation.everyReplica.flatMap(other => other.seen).length;
+		const seen = installation.allReplicas.flatMap(other => other.seen).length;
 		calls.push(installation.call({path: '/calls/before'}));
-		await until(() => installation.everyReplica.flatMap(other => other.seen).length > seen);
+		await until(() => installation.allReplicas.flatMap(other => other.seen).length > seen);
 	}
 
 	return calls;
--- a/src/node/test/exchange-load.test.ts
+++ b/src/node/test/exchange-load.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {ExchangeFleet, type FleetShape} from '../../../development/harness/exchange-fleet.js';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {sumOf} from '../../base/sum.js';
 
 /** Bytes per second of the slowest link on which the incident SHORT was seen: 7 Mbit/s. */
@@ -13,7 +13,7 @@
 const rounds = 8;
 
 const trafficOf = (shape: FleetShape, prepare: (fleet: ExchangeFleet) => void = () => undefined) => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const fleet = ExchangeFleet.create(shape, clock);
 	prepare(fleet);
 	const traffic = Array.from({length: rounds}, () => {
@@ -21,7 +21,7 @@
 		return fleet.round();
 	});
 	const perSecond = (bytes: number) => bytes * 1000 / (rounds * fleet.interval);
-	return {received: perSecond(sumOf(traffic.map(({heard}) => heard))), sent: perSecond(sumOf(traffic.map(({sent}) => sent)))};
+	return {received: perSecond(sumOf(traffic.map(({received: heard}) => heard))), sent: perSecond(sumOf(traffic.map(({sent}) => sent)))};
 };
 
 for (const shape of [
@@ -43,7 +43,7 @@
 	const {received, sent} = trafficOf({
 		boxes: 86, replicas: 84, clientAccounts: 16, inProgress: 3,
 	}, fleet => {
-		fleet.endReplicas();
+		fleet.crashReplicas();
 	});
 	assert.ok(received < slowestLink * maxLinkPart, `${received} bytes per second received`);
 	assert.ok(sent < slowestLink * maxLinkPart, `${sent} bytes per second sent`);
@@ -53,7 +53,7 @@
 	const {received, sent} = trafficOf({
 		boxes: 86, replicas: 84, clientAccounts: 16, inProgress: 3,
 	}, fleet => {
-		fleet.limitReplicas();
+		fleet.announceLimits();
 	});
 	assert.ok(received < slowestLink * maxLinkPart, `${received} bytes per second received`);
 	assert.ok(sent < slowestLink * maxLinkPart, `${sent} bytes per second sent`);
--- a/src/node/test/limit-model.test.ts
+++ b/src/node/test/limit-model.test.ts
@@ -25,9 +25,9 @@
 	const fleet = LimitFleet.create({
 		limitAt: now => now >= settledAt ? limit : undefined, seed: 36, ...shape,
 	});
-	fleet.pass(settledAt + contactTime + observationTime - fleet.now);
+	fleet.advance(settledAt + contactTime + observationTime - fleet.now);
 	const counted = fleet.arrivals.filter(at => at >= settledAt + contactTime);
-	return {most: fleet.mostWithin(span, settledAt + contactTime), use: counted.length / (limit * observationTime / 1000)};
+	return {most: fleet.maxArrivalsWithin(span, settledAt + contactTime), use: counted.length / (limit * observationTime / 1000)};
 }
 
 const shapes = [1, 8, 12, 13, 87].flatMap(boxes => [1, 20].map(limit => ({boxes, limit})));
@@ -51,17 +51,17 @@
 
 	test(`${boxes} boxes keep to the limit during a network partition into halves`, () => {
 		const isHalf = (box: number) => box < boxes / 2;
-		const {most} = simulate(2, {boxes, demandOf: () => 3, reach: (left, right, now) => now < settledAt - 4000 || now > settledAt + 12_000 || isHalf(left) === isHalf(right)});
+		const {most} = simulate(2, {boxes, demandOf: () => 3, canReach: (left, right, now) => now < settledAt - 4000 || now > settledAt + 12_000 || isHalf(left) === isHalf(right)});
 		assert.ok(most <= allowedAt(2), `${most} in ${span} ms; ${allowedAt(2)} allowed`);
 	});
 
 	test(`${boxes} boxes keep to the limit while a third of them restart`, () => {
-		const {most} = simulate(1, {boxes, demandOf: () => 3, startsAt: box => box % 3 === 0 ? settledAt + 5000 + (box * 200) : undefined});
+		const {most} = simulate(1, {boxes, demandOf: () => 3, restartsAt: box => box % 3 === 0 ? settledAt + 5000 + (box * 200) : undefined});
 		assert.ok(most <= allowedAt(1), `${most} in ${span} ms; ${allowedAt(1)} allowed`);
 	});
 
 	test(`${boxes} boxes keep to the limit although links delay some requests`, () => {
-		const {most} = simulate(2, {boxes, demandOf: () => 3, wayOf: random => random < 0.2 ? 700 : 2});
+		const {most} = simulate(2, {boxes, demandOf: () => 3, networkDelay: random => random < 0.2 ? 700 : 2});
 		assert.ok(most <= allowedAt(2), `${most} in ${span} ms; ${allowedAt(2)} allowed`);
 	});
 }
@@ -71,7 +71,7 @@
 		const fleet = LimitFleet.create({
 			boxes: 8, demandOf: () => 10, limitAt: now => now >= settledAt ? limit : undefined, seed: 4,
 		});
-		fleet.pass(60_000);
+		fleet.advance(60_000);
 		const counted = fleet.arrivals.filter(at => at >= settledAt + contactTime).length;
 		assert.ok(counted >= 2 && counted <= 6, `${counted} requests in 50 s`);
 	}
@@ -81,7 +81,7 @@
 	const fleet = LimitFleet.create({
 		boxes: 8, demandOf: () => 10, limitAt: () => 1e308, seed: 5,
 	});
-	fleet.pass(20_000);
+	fleet.advance(20_000);
 	assert.ok(fleet.arrivals.length > 8 * 10 * 15 * 0.8, `${fleet.arrivals.length} requests`);
 });
 
@@ -96,9 +96,9 @@
 		const fleet = LimitFleet.create({
 			boxes, demandOf: () => 4, limitAt: now => now >= settledAt && now < endsAt ? 1 : undefined, seed: 7,
 		});
-		fleet.pass(endsAt + contactTime + 1000 - fleet.now);
+		fleet.advance(endsAt + contactTime + 1000 - fleet.now);
 		const before = fleet.arrivals.length;
-		fleet.pass(4000);
+		fleet.advance(4000);
 		assert.ok(fleet.arrivals.length - before > boxes * 4 * 4 * 0.8, `${fleet.arrivals.length - before} requests in 4 s`);
 	});
 }
--- a/src/node/test/limit-stretches.test.ts
+++ b/src/node/test/limit-stretches.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {SilentEventLog} from '../../base/event-log.js';
 import {ExchangeTopology} from '../../gossip/exchange-topology.js';
 import {PeerTable} from '../../gossip/peer-table.js';
@@ -11,14 +11,14 @@
 const startUpTime = 5000;
 
 function createBox(others: number) {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const peers = PeerTable.create('edge-0', clock, SilentEventLog.create());
 	const topology = ExchangeTopology.create({name: 'edge-0'}, peers);
 	const stretches = LimitStretches.create({
 		self: 'edge-0', clock, peers, topology, demands: ServiceDemands.create(clock),
 	});
 	const learn = () => {
-		peers.learn(Array.from({length: others}, (_, index) => ({name: `edge-${index + 1}`, host: '10.0.0.1', port: 1 + index})));
+		peers.addMembers(Array.from({length: others}, (_, index) => ({name: `edge-${index + 1}`, host: '10.0.0.1', port: 1 + index})));
 	};
 
 	return {
@@ -38,7 +38,7 @@
 	learn();
 	clock.now += startUpTime;
 	assert.equal(stretches.of('s').length, 1 / 4);
-	peers.noteFleetSize(8);
+	peers.recordFleetSize(8);
 	assert.equal(stretches.of('s').length, 1 / 8);
 });
 
--- a/src/node/test/poison-request.test.ts
+++ b/src/node/test/poison-request.test.ts
@@ -164,7 +164,7 @@
 	const isListed = (times: number) => small.relays.every(({log}) => log.lines.filter(({eventName}) => eventName === 'replicaListed').length === times);
 	for (const round of [1, 2, 3]) {
 		await until(() => isListed(round));
-		const {everyReplica} = small;
+		const {allReplicas: everyReplica} = small;
 		const innocentCall = small.call(innocent, first);
 		await until(() => everyReplica.at(-1)!.seen.length === 1);
 		// The poison request starts later, so that the two have run for different times at the crash.
@@ -183,5 +183,5 @@
 		assert.equal((await small.call(poison, relay)).status, 503);
 	}
 
-	assert.equal(small.everyReplica.at(-1)!.isUp, true);
+	assert.equal(small.allReplicas.at(-1)!.isUp, true);
 });
--- a/src/node/test/relay-configuration.test.ts
+++ b/src/node/test/relay-configuration.test.ts
@@ -32,7 +32,7 @@
 	installation.store.faults = {...quiet, isBusy: true};
 	const version = installation.configure({routes: [routeTo('/calls/'), routeTo('/gap/')]});
 	installation.store.forgetHistory();
-	installation.store.heal();
+	installation.store.clearFaults();
 	await versionsReach(version);
 	assert.equal((await installation.call({path: '/gap/x'})).status, 200);
 });
@@ -43,7 +43,7 @@
 	const view = await installation.call({path: '/calls/x'});
 	assert.equal(view.status, 503);
 	assert.ok(Number(view.headers['retry-after']) > 0);
-	installation.store.heal();
+	installation.store.clearFaults();
 	await until(() => installation.relays.every(({node}) => node.isReady));
 	assert.equal((await installation.call({path: '/calls/x'})).status, 200);
 });
@@ -53,8 +53,8 @@
 	const late = await installation.startRelay('relay-late');
 	assert.equal(late.node.isReady, false);
 	assert.equal((await installation.call({path: '/calls/x'}, late)).status, 503);
-	installation.store.heal();
+	installation.store.clearFaults();
 	await until(() => late.node.isReady);
 	assert.equal((await installation.call({path: '/calls/x'}, late)).status, 200);
-	await late.end();
+	await late.crashReplica();
 });
--- a/src/node/test/relay-duties.test.ts
+++ b/src/node/test/relay-duties.test.ts
@@ -55,8 +55,8 @@
 	await new Promise(resolve => {
 		setTimeout(resolve, 1500);
 	});
-	installation.store.heal();
-	await formerHolder.end();
+	installation.store.clearFaults();
+	await formerHolder.crashReplica();
 	installation.relays.splice(installation.relays.indexOf(formerHolder), 1);
 	await until(() => reports().some(call => call.holder !== holder));
 	await Promise.all(installation.relays.map(async relay => installation.call({path: '/calls/x'}, relay)));
--- a/src/node/test/relay-store-outage.test.ts
+++ b/src/node/test/relay-store-outage.test.ts
@@ -18,7 +18,7 @@
 });
 
 beforeEach(() => {
-	installation.store.heal();
+	installation.store.clearFaults();
 	for (const replica of [staying, leaving]) {
 		replica.behave({});
 		replica.seen.length = 0;
@@ -63,7 +63,7 @@
 	assert.ok(views.every(({status}) => status === 200));
 
 	assert.equal(leaving.seen.length, 0);
-	installation.store.heal();
+	installation.store.clearFaults();
 	await pause(800);
 	await Promise.all(Array.from({length: 10}, async () => installation.call({path: '/calls/x'})));
 	assert.equal(leaving.seen.length, 0);
--- a/src/node/test/relay-streams.test.ts
+++ b/src/node/test/relay-streams.test.ts
@@ -98,7 +98,7 @@
 test('an event that does not follow the last one reaches no client', async () => {
 	const breaksAt = {event: brokenEvent, bytes: 5};
 	const misfits: ReadonlyArray<Partial<StreamConduct>> = [
-		{breaksAt, goesOn: 'anew'}, {breaksAt, goesOn: 'too-far'}, {breaksAt, nameless: brokenEvent}, {leftOut: 2}, {nameless: 1}, {nameless: 4},
+		{breaksAt, resumesAt: 'anew'}, {breaksAt, resumesAt: 'too-far'}, {breaksAt, eventWithoutId: brokenEvent}, {omittedEvent: 2}, {eventWithoutId: 1}, {eventWithoutId: 4},
 	];
 	for (const misfit of misfits) {
 		const view = await streamOnce(misfit);
@@ -106,7 +106,7 @@
 		assert.equal(view.status === 200 && view.isWhole, false, `${JSON.stringify(misfit)}: looks whole`);
 	}
 
-	const resumed = await streamOnce({goesOn: 'anew'}, {'Last-Event-Id': '2'});
+	const resumed = await streamOnce({resumesAt: 'anew'}, {'Last-Event-Id': '2'});
 	assert.deepEqual([resumed.status, resumed.body.includes('id:')], [502, false], 'a stream that the client resumes');
 });
 
@@ -120,7 +120,7 @@
 	let runs = 0;
 	const everySecond = (): Partial<StreamConduct> => {
 		runs++;
-		return {nameless: runs % 2 === 1 ? brokenEvent : undefined};
+		return {eventWithoutId: runs % 2 === 1 ? brokenEvent : undefined};
 	};
 
 	for (const replica of replicas) {
--- a/src/node/test/replica-limit.test.ts
+++ b/src/node/test/replica-limit.test.ts
@@ -7,7 +7,7 @@
 import assert from 'node:assert/strict';
 import {after, before, test} from 'node:test';
 import {setTimeout as pause} from 'node:timers/promises';
-import {mostWithin} from '../../../development/harness/most-within.js';
+import {maxWithin} from '../../../development/harness/max-within.js';
 import {RelayInstallation, until} from '../../../development/relay/relay-installation.js';
 import {SteadyClients} from '../../../development/relay/steady-clients.js';
 
@@ -56,7 +56,7 @@
 	const viewsBefore = clients.views.length;
 	replica(limited).limit = String(limit);
 	await pause(contactTime + (observedSpans * span));
-	const maxArrivals = mostWithin(arrivalsSince(limited, announcedAt + contactTime), span);
+	const maxArrivals = maxWithin(arrivalsSince(limited, announcedAt + contactTime), span);
 	const served = clients.views.slice(viewsBefore).filter(({status, isWhole}) => status === 200 && isWhole);
 	assert.ok(maxArrivals <= allowed, `${maxArrivals} requests in ${span} ms at a replica with a limit of ${limit} per second; ${allowed} allowed`);
 	assert.equal(served.length, clients.views.length - viewsBefore, 'all requests are served');
--- a/src/node/test/replica-role.test.ts
+++ b/src/node/test/replica-role.test.ts
@@ -2,9 +2,9 @@
 import {test} from 'node:test';
 import * as Result from 'effect/Result';
 import {SilentEventLog, type EventLog} from '../../base/event-log.js';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
-import {passOutage, usualAvailability} from '../../../development/harness/store-outage.js';
-import {KeepingLog} from '../../../development/relay/relay-installation.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
+import {simulateOutage, createAvailability} from '../../../development/harness/store-outage.js';
+import {RecordingLog} from '../../../development/relay/relay-installation.js';
 import type {Changes, StoredObject} from '../../follow/metadata-store.js';
 import {positionOf} from '../../follow/store-position.js';
 import {ReplicaDirectory} from '../../replicas/replica-directory.js';
@@ -19,7 +19,7 @@
 
 /** Creates a role that receives updates from peers only and starts with a given list. */
 const createRole = (objects: readonly StoredObject[], at: number, log: EventLog = SilentEventLog.create()) => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const replicas = ReplicaDirectory.create(clock, log);
 	const link = {
 		names: {
@@ -29,13 +29,13 @@
 			}),
 		},
 	} as unknown as PlatformLink;
-	const following = usualAvailability(clock);
+	const following = createAvailability(clock);
 	const role = ReplicaRole.create({
 		link, clock, replicas, log, followsStore: () => false, fallbackDelay: 5000, ...following,
 	});
 	role.applyListing({at, objects}, clock.monotonic());
 	const passStoreOutage = () => {
-		passOutage(following.availability, clock);
+		simulateOutage(following.availability, clock);
 	};
 
 	return {
@@ -186,7 +186,7 @@
 });
 
 test('a hold is logged with its cause, the time since the end of the outage, and its duration', () => {
-	const log = new KeepingLog();
+	const log = new RecordingLog();
 	const {role, clock, passStoreOutage} = createRole([object('x', 1), object('y', 2)], 10, log);
 	passStoreOutage();
 	clock.now += 500;
@@ -207,11 +207,11 @@
 /** Guards against a departed replica that stays in use because one response of the store was lost. */
 test('an entry that is removed after one lost response of the store, while other boxes get responses, counts as gone at once', () => {
 	const {role, replicas, clock, availability} = createRole([object('x', 1), object('y', 2), object('z', 3)], 10);
-	availability.noteOwnAnswer();
+	availability.recordOwnAnswer();
 	clock.now += 1500;
-	availability.notePeerAnswer(200);
+	availability.recordPeerAnswer(200);
 	clock.now += 1500;
-	availability.noteOwnAnswer();
+	availability.recordOwnAnswer();
 	sendChanges(role, {at: 20, changes: [gone('x', 15)]});
 	role.applyListing({at: 30, objects: [object('z', 3)]}, clock.monotonic());
 	assert.deepEqual(ready(replicas), ['z']);
--- a/src/node/test/replica-start-model.test.ts
+++ b/src/node/test/replica-start-model.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import * as fc from 'fast-check';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
-import {passOutage, usualAvailability} from '../../../development/harness/store-outage.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
+import {simulateOutage, createAvailability} from '../../../development/harness/store-outage.js';
 import {decodeReplica} from '../../../platform/formats.js';
 import {SilentEventLog} from '../../base/event-log.js';
 import type {Change, StoredObject} from '../../follow/metadata-store.js';
@@ -33,9 +33,9 @@
 
 /** A store with its history, which may be restored from a backup, and a box that receives updates in any order that the gossip protocol allows. */
 class Model {
-	private readonly clock = new MovedClock(100_000);
+	private readonly clock = new ManualClock(100_000);
 	private readonly replicas = ReplicaDirectory.create(this.clock, SilentEventLog.create());
-	private readonly following = usualAvailability(this.clock);
+	private readonly following = createAvailability(this.clock);
 	private readonly role = ReplicaRole.create({
 		link: {names: {replicaKind: 'replicas', decodeReplica}} as unknown as PlatformLink,
 		clock: this.clock, replicas: this.replicas, log: SilentEventLog.create(), followsStore: () => false, fallbackDelay: 5000, ...this.following,
@@ -108,7 +108,7 @@
 			}
 
 			case 'away': {
-				passOutage(this.following.availability, this.clock);
+				simulateOutage(this.following.availability, this.clock);
 				break;
 			}
 
--- a/src/node/test/replica-statements.test.ts
+++ b/src/node/test/replica-statements.test.ts
@@ -39,7 +39,7 @@
 /** @returns For each pause that a replica asked a relay for, the number of requests that the relay sent during it. */
 function requestsInPauses(requests: readonly SeenRequest[]): readonly number[] {
 	return requests
-		.filter(({pauseAsked: asked}) => asked !== undefined)
+		.filter(({requestedPause: asked}) => asked !== undefined)
 		.map(({at}) => requests.filter(other => other.at > at + pauseNotice && other.at < at + (pauseAsked * 1000)).length);
 }
 
@@ -116,7 +116,7 @@
 	observedReplica().shedding = {every: 2, retryAfter: String(pauseAsked)};
 	await pause(observationTime);
 	const most = Math.max(...[...byRelay(observedReplica().seen).values()].flatMap(requests => requestsInPauses(requests)));
-	assert.ok(observedReplica().seen.some(({pauseAsked: asked}) => asked !== undefined), 'the replica has asked for a pause');
+	assert.ok(observedReplica().seen.some(({requestedPause: asked}) => asked !== undefined), 'the replica has asked for a pause');
 	assert.ok(most <= pauseSlack, `${most} requests of one box in a pause of ${pauseAsked} s`);
 	const served = clients.views.slice(before).filter(({status}) => status === 200);
 	assert.equal(served.length, clients.views.length - before, 'all requests are served');
--- a/src/node/test/restored-store.test.ts
+++ b/src/node/test/restored-store.test.ts
@@ -8,7 +8,7 @@
 import {configurationKind, configurationName} from '../../../platform/formats.js';
 import {RelayInstallation, testKey, until} from '../../../development/relay/relay-installation.js';
 import {SteadyClients} from '../../../development/relay/steady-clients.js';
-import type {StoreCopy} from '../../../development/relay/store-standin.js';
+import type {StoreBackup} from '../../../development/relay/store-standin.js';
 
 const relayCount = 4;
 const clientCount = 16;
@@ -27,7 +27,7 @@
 
 let installation: RelayInstallation;
 let clients: SteadyClients;
-let backup: StoreCopy;
+let backup: StoreBackup;
 
 const arrivalsAt = (id: string): readonly number[] => installation.replicas.get(id)?.seen.map(({at}) => at) ?? [];
 
@@ -37,14 +37,14 @@
 	store.faults = {isSilent: false, isBusy: true, losesAnswers: false};
 	await pause(outageTime);
 	store.restore(backup);
-	store.heal();
+	store.clearFaults();
 }
 
 beforeEach(async () => {
 	installation = await RelayInstallation.start({relays: relayCount, replicas: ['i-1', 'i-2', 'i-3'], withDuties: true});
 	clients = SteadyClients.start(installation, {clients: clientCount, pause: clientPause, relays: [...installation.relays]});
 	await until(() => arrivalsAt('i-1').length > clientCount);
-	backup = installation.store.copy();
+	backup = installation.store.backUp();
 	for (let write = 0; write < writesLost; write++) {
 		installation.list('i-2', {cold_left_ms: writesLost - write});
 	}
@@ -97,7 +97,7 @@
 	const {store} = installation;
 	const usage = () => store.dutyCalls.filter(({path}) => path === '/usage');
 	await until(() => usage().length > 1);
-	backup = store.copy();
+	backup = store.backUp();
 	const known = usage().length;
 	await until(() => usage().length > known + 1);
 	await restoreBackup();
--- a/src/node/test/suspension.test.ts
+++ b/src/node/test/suspension.test.ts
@@ -3,8 +3,8 @@
 	after, before, beforeEach, mock, test,
 } from 'node:test';
 import * as Effect from 'effect/Effect';
-import {usualAvailability} from '../../../development/harness/store-outage.js';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {createAvailability} from '../../../development/harness/store-outage.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {StoreStandin} from '../../../development/relay/store-standin.js';
 import {ReplicaStandin} from '../../../development/relay/replica-standin.js';
 import {HttpMetadataStore} from '../../../platform/metadata-store.js';
@@ -23,21 +23,21 @@
 /** Milliseconds of suspensions, during which the monotonic clock does not advance. */
 const suspensions = [1000, 5000, 30_000];
 let standin: StoreStandin;
-let clock: MovedClock;
+let clock: ManualClock;
 
 before(async () => {
 	standin = await StoreStandin.start();
 });
 
 beforeEach(() => {
-	clock = new MovedClock(10_000);
-	clock.shift = 1_700_000_000_000;
+	clock = new ManualClock(10_000);
+	clock.wallOffset = 1_700_000_000_000;
 	standin.remove('waydrift-duties', 'record');
 });
 
 after(async () => standin.close());
 
-const leaseOf = (self: string, ownClock: MovedClock) => DutyLease.create({
+const leaseOf = (self: string, ownClock: ManualClock) => DutyLease.create({
 	self, incarnation: 'one', store: HttpMetadataStore.create('127.0.0.1', standin.port), clock: ownClock, log, wait: () => 0, isFenced: () => true,
 });
 
@@ -67,7 +67,7 @@
 		clock.suspend(time);
 		assert.equal(permit.isValid(), false);
 		clock.now += 1;
-		await Effect.runPromise(leaseOf('b', new MovedClock(500)).acquire());
+		await Effect.runPromise(leaseOf('b', new ManualClock(500)).acquire());
 		const {calls} = standin;
 		await assert.rejects(Effect.runPromise(lease.decide(record => record)));
 		assert.equal(standin.calls, calls + 1, 'it read the lease and wrote nothing');
@@ -78,18 +78,18 @@
 			sender: {name: 'a', host: '127.0.0.1', port: 1}, incarnation: 'one', sequence, uptime: 5000, wall: clock.wall(), version: 1, isStopping: false, storeAge: 0,
 			quota: [], isWhole: true, work: [], departed: [], usage: [], members: [],
 		});
-		peers.take(message(1));
+		peers.recordMessage(message(1));
 		assert.equal(peers.heard.length, 1);
 		clock.suspend(time);
 		assert.equal(peers.heard.length, 0);
 		clock.now += 30;
-		peers.take(message(2));
+		peers.recordMessage(message(2));
 		assert.equal(peers.heard.length, 1);
 		assert.equal(peers.ownTime, clock.wall(), 'the time of the other boxes shows how long the suspension was');
 	}],
 	['the list of replicas is not reported as up to date', (time: number) => {
 		const role = ReplicaRole.create({
-			link: {names: {}} as unknown as PlatformLink, clock, log, replicas: ReplicaDirectory.create(clock, log), followsStore: () => false, fallbackDelay: 5000, ...usualAvailability(clock),
+			link: {names: {}} as unknown as PlatformLink, clock, log, replicas: ReplicaDirectory.create(clock, log), followsStore: () => false, fallbackDelay: 5000, ...createAvailability(clock),
 		});
 		role.applyListing({at: 4, objects: []}, clock.now);
 		assert.equal(role.listState?.age, 0);
--- a/src/node/test/trial-turns.test.ts
+++ b/src/node/test/trial-turns.test.ts
@@ -26,7 +26,7 @@
 	const installation = await RelayInstallation.start({relays: 1, replicas: ['i-1']});
 	for (const round of [1, 2]) {
 		await untilListed(installation, round);
-		const replica = installation.everyReplica.at(-1)!;
+		const replica = installation.allReplicas.at(-1)!;
 		replica.behave({delay: longRunTime});
 		const views = [first, second].map(async request => installation.call(request!));
 		await until(() => replica.seen.length === 2);
@@ -41,7 +41,7 @@
 test('requests that were in progress during the same two crashes take turns at the one replica, and all are served', async context => {
 	const installation = await startWithTwoCrashes();
 	context.after(async () => installation.close());
-	installation.everyReplica.at(-1)!.behave({delay: runTime});
+	installation.allReplicas.at(-1)!.behave({delay: runTime});
 	const views = await Promise.all([first, second, first].map(async request => installation.call(request!)));
 	assert.deepEqual(statusesOf(views), [200, 200, 200]);
 });
@@ -49,7 +49,7 @@
 test('a request on trial does not wait for a long run of another one, and its response says when to retry', async context => {
 	const installation = await startWithTwoCrashes();
 	context.after(async () => installation.close());
-	const replica = installation.everyReplica.at(-1)!;
+	const replica = installation.allReplicas.at(-1)!;
 	const long = installation.call(first!);
 	await until(() => replica.seen.length === 1);
 	const concurrent = await installation.call(second!);
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -36,7 +36,7 @@
 	/** @returns Names of all rows of the active table, in table order. */
 	readonly rowNames: () => readonly string[];
 	/** Applies a table that is active at a peer. */
-	readonly takeTable: (table: StoredTable) => void;
+	readonly applyTable: (table: StoredTable) => void;
 };
 
 /** The connection to one peer. */
@@ -160,7 +160,7 @@
 			link.state = answer.state;
 			ceilings.applyGrants(link.box.id, decodeRates(answer.grants, rowNames), askedAt);
 			for (const report of answer.state.leaving) {
-				directory.markLeaving(report.box, 'peer', endOf(report, askedAt));
+				directory.markLeaving(report.box, 'peer', stopTimeOf(report, askedAt));
 			}
 
 			if (answer.state.tableVersion > state.tableVersion) {
@@ -172,7 +172,7 @@
 	private fetchTable(link: Link): Effect.Effect<void, PeerFailure> {
 		return link.peer.fetchTable().pipe(Effect.map(table => {
 			if (table) {
-				this.services.takeTable(table);
+				this.services.applyTable(table);
 			}
 		}));
 	}
@@ -214,7 +214,7 @@
 			return;
 		}
 
-		const report = reportOf(box, endsAt, this.services.clock.monotonic());
+		const report = leavingReportOf(box, endsAt, this.services.clock.monotonic());
 		for (const {peer} of this.links.values()) {
 			Effect.runFork(Effect.ignore(peer.announceLeaving([report])));
 		}
@@ -227,7 +227,7 @@
  * @param now - The current time on the same clock.
  * @returns The report to send to a peer.
  */
-export function reportOf(box: BoxId, endsAt: number | undefined, now: number): LeavingReport {
+export function leavingReportOf(box: BoxId, endsAt: number | undefined, now: number): LeavingReport {
 	return endsAt === undefined ? {box} : {box, remaining: Math.max(0, endsAt - now)};
 }
 
@@ -236,6 +236,6 @@
  * @param receivedAt - When it was received, in monotonic milliseconds of this box.
  * @returns When the box will stop, on the monotonic clock of this box; `undefined` where that is not known.
  */
-export function endOf(report: LeavingReport, receivedAt: number): number | undefined {
+export function stopTimeOf(report: LeavingReport, receivedAt: number): number | undefined {
 	return report.remaining === undefined ? undefined : receivedAt + report.remaining;
 }
--- a/src/quarantine/test/crash-ledger.test.ts
+++ b/src/quarantine/test/crash-ledger.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import * as fc from 'fast-check';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {
 	CrashLedger, crashLifetime, maxCrashesSent, type CrashLedgerUpdate,
 } from '../crash-ledger.js';
@@ -12,8 +12,8 @@
 	start, service: 's', software: '1', suspects: suspects.map(fingerprint => ({fingerprint, ranFor: 60})),
 });
 
-function ledgerAt(now = 10_000): {readonly clock: MovedClock; readonly ledger: CrashLedger} {
-	const clock = new MovedClock(now);
+function ledgerAt(now = 10_000): {readonly clock: ManualClock; readonly ledger: CrashLedger} {
+	const clock = new ManualClock(now);
 	return {clock, ledger: CrashLedger.create(clock)};
 }
 
--- a/src/quarantine/test/quarantine-model.test.ts
+++ b/src/quarantine/test/quarantine-model.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {randomOf} from '../../../development/harness/seeded-random.js';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {createRandom} from '../../../development/harness/seeded-random.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {SilentEventLog} from '../../base/event-log.js';
 import {hashText} from '../../base/rendezvous.js';
 import {ReplicaDirectory} from '../../replicas/replica-directory.js';
@@ -26,7 +26,7 @@
 /** Share of messages that are lost. */
 const lossShare = 0.2;
 
-type Box = {readonly clock: MovedClock; readonly replicas: ReplicaDirectory; readonly quarantine: Quarantine};
+type Box = {readonly clock: ManualClock; readonly replicas: ReplicaDirectory; readonly quarantine: Quarantine};
 type Client = {readonly fingerprint: Fingerprint; readonly isPoison: boolean; dueAt: number; served: number; refused: number; deferred: number};
 type Run = {readonly client: Client; readonly box: Box; readonly start: string; readonly beganAt: number; readonly isRetry: boolean; readonly endRun: () => void};
 type Shape = {readonly boxes: number; readonly replicas: number; readonly clients: number; readonly poisons: number; readonly otherCrashInterval: number; readonly runTime?: number};
@@ -45,11 +45,11 @@
 	private readonly runTime: number;
 
 	constructor(private readonly shape: Shape, seed: number) {
-		this.random = randomOf(seed);
+		this.random = createRandom(seed);
 		this.runTime = shape.runTime ?? defaultRunTime;
 		this.startedAt = Array.from({length: shape.replicas}, () => 0);
 		this.boxes = Array.from({length: shape.boxes}, (_, index) => {
-			const clock = new MovedClock(this.now);
+			const clock = new ManualClock(this.now);
 			const log = SilentEventLog.create();
 			const replicas = ReplicaDirectory.create(clock, log);
 			return {
--- a/src/quarantine/test/quarantine.test.ts
+++ b/src/quarantine/test/quarantine.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {SilentEventLog} from '../../base/event-log.js';
 import {ReplicaDirectory} from '../../replicas/replica-directory.js';
 import type {Replica, ReplicaEntry} from '../../replicas/replica.js';
@@ -10,7 +10,7 @@
 const [x, a] = ['x', 'a'].map(letter => Fingerprint(letter.repeat(12))) as [Fingerprint, Fingerprint];
 
 class Fixture {
-	readonly clock = new MovedClock(10_000);
+	readonly clock = new ManualClock(10_000);
 	readonly released: string[] = [];
 	isOwner = true;
 	readonly replicas = ReplicaDirectory.create(this.clock, SilentEventLog.create());
--- a/src/quota/quota-ledger.ts
+++ b/src/quota/quota-ledger.ts
@@ -11,7 +11,7 @@
 import type {Clock} from '../base/clock.js';
 import {RateMeter} from '../base/rate-meter.js';
 import type {QuotaCount, QuotaLevel} from '../gossip/gossip-message.js';
-import type {Meeting} from '../gossip/peer-table.js';
+import type {SenderRelation} from '../gossip/peer-table.js';
 
 /** The limit of a client account for all boxes together. */
 export type QuotaBound = {
@@ -223,7 +223,7 @@
 	 * level is no more accurate than this box's.
 	 * @param isWhole - Whether counters that are absent are zero.
 	 */
-	applyCounts(peer: string, counts: readonly QuotaCount[], meeting: Meeting, isWhole = true): void {
+	applyCounts(peer: string, counts: readonly QuotaCount[], meeting: SenderRelation, isWhole = true): void {
 		const known = this.countsFor(peer, meeting);
 		this.reportedDemands.set(peer, {at: this.clock.monotonic(), rates: new Map(counts.map(({clientAccount, asked}) => [clientAccount, asked]))});
 		for (const {clientAccount, passed, level} of counts) {
@@ -333,7 +333,7 @@
 	}
 
 	/** Starts from empty counters for a box that had lost contact: the known ones no longer show which units are new. */
-	private countsFor(peer: string, meeting: Meeting): PeerCounts {
+	private countsFor(peer: string, meeting: SenderRelation): PeerCounts {
 		const known = this.peers.get(peer);
 		const isInContact = meeting === 'known' || meeting === 'younger';
 		const counts = known && isInContact ? known : {passed: new Map<string, number>(), isWhole: isInContact};
--- a/src/quota/test/quota-ledger.test.ts
+++ b/src/quota/test/quota-ledger.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import * as fc from 'fast-check';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {QuotaLedger} from '../quota-ledger.js';
 
 const clientAccount = 'basin';
@@ -9,7 +9,7 @@
 
 /** Boxes that exchange their counters at intervals, as by gossip. */
 class Fleet {
-	readonly clock = new MovedClock();
+	readonly clock = new ManualClock();
 	readonly ledgers: readonly QuotaLedger[];
 	readonly isReachable: boolean[];
 	private readonly met = new Set<string>();
@@ -92,7 +92,7 @@
 });
 
 test('a box that joins running boxes adopts their level, and a restarted box begins with half of the burst', () => {
-	const clock = new MovedClock();
+	const clock = new ManualClock();
 	const facts = {bound: () => bound, reachableFraction: () => 1};
 	const old = QuotaLedger.create(facts, clock, true);
 	while (old.take(clientAccount, 10) === 0) {
@@ -110,7 +110,7 @@
 });
 
 test('a lowered limit takes effect at once, and the units of a request that did not run are returned', () => {
-	const clock = new MovedClock();
+	const clock = new ManualClock();
 	const limit = {...bound};
 	const ledger = QuotaLedger.create({bound: () => limit, reachableFraction: () => 1}, clock, true);
 	limit.burst = 5;
@@ -122,7 +122,7 @@
 
 /** A large fleet: boxes send their counters to one aggregator, which sends the level of the bucket to each box. */
 class LargeFleet {
-	readonly clock = new MovedClock();
+	readonly clock = new ManualClock();
 	readonly aggregator: QuotaLedger;
 	readonly boxes: readonly QuotaLedger[];
 
@@ -252,7 +252,7 @@
 });
 
 test('units that a box admitted before its first or renewed contact with an aggregator are not subtracted from the bucket', () => {
-	const clock = new MovedClock();
+	const clock = new ManualClock();
 	const facts = {bound: () => bound, reachableFraction: () => 1};
 	const box = QuotaLedger.create(facts, clock, true);
 	for (let step = 0; step < 50; step++) {
@@ -269,7 +269,7 @@
 });
 
 test('recent counts include only the counters that changed within 2.5 s, also by returned units; counts include all', () => {
-	const clock = new MovedClock();
+	const clock = new ManualClock();
 	const ledger = QuotaLedger.create({bound: () => bound, reachableFraction: () => 1}, clock, true);
 	const names = () => ledger.recentCounts.map(count => count.clientAccount);
 	ledger.take('basin', 5);
@@ -285,7 +285,7 @@
 });
 
 test('a new aggregator does not count old units of a box as new, although the box sends only its recent counters', () => {
-	const clock = new MovedClock();
+	const clock = new ManualClock();
 	const large = {rate: 1000, burst: 10_000};
 	const ledgerOf = () => QuotaLedger.create({bound: () => large, reachableFraction: () => 1}, clock, true);
 	const box = ledgerOf();
@@ -315,7 +315,7 @@
 });
 
 test('units that a box admitted without contact are not subtracted, whichever counters it sends first', () => {
-	const clock = new MovedClock();
+	const clock = new ManualClock();
 	const box = QuotaLedger.create({bound: () => ({rate: 1000, burst: 10_000}), reachableFraction: () => 1}, clock, true);
 	const aggregator = QuotaLedger.create({bound: () => ({rate: 1000, burst: 10_000}), reachableFraction: () => 1}, clock, true);
 	box.take('basin', 100);
--- a/src/records/record-book.ts
+++ b/src/records/record-registry.ts
@@ -17,14 +17,14 @@
 const nameOf = ({account, key}: RecordName) => `${account}\n${key}`;
 
 /** Registry of request records. */
-export class RecordBook {
+export class RecordRegistry {
 	/**
 	 * @param limits - Limits on the records of ended requests.
 	 * @param clock - Measures the retention time.
 	 * @returns An empty registry.
 	 */
-	static create(limits: Retention, clock: Clock): RecordBook {
-		return new RecordBook(limits, clock);
+	static create(limits: Retention, clock: Clock): RecordRegistry {
+		return new RecordRegistry(limits, clock);
 	}
 
 	private readonly records = new Map<string, RequestRecord>();
--- a/src/records/request-record.ts
+++ b/src/records/request-record.ts
@@ -85,7 +85,7 @@
 	}
 
 	/** Whether a listener still reads it. */
-	get isRead(): boolean {
+	get hasListeners(): boolean {
 		return this.listeners.size > 0;
 	}
 
@@ -118,7 +118,7 @@
 	}
 
 	/** Signals that a listener that applied back pressure is ready for more. */
-	drained(): void {
+	notifyDrained(): void {
 		this.drainCallback.wake();
 	}
 
--- a/src/relay/test/admission.test.ts
+++ b/src/relay/test/admission.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {Replica} from '../../replicas/replica.js';
 import {ServiceDemands} from '../../replicas/service-demand.js';
 import {retryDelayIfRefused} from '../admission.js';
 
-const clock = new MovedClock(1000);
+const clock = new ManualClock(1000);
 const urgencies = [0, 1, 2];
 
 /** A replica with unread prompt tokens and requests in progress, and its service, which reads 100 tokens per millisecond. */
--- a/src/relay/test/crash-detector.test.ts
+++ b/src/relay/test/crash-detector.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {setTimeout as pause} from 'node:timers/promises';
-import {KeepingLog, until} from '../../../development/relay/relay-installation.js';
+import {RecordingLog, until} from '../../../development/relay/relay-installation.js';
 import {ReplicaStandin} from '../../../development/relay/replica-standin.js';
 import {SystemClock} from '../../base/clock.js';
 import {Fingerprint} from '../../quarantine/fingerprint.js';
@@ -20,7 +20,7 @@
 	readonly standin: ReplicaStandin;
 	readonly replica: Replica;
 	readonly watch: CrashDetector;
-	readonly log: KeepingLog;
+	readonly log: RecordingLog;
 	readonly close: () => Promise<void>;
 };
 
@@ -29,7 +29,7 @@
 	const replica = Replica.create({
 		id: 'i-1', bornAt: 7, software: '1', revision: 1, service: 's', host: '127.0.0.1', port: standin.port, dataCentre: 'a', slots: 8, isDraining: false, isReclaimable: false, leavesIn: undefined,
 	}, clock);
-	const log = new KeepingLog();
+	const log = new RecordingLog();
 	const connections = ConnectionRegistry.create(clock, {maximumConnections: () => 100, boxes: () => 1});
 	const replicas = ReplicaDirectory.create(clock, log);
 	const quarantine = Quarantine.create({
@@ -48,7 +48,7 @@
 	};
 }
 
-const crashesIn = ({lines}: KeepingLog): readonly unknown[] => lines.filter(({eventName}) => eventName === 'replicaEnded').map(({suspects}) => suspects);
+const crashesIn = ({lines}: RecordingLog): readonly unknown[] => lines.filter(({eventName}) => eventName === 'replicaEnded').map(({suspects}) => suspects);
 
 test('a cut connection is not reported as a crash while the replica still listens', async () => {
 	const {standin, replica, watch, log, close} = await watched();
--- a/src/relay/test/demand-recorder.test.ts
+++ b/src/relay/test/demand-recorder.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {Refusal} from '../../base/verdict.js';
 import {pooledDemand} from '../../replicas/fleet-demand.js';
 import {ServiceDemands} from '../../replicas/service-demand.js';
@@ -8,14 +8,14 @@
 
 const goal = 500;
 const begin = () => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const demand = ServiceDemands.create(clock).of('s');
 	const createRecorder = () => DemandRecorder.create({clock, demand: () => demand, goal: () => goal});
 	return {clock, demand, createRecorder};
 };
 
 /** Plays twenty requests that all end in the same way, and returns the pooled demand and the number of recorded outcomes. */
-const outcomeOf = (play: (recorder: DemandRecorder, clock: MovedClock) => void) => {
+const outcomeOf = (play: (recorder: DemandRecorder, clock: ManualClock) => void) => {
 	const {clock, demand, createRecorder} = begin();
 	for (let index = 0; index < 20; index++) {
 		play(createRecorder(), clock);
--- a/src/relay/test/limit-queue.test.ts
+++ b/src/relay/test/limit-queue.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {LimitQueue} from '../limit-queue.js';
 
 const shortage = {service: 's', untilCapacity: 100, rate: 4};
 
 test('requests are ordered by urgency and then by arrival; requests of other services do not count', () => {
-	const queue = LimitQueue.create(new MovedClock());
+	const queue = LimitQueue.create(new ManualClock());
 	const late = queue.join('s', 2);
 	const first = queue.join('s', 1);
 	const second = queue.join('s', 1);
@@ -18,7 +18,7 @@
 });
 
 test('retry delays of refused requests are spaced at the available rate, with less urgent requests after more urgent ones', () => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const queue = LimitQueue.create(clock, () => 0.5);
 	const urgent = Array.from({length: 4}, () => queue.reserveRetryDelay({...shortage, urgency: 1}));
 	assert.deepEqual(urgent, [350, 600, 850, 1100]);
@@ -29,7 +29,7 @@
 });
 
 test('retry delays never exceed eight seconds plus a quarter of jitter, however many requests are refused and however low the rate', () => {
-	const queue = LimitQueue.create(new MovedClock(1000));
+	const queue = LimitQueue.create(new ManualClock(1000));
 	const waits = Array.from({length: 500}, (_, index) => queue.reserveRetryDelay({
 		service: 's', urgency: 1, untilCapacity: 1e9, rate: index % 2,
 	}));
--- a/src/replicas/test/replica-choice.test.ts
+++ b/src/replicas/test/replica-choice.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {LeastWaitChoice} from '../replica-choice.js';
 import {Replica} from '../replica.js';
 
-const clock = new MovedClock(1000);
+const clock = new ManualClock(1000);
 const replicasOf = (count: number): readonly Replica[] => Array.from({length: count}, (_, index) => Replica.create({
 	id: `i-${index}`, bornAt: undefined, software: '', revision: 1, service: 's', host: '127.0.0.1', port: 1, dataCentre: 'a', slots: 4, isDraining: false, isReclaimable: false, leavesIn: undefined,
 }, clock));
--- a/src/replicas/test/replica-directory.test.ts
+++ b/src/replicas/test/replica-directory.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {SilentEventLog} from '../../base/event-log.js';
 import {ReplicaDirectory} from '../replica-directory.js';
 import type {ReplicaEntry} from '../replica.js';
@@ -9,8 +9,8 @@
 	id, bornAt: undefined, software: '', revision: 1, service: 's', host: '127.0.0.1', port: 1, dataCentre: 'a', slots: 8, isDraining: false, isReclaimable: false, leavesIn: undefined, ...changes,
 });
 
-function directoryOf(entries: readonly ReplicaEntry[]): {readonly clock: MovedClock; readonly directory: ReplicaDirectory} {
-	const clock = new MovedClock(10_000);
+function directoryOf(entries: readonly ReplicaEntry[]): {readonly clock: ManualClock; readonly directory: ReplicaDirectory} {
+	const clock = new ManualClock(10_000);
 	const directory = ReplicaDirectory.create(clock, SilentEventLog.create());
 	directory.replaceAll(entries, 5);
 	return {clock, directory};
--- a/src/replicas/test/replica-limits.test.ts
+++ b/src/replicas/test/replica-limits.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {EventLog, type EventFields} from '../../base/event-log.js';
 import type {EventName} from '../../base/event-catalogue.js';
 import {Replica} from '../replica.js';
@@ -19,7 +19,7 @@
 	}
 }
 
-function boxAt(clock: MovedClock, length = 1) {
+function boxAt(clock: ManualClock, length = 1) {
 	const replicaOf = (id: string, bornAt = 7) => Replica.create({
 		id, bornAt, software: '1', revision: 1, service: 's', host: '10.1.0.1', port: 1, dataCentre: 'a', slots: 8, isDraining: false, isReclaimable: false, leavesIn: undefined,
 	}, clock);
@@ -34,7 +34,7 @@
 }
 
 test('a response without a limit ends the limit, unless its request was sent before the limit was received', () => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const {limits, log, replica} = boxAt(clock);
 	limits.recordResponse(replica, limit, 900);
 	limits.recordResponse(replica, undefined, 950);
@@ -48,7 +48,7 @@
 
 test('of two limits sent by different boxes the newer one applies, in either order of arrival', () => {
 	for (const isLimitFirst of [true, false]) {
-		const clock = new MovedClock(10_000);
+		const clock = new ManualClock(10_000);
 		const {limits, replica} = boxAt(clock);
 		const {start} = replica;
 		const updates = [{start, limit, age: 900}, {start, limit: undefined, age: 300}];
@@ -61,7 +61,7 @@
 });
 
 test('a box sends limits from responses, an aggregator also those that boxes sent, and no box those of a digest', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const {limits, replica, other} = boxAt(clock);
 	limits.recordResponse(replica, limit, 9000);
 	limits.merge([{start: other.start, limit: 3, age: 40}], 'box');
@@ -73,7 +73,7 @@
 });
 
 test('the end of a limit is sent for a limited time', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const {limits, replica} = boxAt(clock);
 	limits.recordResponse(replica, limit, 9000);
 	clock.now = 11_000;
@@ -84,7 +84,7 @@
 });
 
 test('if there are more limits than a message holds, successive messages rotate through all of them', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const {limits, replicaOf} = boxAt(clock);
 	const replicas = Array.from({length: 40}, (_, index) => replicaOf(`i-${index}`));
 	for (const replica of replicas) {
@@ -97,7 +97,7 @@
 });
 
 test('an unreadable limit changes nothing and is logged at most once a second; a limit that changes with each response is logged as rarely', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const {limits, log, replica} = boxAt(clock);
 	limits.recordResponse(replica, limit, 9000);
 	for (let index = 0; index < 20; index++) {
@@ -116,7 +116,7 @@
 });
 
 test('another incarnation of a replica has no limit', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const {limits, replica, replicaOf} = boxAt(clock);
 	limits.recordResponse(replica, limit, 9000);
 	assert.equal(limits.limitOf(replicaOf('i-1', 8)), undefined);
@@ -127,7 +127,7 @@
 });
 
 test('a replica without a limit has room; with a limit each slot is used once, and a request that is too late for its slot is not sent', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const {limits, replica} = boxAt(clock);
 	assert.ok(limits.hasRoom(replica));
 	assert.equal(limits.acquireSlot(replica), undefined);
@@ -154,7 +154,7 @@
 });
 
 test('a limited replica that has not responded for long gets the next request', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const {limits, replica} = boxAt(clock);
 	limits.recordResponse(replica, 0, 9000);
 	const dueAfter = Array.from({length: 30}, () => {
@@ -167,7 +167,7 @@
 });
 
 test('the time until there is room accounts for requests that are queued ahead', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const {limits, replica} = boxAt(clock);
 	limits.recordResponse(replica, limit, 9000);
 	const waits = [0, 1, 2].map(requestsAhead => limits.timeUntilRoom([replica], requestsAhead, 5000));
--- a/src/replicas/test/replica-statements.test.ts
+++ b/src/replicas/test/replica-statements.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {SilentEventLog} from '../../base/event-log.js';
 import {ReplicaDirectory} from '../replica-directory.js';
 import {ReplicaLimits} from '../replica-limits.js';
@@ -13,7 +13,7 @@
 	id, bornAt: 7, software: '', revision: 1, service: 's', host: '127.0.0.1', port: 1, dataCentre: 'a', slots: 8, isDraining: false, isReclaimable: false, leavesIn: undefined, ...changes,
 });
 
-function boxAt(clock: MovedClock, ids: readonly string[] = ['i-1', 'i-2']) {
+function boxAt(clock: ManualClock, ids: readonly string[] = ['i-1', 'i-2']) {
 	const log = SilentEventLog.create();
 	const replicas = ReplicaDirectory.create(clock, log);
 	replicas.replaceAll(ids.map(id => entry(id)), 5);
@@ -30,7 +30,7 @@
 	statements.updates(isWhole, sources, maxStatementsPerMessage.small) ?? [];
 
 test('a replica that announced that it is leaving gets no requests while its entry is ready, expires or is written again, until it starts again', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const {replicas, statements, ready} = boxAt(clock);
 	statements.recordResponse(replicas.byId('i-1')!, leaving, 9900);
 	assert.deepEqual(ready(), ['i-2']);
@@ -46,7 +46,7 @@
 });
 
 test('a box learns from other boxes that a replica is leaving, even before the replica is listed, and does not forward statements of a digest', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const [first, second, third] = [boxAt(clock), boxAt(clock, ['i-2']), boxAt(clock)];
 	first.statements.recordResponse(first.replicas.byId('i-1')!, leaving, 9900);
 	second.statements.merge('first', updatesOf(first), 'box');
@@ -58,7 +58,7 @@
 });
 
 test('in a large fleet an announcement is sent at once, then with full states as long as the replica is listed', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const box = boxAt(clock);
 	box.statements.recordResponse(box.replicas.byId('i-1')!, leaving, 9900);
 	assert.equal(updatesOf(box, ['answer'], false).length, 1);
@@ -72,7 +72,7 @@
 });
 
 test('successive messages rotate through the announcements if there are many', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const ids = Array.from({length: 30}, (_, index) => `i-${index}`);
 	const {replicas, statements} = boxAt(clock, ids);
 	for (const replica of replicas.all) {
@@ -85,7 +85,7 @@
 });
 
 test('a pause ends only by time: a later response may extend it, but neither shortens nor ends it', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const {replicas, statements} = boxAt(clock);
 	const replica = replicas.byId('i-1')!;
 	statements.recordResponse(replica, {...emptyStatement, pause: 3000}, 9990);
@@ -102,7 +102,7 @@
 });
 
 test('a pause binds only the box that was asked for it; other boxes know it with its age', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const [first, second, third] = [boxAt(clock), boxAt(clock), boxAt(clock)];
 	first.statements.recordResponse(first.replicas.byId('i-1')!, {...emptyStatement, pause: 3000}, 9990);
 	clock.now += 500;
@@ -119,7 +119,7 @@
 });
 
 test('a newer incarnation of a replica has no pause', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const {replicas, statements} = boxAt(clock);
 	statements.recordResponse(replicas.byId('i-1')!, {...emptyStatement, pause: 60_000}, 9990);
 	replicas.put(entry('i-1', {revision: 9, bornAt: 8}));
@@ -127,7 +127,7 @@
 });
 
 test('among paused replicas, there is room when the first pause ends', () => {
-	const clock = new MovedClock(10_000);
+	const clock = new ManualClock(10_000);
 	const {replicas, statements} = boxAt(clock);
 	statements.recordResponse(replicas.byId('i-1')!, {...emptyStatement, pause: 3000}, 9990);
 	statements.recordResponse(replicas.byId('i-2')!, {...emptyStatement, pause: 1500}, 9990);
--- a/src/replicas/test/service-demand.test.ts
+++ b/src/replicas/test/service-demand.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {pooledDemand} from '../fleet-demand.js';
 import {ServiceDemands} from '../service-demand.js';
 
 test('requests in progress are the arrival rate times the mean duration, regardless of the queue', () => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const demand = ServiceDemands.create(clock).of('s');
 	for (let step = 0; step < 2000; step++) {
 		clock.now += 20;
@@ -19,7 +19,7 @@
 });
 
 test('the read rate is that of requests that hardly queued, and is zero until there are enough samples', () => {
-	const demand = ServiceDemands.create(new MovedClock()).of('s');
+	const demand = ServiceDemands.create(new ManualClock()).of('s');
 	for (let index = 0; index < 10; index++) {
 		demand.recordRead(5000, 50);
 	}
@@ -37,7 +37,7 @@
 });
 
 test('the residual read time of a busy replica grows with the share of long prompts', () => {
-	const demand = ServiceDemands.create(new MovedClock()).of('s');
+	const demand = ServiceDemands.create(new ManualClock()).of('s');
 	const residualReading = () => pooledDemand([demand.current]).residualReading;
 	assert.equal(residualReading(), 0);
 	for (let index = 0; index < 3000; index++) {
@@ -52,7 +52,7 @@
 
 test('the pooled demand of many boxes with few requests each is close to that of one box with all requests', () => {
 	const run = (boxes: number) => {
-		const clock = new MovedClock(1000);
+		const clock = new ManualClock(1000);
 		const demands = Array.from({length: boxes}, () => ServiceDemands.create(clock).of('s'));
 		for (let index = 0; index < 4000; index++) {
 			clock.now += 20;
@@ -77,7 +77,7 @@
 });
 
 test('a request that is rejected without a replica counts as demand, and as missed', () => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const demand = ServiceDemands.create(clock).of('s');
 	for (let index = 0; index < 1000; index++) {
 		clock.now += 20;
--- a/src/routes/test/route-table.test.ts
+++ b/src/routes/test/route-table.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {MovedClock} from '../../../development/harness/moved-clock.js';
+import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {SilentEventLog} from '../../base/event-log.js';
 import {
 	RouteTable, pickTarget, type Route, type RouteTableContent,
@@ -50,7 +50,7 @@
 });
 
 test('only a higher version becomes active, and a proof counts only for the active version', () => {
-	const clock = new MovedClock(1000);
+	const clock = new ManualClock(1000);
 	const view = RouteTableView.create(clock, SilentEventLog.create());
 	const applied: number[] = [];
 	view.onDidApply(({version}) => {
