--- a/development/bench/exchange.ts
+++ b/development/bench/exchange.ts
@@ -15,6 +15,7 @@
 const inProgress = 3;
 /** Rounds of messages to warm up, not counted. */
 const warmUpRounds = 10;
+/** Rounds of messages that are measured. */
 const measuredRounds = 30;
 const millisecondsPerSecond = 1000;
 const microsecondsPerMillisecond = 1000;
--- a/development/bench/plot.ts
+++ b/development/bench/plot.ts
@@ -12,9 +12,11 @@
 	readonly line: Line;
 };
 
-// Width and height of a chart in pixels.
+/** Width of a chart in pixels. */
 const width = 220;
+/** Height of a chart in pixels. */
 const height = 130;
+/** Number of charts in a row. */
 const columns = 4;
 
 function panelOf({title, points, line}: Panel): vega.GroupMark {
--- a/development/bench/process-cost.ts
+++ b/development/bench/process-cost.ts
@@ -7,8 +7,9 @@
 const ticksPerSecond = 100;
 /** Bytes in a page, the unit of `/proc/PID/statm`. */
 const pageSize = 4096;
-// Indexes of fields of `/proc/PID/stat`, counted from the first field after the command name, which may hold spaces.
+/** Index of the user time in `/proc/PID/stat`, counted from the first field after the command name, which may hold spaces. */
 const userTimeField = 11;
+/** Index of the system time in `/proc/PID/stat`, counted in the same way. */
 const systemTimeField = 12;
 
 /**
--- a/development/bench/relay.ts
+++ b/development/bench/relay.ts
@@ -13,15 +13,21 @@
 
 /** Upstreams that all have the address of the token source, so that the limit on concurrent requests does not slow the load. */
 const upstreams = 32;
+/** Number of concurrent requests of the load. */
 const concurrency = 32;
 /** Requests before those that are measured, so that the JIT compiler has optimised the code. */
 const warmUpRequests = 8000;
+/** Number of measured requests with one token each. */
 const shortRequests = 5000;
+/** Number of measured requests with several tokens each. */
 const longRequests = 300;
+/** Tokens in the response to a long request. */
 const longTokens = 100;
+/** Number of idle streams whose memory is measured. */
 const idleStreams = 1000;
 /** Idle streams that are opened concurrently. */
 const idleStreamsPerBatch = 20;
+/** Number of requests whose time to the first token is measured. */
 const latencySamples = 1500;
 const rounds = 2;
 
--- a/development/bench/streams.ts
+++ b/development/bench/streams.ts
@@ -18,6 +18,7 @@
 
 const eventsPerStream = 64;
 const concurrentStreams = 50;
+/** Rounds to warm up, not counted. */
 const warmUpRounds = 10;
 const rounds = 40;
 /** Bytes of data in an event, as many as a few words of a response. */
--- a/development/decisions/run-plot.ts
+++ b/development/decisions/run-plot.ts
@@ -5,8 +5,9 @@
 import * as vega from 'vega';
 import type {SecondSummary} from './run-summary.js';
 
-// Width and height of a chart in pixels.
+/** Width of a chart in pixels. */
 const width = 640;
+/** Height of a chart in pixels. */
 const height = 170;
 
 type Curve = {readonly name: string; readonly valueOf: (row: SecondSummary) => number | undefined};
--- a/development/harness/caller.ts
+++ b/development/harness/caller.ts
@@ -59,6 +59,7 @@
 type Head = {readonly incoming: IncomingMessage};
 
 const agent = new Agent({keepAlive: true, maxSockets: Infinity});
+/** Maximum number of attempts for a request, after which it counts as lost. */
 const maxAttempts = 30;
 /** Maximum number of polls for a response that another box is producing. */
 const maxPolls = 100;
--- a/development/relay/relay-installation.ts
+++ b/development/relay/relay-installation.ts
@@ -103,17 +103,22 @@
 	readonly released?: readonly string[];
 };
 
-/** Milliseconds from a request that crashes a replica to the crash; from the crash until the entry lapses; and from the crash until the restart. */
+/** Milliseconds from a request that crashes a replica to the crash. */
 const crashDelay = 60;
+/** Milliseconds from the crash of a replica until its entry lapses. */
 const lapseDelay = 600;
+/** Milliseconds from the crash of a replica until its restart. */
 const restartDelay = 2000;
 
 /**
- * Ports are below the range that Linux assigns to outgoing connections, which starts at 32,768: such a connection could occupy the port of a box
- * that restarts. Each process uses its own block of ports in turn, because the port of a stopped box looks free to other processes.
+ * First port of the first block. Ports are below the range that Linux assigns to outgoing connections, which starts at 32,768: such a connection
+ * could occupy the port of a box that restarts. Each process uses its own block of ports in turn, because the port of a stopped box looks free
+ * to other processes.
  */
 const firstPort = 15_000;
+/** Number of ports in a block. */
 const portsInBlock = 500;
+/** Number of blocks of ports. */
 const blocks = 34;
 
 let assignedPorts = 0;
--- a/development/soak/main.ts
+++ b/development/soak/main.ts
@@ -14,7 +14,9 @@
 const bytesPerRelay = 150_000_000;
 /** Fraction of the machine's memory that the relays may use. */
 const memoryShare = 0.5;
+/** Maximum number of relays, however much memory the machine has. */
 const maxRelays = 40;
+/** Maximum number of violations that are printed. */
 const violationsShown = 20;
 
 const options = await yargs(process.argv.slice(2))
--- a/development/soak/soak-checker.ts
+++ b/development/soak/soak-checker.ts
@@ -50,8 +50,9 @@
 const limitTolerance = {factor: 1.5, requests: 5} as const;
 /** Milliseconds after its start within which a relay need not know the limits of replicas. */
 const startTime = 4500;
-/** Milliseconds after an answer that asks for a pause during which requests are not counted, and the number tolerated after that. */
+/** Milliseconds after an answer that asks for a pause during which requests are not counted. */
 const pauseGrace = 500;
+/** Number of requests tolerated in the rest of a pause. */
 const pauseTolerance = 2;
 /** HTTP statuses that tell the client that its request was not run. */
 const refusalStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
--- a/development/soak/soak-clients.ts
+++ b/development/soak/soak-clients.ts
@@ -34,8 +34,9 @@
 const clientPause = 25;
 /** Milliseconds between two readiness checks of the load balancer. */
 const readyInterval = 250;
-/** Every nth request of a client uses the spare key, and every nth request has the same body. */
+/** Every nth request of a client uses the spare key. */
 const revocableKeyEvery = 7;
+/** Every nth request of a client has the same body. */
 const sameBodyEvery = 3;
 
 /** The relay, connections and key of a request, and the event after which a stream continues. */
--- a/development/soak/soak-faults.ts
+++ b/development/soak/soak-faults.ts
@@ -16,28 +16,30 @@
 export const drainTime = 2000;
 /** Text in the body of the request that crashes replicas. */
 export const poisonMark = 'poison of the soak';
-/** Milliseconds between two attempts with this request, and number of attempts. */
+/** Milliseconds between two attempts with this request. */
 const poisonPause = 250;
+/** Number of attempts with this request. */
 const poisonAttempts = 20;
 
 /** Milliseconds after its revocation within which a key may still be used. */
 export const revokeTime = 5000;
-/**
- * Milliseconds between the isolation of a box and the revocation of a key, number of uses of the key after it has become invalid, and
- * milliseconds between two of these uses.
- */
+/** Milliseconds between the isolation of a box and the revocation of a key. */
 const revokeDelay = 200;
+/** Number of uses of the key after it has become invalid. */
 const lateUses = 5;
+/** Milliseconds before each of these uses. */
 const lateUsePause = 200;
 /** Offsets of a wall clock in milliseconds; the smallest is the least jump that counts as a suspension. */
 const clockJumps = [250, 1500, 20_000, 3_600_000];
-/** Limits that replicas announce, in requests per second, and milliseconds for which they do so: long enough for all boxes to learn of them. */
+/** Limits that replicas announce, in requests per second. */
 const announcedLimits = [0.5, 1, 3, 10];
+/** Milliseconds for which replicas announce a limit: long enough for all boxes to learn of it. */
 const limitTime = 6000;
 /** Milliseconds between two changes of a changing limit. */
 const limitPause = 300;
-/** Fraction of the datagrams that is lost, and the maximum delay of a datagram in milliseconds. */
+/** Fraction of the datagrams that is lost. */
 const lossRate = 0.4;
+/** Maximum delay of a datagram in milliseconds. */
 const maxDatagramDelay = 400;
 /** Mean milliseconds between two changes of the settings. */
 const settingsPause = 60;
--- a/development/soak/soak-plan.ts
+++ b/development/soak/soak-plan.ts
@@ -56,19 +56,27 @@
 export const soakFaultKinds = [...generalKinds, ...streamKinds, ...boxKinds, ...cutOffKinds, ...limitKinds, ...statementKinds, ...restoreKinds] as const;
 export type SoakFaultKind = typeof soakFaultKinds[number];
 
-/** Bounds of the duration of a fault, in milliseconds. */
+/** Minimum duration of a fault, in milliseconds. */
 const minFaultDuration = 300;
+/** Maximum duration of a fault, in milliseconds. */
 const maxFaultDuration = 2500;
-/** Mean milliseconds between two faults of a group. */
+/** Mean milliseconds between two faults of the general group. */
 const generalPause = 350;
+/** Mean milliseconds between two faults in the streams of a replica. */
 const streamPause = 500;
+/** Mean milliseconds between two faults of clocks, datagrams, the store towards a single box, or settings files. */
 const boxPause = 600;
+/** Mean milliseconds between two isolations of a box. */
 const cutOffPause = 8000;
+/** Mean milliseconds between two limits that replicas announce. */
 const limitPause = 3000;
+/** Mean milliseconds between two announcements that a replica is leaving or asks for a pause. */
 const statementPause = 1500;
+/** Mean milliseconds between two restores of the store. */
 const restorePause = 4000;
-/** Default number of relays, and the mean milliseconds between two extra faults of boxes for each relay beyond it. */
+/** Default number of relays. */
 const defaultRelays = 4;
+/** Mean milliseconds between two extra faults of relays and boxes for each relay beyond the default number. */
 const extraBoxPause = 4000;
 
 /**
--- a/development/soak/soak.ts
+++ b/development/soak/soak.ts
@@ -40,15 +40,19 @@
 };
 
 const replicaIds = Array.from({length: 6}, (_, index) => `i-${index + 1}`);
-/** Minimum number of clients, in total and per relay. */
+/** Minimum number of clients in total. */
 const clientCount = 12;
+/** Minimum number of clients per relay. */
 const clientsPerRelay = 2;
+/** Number of events in a stream. */
 const streamEvents = 6;
 /** Relays that start concurrently: loading the program occupies one core per relay. */
 const concurrentStarts = 4;
-/** Milliseconds within which a relay must be ready, milliseconds between two readiness checks, and log lines shown on a timeout. */
+/** Milliseconds within which a relay must be ready. */
 const startTime = 20_000;
+/** Milliseconds between two readiness checks of a relay. */
 const readyCheckInterval = 50;
+/** Maximum number of log lines shown if a relay is not ready in time. */
 const linesShown = 20;
 /** Milliseconds within which all requests must be served again after the last fault is cleared. */
 const recoveryTime = 12_000;
--- a/development/soak/test/soak-answers.test.ts
+++ b/development/soak/test/soak-answers.test.ts
@@ -5,6 +5,7 @@
 import {describeAnswerFault} from '../soak-answers.js';
 import type {SoakAttempt, SoakRequestKind} from '../soak-clients.js';
 
+/** Number of events in a stream. */
 const streamEvents = 3;
 
 type Seen = {
--- a/development/standins/test/model-engine.test.ts
+++ b/development/standins/test/model-engine.test.ts
@@ -12,6 +12,7 @@
 import {seedOf, tokenEvent} from '../tokens.js';
 
 const messages = [{role: 'user', content: 'Write.'}];
+/** Tokens in a response. */
 const tokens = 20;
 const traits = {...defaultEngineTraits, step: 1};
 let source: ScriptedServer;
--- a/src/base/faults.ts
+++ b/src/base/faults.ts
@@ -17,6 +17,7 @@
 	readonly line?: number;
 };
 
+/** Maximum characters of a value that are shown. */
 const maxShownLength = 60;
 /** Message of the schema library for a missing key. */
 const missingKey = 'Missing key';
--- a/src/base/test/http-client.test.ts
+++ b/src/base/test/http-client.test.ts
@@ -12,6 +12,7 @@
 
 const head = 'HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n';
 const body = 'half of a body';
+/** Milliseconds until the whole answer must be received. */
 const timeout = 5000;
 
 let server: ScriptedServer;
--- a/src/daemon/test/broken-events.test.ts
+++ b/src/daemon/test/broken-events.test.ts
@@ -10,6 +10,7 @@
 import {callerOf, startInstallation} from '../../../development/harness/small-installation.js';
 
 const answerCount = 40;
+/** Maximum tokens of an answer. */
 const tokensPerAnswer = 60;
 /** Probability of an interruption at each token: about every second answer is interrupted, and none uses up its attempts. */
 const breakProbability = 1 / (2 * tokensPerAnswer);
--- a/src/door/authentication.ts
+++ b/src/door/authentication.ts
@@ -20,6 +20,7 @@
 
 /** Hashes by key, since hashing costs more than a look-up. Cleared when full. */
 const hashCache = new Map<string, string>();
+/** Maximum number of cached hashes. */
 const maxCachedHashes = 4096;
 
 function cachedHashOf(key: string): string {
--- a/src/door/chat-request.ts
+++ b/src/door/chat-request.ts
@@ -10,6 +10,7 @@
 import {Refusal} from '../base/verdict.js';
 import {describePrompt, type Prompt} from '../routing/prefix-cache-estimate.js';
 
+/** Maximum number of tokens that a caller may set for an answer. */
 const maxAnswerTokens = 131_072;
 /** Maximum of an answer where the caller sets none. */
 const defaultAnswerTokens = 1024;
--- a/src/duties/test/fleet-take-over.test.ts
+++ b/src/duties/test/fleet-take-over.test.ts
@@ -19,10 +19,12 @@
 import {MeasuredLoadPolicy} from '../fleet-plan.js';
 
 const dataCentres = ['a', 'b', 'c', 'd'];
+/** Reclaimable replicas ordered in each data centre. */
 const orderedEach = 20;
 const standing: readonly StandingOrder[] = dataCentres.map(dataCentre => ({
 	service: 's', dataCentre, reclaimable: orderedEach, kept: 0,
 }));
+/** Milliseconds until a new replica is ready. */
 const bootTime = 4000;
 
 /** Records accepted orders; one data centre has no reclaimable replicas available. */
--- a/src/follow/kind-follower.ts
+++ b/src/follow/kind-follower.ts
@@ -9,6 +9,7 @@
 
 /** Milliseconds between two attempts while the store does not answer, doubled after each failure up to a maximum; before jitter. */
 const retryPause = 250;
+/** Maximum milliseconds between two attempts while the store does not answer; before jitter. */
 const maxRetryPause = 600;
 /** Milliseconds between two checks whether this box needs to follow the kind. */
 const idlePause = 400;
--- a/src/follow/test/store-availability.test.ts
+++ b/src/follow/test/store-availability.test.ts
@@ -3,6 +3,7 @@
 import {ManualClock} from '../../../development/harness/manual-clock.js';
 import {StoreAvailability} from '../store-availability.js';
 
+/** Milliseconds without an answer after which entries may have expired. */
 const lapseTime = 2400;
 const never = Number.NEGATIVE_INFINITY;
 
--- a/src/gossip/exchange-topology.ts
+++ b/src/gossip/exchange-topology.ts
@@ -20,8 +20,9 @@
 const successorsNamed = 15;
 /** Jitter of the pause between two rounds, as a fraction of the interval. */
 const pauseJitter = 0.5;
-/** Milliseconds between two rounds, in a small and in a large fleet. */
+/** Mean milliseconds between two rounds in a small fleet. */
 const smallInterval = 200;
+/** Mean milliseconds between two rounds in a large fleet, until this grows with the number of boxes. */
 const largeInterval = 400;
 /** Number of boxes above which the interval of a large fleet grows, so that an aggregator's work does not grow with the fleet. */
 const boxesAtLargeInterval = 100;
@@ -31,8 +32,9 @@
 const hashRange = 2 ** 32;
 /** Rounds between two messages to a skipped box, which detect that it answers again. */
 const roundsBetweenTrials = 5;
-/** Rounds without a message after which a box counts as silent, and the minimum of that time in milliseconds. */
+/** Rounds without a message after which a box counts as silent. */
 const roundsHeardWithin = 5;
+/** Minimum milliseconds without a message after which a box counts as silent. */
 const minHeardWithin = 1000;
 
 /** A peer and its rank in the aggregator order; lower ranks come first. */
--- a/src/gossip/test/gossip-proof.test.ts
+++ b/src/gossip/test/gossip-proof.test.ts
@@ -5,6 +5,7 @@
 import type {GossipMessage} from '../gossip-message.js';
 import {PeerTable} from '../peer-table.js';
 
+/** Milliseconds of the wall clock at which the monotonic clock shows zero. */
 const epoch = 1_700_000_000_000;
 
 const message = (name: string, changes: Partial<GossipMessage> = {}): GossipMessage => ({
--- a/src/limits/test/ceiling-start.test.ts
+++ b/src/limits/test/ceiling-start.test.ts
@@ -9,6 +9,7 @@
 import {CeilingOwner, type CeilingFacts} from '../ceiling-owner.js';
 import {Ceilings} from '../ceilings.js';
 
+/** Maximum rate of the row over all boxes, in units per second. */
 const ceiling = 1000;
 const row = 'alpha/orders/look-up';
 const [first, second, third] = rankOwners(row, ['box-1', 'box-2', 'box-3'] as BoxId[]) as [BoxId, BoxId, BoxId];
--- a/src/node/test/ended-replicas.test.ts
+++ b/src/node/test/ended-replicas.test.ts
@@ -13,6 +13,7 @@
 const healthy = 'i-7';
 /** Milliseconds of a run at the occupied replica. */
 const longRunTime = 400;
+/** Maximum number of attempts for one request. */
 const maxAttempts = 12;
 
 /**
--- a/src/node/test/idle-connections.test.ts
+++ b/src/node/test/idle-connections.test.ts
@@ -9,7 +9,9 @@
 import {RelayInstallation, until} from '../../../development/relay/relay-installation.js';
 
 const relayCount = 4;
+/** Maximum number of connections that a replica accepts. */
 const maxConnections = 8;
+/** Number of concurrent requests to each box. */
 const requestsAtOnce = 10;
 /** Milliseconds in which boxes read all responses to their end. */
 const settlingTime = 300;
--- a/src/node/test/relay-streams.test.ts
+++ b/src/node/test/relay-streams.test.ts
@@ -14,7 +14,9 @@
 import type {ReplicaStandin} from '../../../development/relay/replica-standin.js';
 import {eventOf, type StreamConduct} from '../../../development/relay/stream-writer.js';
 
+/** Number of events in a stream. */
 const events = 6;
+/** Number of the event in which the stream breaks, counted from 1. */
 const brokenEvent = 3;
 const eventBytes = Buffer.byteLength(eventOf('i-1', brokenEvent));
 const everyOffset = Array.from({length: eventBytes}, (_, bytes) => bytes);
--- a/src/node/test/trial-turns.test.ts
+++ b/src/node/test/trial-turns.test.ts
@@ -11,8 +11,9 @@
 const poisonMark = 'poison';
 const poison = {path: '/calls/x', method: 'POST', body: poisonMark};
 const [first, second] = ['first', 'second'].map(body => ({path: '/calls/innocent', method: 'POST', body}));
-/** Milliseconds of a short run, and of a run for which other requests on trial do not wait. */
+/** Milliseconds of a short run. */
 const runTime = 100;
+/** Milliseconds of a run for which other requests on trial do not wait. */
 const longRunTime = 1800;
 
 const statusesOf = (views: readonly ClientView[]): readonly number[] => views.map(({status}) => status).sort((left, right) => left - right);
--- a/src/quarantine/crash-ledger.ts
+++ b/src/quarantine/crash-ledger.ts
@@ -37,16 +37,20 @@
 export const crashLifetime = 1_800_000;
 /** Milliseconds for which a box sends its own observations: several gossip rounds, since datagrams are lost. */
 const resendDuration = 5000;
-/** Bounds on memory (5.2 MB of heap when all are reached), since clients may send any number of distinct bodies. Past it the oldest crash is dropped. */
+/** Maximum number of crashes kept. Past it the oldest is dropped. Bounds memory: 5.2 MB of heap when the next two are reached as well. */
 const maxCrashes = 256;
+/** Maximum number of suspected requests kept for a crash, since clients may send any number of distinct bodies. Further ones are ignored. */
 const maxSuspects = 64;
+/** Maximum number of completed requests kept, since clients may send any number of distinct bodies. Past it the oldest is dropped. */
 const maxCompletions = 1024;
 /**
  * Max. crashes of either sort (own and needed) in one message. With all their requests these take 3.5 KB in a small fleet, where each box
  * sends to all boxes, and 1.2 KB in a large fleet, where an aggregator answers hundreds of messages a second.
  */
 export const maxCrashesSent = {small: 12, large: 4} as const;
+/** Max. suspected requests sent for one crash: those suspected in the most crashes. */
 const maxSuspectsSent = 12;
+/** Max. completed requests in one message: the newest. */
 const maxCompletionsSent = 16;
 /** Max. crashes sent for one request: as many as other boxes need to quarantine it. */
 const maxCrashesPerRequest = 5;
--- a/src/quarantine/test/quarantine-model.test.ts
+++ b/src/quarantine/test/quarantine-model.test.ts
@@ -10,12 +10,15 @@
 import {Fingerprint} from '../fingerprint.js';
 import {Quarantine} from '../quarantine.js';
 
-/** Milliseconds of a simulation step, of a gossip round and of a run by default. */
+/** Milliseconds of a simulation step. */
 const step = 20;
+/** Milliseconds between two gossip rounds. */
 const exchangeInterval = 200;
+/** Default milliseconds of a run. */
 const defaultRunTime = 400;
-/** Milliseconds from the begin of a poison request to the crash of its replica, and from the crash to the restart. */
+/** Milliseconds from the begin of a poison request to the crash of its replica. */
 const crashTime = 60;
+/** Milliseconds from the crash of a replica to its restart. */
 const restartTime = 2000;
 /** Milliseconds until a client sends its request again. */
 const clientPause = 300;
--- a/src/relay/test/demand-recorder.test.ts
+++ b/src/relay/test/demand-recorder.test.ts
@@ -6,6 +6,7 @@
 import {ServiceDemands} from '../../replicas/service-demand.js';
 import {DemandRecorder} from '../demand-recorder.js';
 
+/** Milliseconds within which an answer should begin. */
 const goal = 500;
 const begin = () => {
 	const clock = new ManualClock(1000);
--- a/src/relay/test/stream-exchange.test.ts
+++ b/src/relay/test/stream-exchange.test.ts
@@ -27,6 +27,7 @@
 
 const seed = 33;
 const numberRuns = 150;
+/** Maximum number of events in a stream. */
 const maxEvents = 7;
 /** Bytes of data per event that are enough to fill the buffers between replica and client. */
 const largeData = 400_000;
--- a/src/replicas/service-demand.ts
+++ b/src/replicas/service-demand.ts
@@ -12,8 +12,9 @@
 const minTokens = 1000;
 /** Quantile of the samples that is used as the read rate: lower samples come from requests that shared the replica with others. */
 const readRateQuantile = 0.95;
-/** Fraction of the read rate by which one sample may move it. The first samples move it more, since the very first may have been queued. */
+/** Minimum fraction of the read rate by which one sample may move it. */
 const minStep = 0.03;
+/** Maximum fraction by which one sample may move the read rate. The first samples move it more, since the very first may have been queued. */
 const maxStep = 0.08;
 /** Samples that are needed for a read rate. */
 const minSamples = 20;
--- a/src/replicas/test/replica-limits.test.ts
+++ b/src/replicas/test/replica-limits.test.ts
@@ -9,6 +9,7 @@
 
 /** Milliseconds of the boxes' common time at which the clock shows zero. */
 const epoch = 1_764_700_000_000;
+/** Limit that a replica announces, in requests per second. */
 const limit = 2;
 
 class RecordingLog extends EventLog {
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -92,6 +92,7 @@
 	readonly limits: ClientLimits;
 };
 
+/** Priority of a request if neither its client account nor its route sets one. */
 const defaultPriority = 5;
 
 /** Look-ups in one version of the configuration. */
--- a/src/routing/prefix-cache-estimate.ts
+++ b/src/routing/prefix-cache-estimate.ts
@@ -5,6 +5,7 @@
 
 /** Characters in a block of a prompt; a block is either cached completely or not at all. */
 const blockLength = 256;
+/** Assumed characters per token of a prompt. */
 const charactersPerToken = 4;
 /** Maximum number of blocks remembered for each engine; an engine's own cache is larger than one box's share of it. */
 const maxRememberedBlocks = 8192;
--- a/src/routing/routing-policy.ts
+++ b/src/routing/routing-policy.ts
@@ -26,6 +26,7 @@
 const millisecondsPerPromptToken = 0.05;
 /** Milliseconds of waiting that are equivalent to one price unit per hour, at a latency weight of one. */
 const millisecondsPerPriceUnit = 2;
+/** Number of random upstreams in a sample of the candidates. */
 const randomCandidates = 2;
 /** Largest number of candidates that are all compared; of more, only a sample is. */
 const maxComparedCandidates = 8;
--- a/src/routing/upstream-state.ts
+++ b/src/routing/upstream-state.ts
@@ -8,6 +8,7 @@
 
 /** Milliseconds for which an upstream is avoided after its first failure; doubled with each consecutive failure. */
 const initialAvoidance = 500;
+/** Maximum milliseconds for which an upstream is avoided after a failure; before jitter. */
 const maxAvoidance = 15_000;
 /** Weight of the newest measurement in an exponential moving average. */
 const meanWeight = 0.2;
--- a/src/table/table.ts
+++ b/src/table/table.ts
@@ -12,6 +12,7 @@
 
 const highestPriority = 1;
 const lowestPriority = 9;
+/** Maximum weight of a row. */
 const maxShare = 1000;
 
 /** A service that operators define. Clients name it in the field `model` or in the path. */
