--- a/development/relay/stream-writer.ts
+++ b/development/relay/stream-writer.ts
@@ -108,16 +108,16 @@
 	}
 
 	private get isRight(): boolean {
-		const {conduct: {eventWithoutId: nameless}, after, events} = this.order;
+		const {conduct: {eventWithoutId}, after, events} = this.order;
 		const {eventNumbers: numbers} = this;
-		return numbers.length === events - after && numbers.every((event, index) => event === after + index + 1 && event !== nameless);
+		return numbers.length === events - after && numbers.every((event, index) => event === after + index + 1 && event !== eventWithoutId);
 	}
 
 	private get eventNumbers(): readonly number[] {
-		const {conduct: {resumesAt: goesOn, omittedEvent: leftOut}, after, events} = this.order;
-		const skipped = goesOn === 'too-far' && after > 0 && after + 1 < events ? 1 : 0;
-		const first = goesOn === 'anew' ? 1 : after + 1 + skipped;
-		return Array.from({length: Math.max(0, events - first + 1)}, (_, index) => first + index).filter(event => event !== leftOut);
+		const {conduct: {resumesAt, omittedEvent}, after, events} = this.order;
+		const skipped = resumesAt === 'too-far' && after > 0 && after + 1 < events ? 1 : 0;
+		const first = resumesAt === 'anew' ? 1 : after + 1 + skipped;
+		return Array.from({length: Math.max(0, events - first + 1)}, (_, index) => first + index).filter(event => event !== omittedEvent);
 	}
 
 	private textOf(event: number): string {
--- a/src/node/test/relay-streams.test.ts
+++ b/src/node/test/relay-streams.test.ts
@@ -146,7 +146,7 @@
 test('events that were passed on reach the client even if its stream is cut at the same moment', async () => {
 	// The second event arrives in one chunk with the first and is out of sequence; the route allows no second attempt.
 	const views = await Promise.all(everyOffset.map(async () => installation.call({
-		path: '/whole/x', method: 'POST', body: JSON.stringify({pieces: 'together', nameless: 2}),
+		path: '/whole/x', method: 'POST', body: JSON.stringify({pieces: 'together', eventWithoutId: 2}),
 	})));
 	assert.deepEqual(views.filter(({status, body, isWhole}) => status !== 200 || isWhole || !isOneEvent(body, 1)), []);
 });
