--- a/development/demo/relay-demo.ts
+++ b/development/demo/relay-demo.ts
@@ -30,7 +30,7 @@
 	await pause(loadTime / 4);
 	const [, killedRelay] = installation.relays;
 	installation.relays.splice(1, 1);
-	await killedRelay!.crashReplica();
+	await killedRelay!.kill();
 	await pause(loadTime / 8);
 	installation.list('i-2', {state: 'draining', seq: 2});
 	await pause(loadTime / 8);
--- a/development/relay/relay-installation.ts
+++ b/development/relay/relay-installation.ts
@@ -38,7 +38,7 @@
 	readonly log: RecordingLog;
 	readonly metrics: RelayMetrics;
 	/** Stops the relay at once, without draining, as a killed process does. */
-	readonly crashReplica: () => Promise<void>;
+	readonly kill: () => Promise<void>;
 };
 
 /** A response as its client received it; the status is 0 if the connection failed before the response began. */
@@ -284,7 +284,7 @@
 		};
 
 		return {
-			name, node, port: front!, readyPort: ready!, log, metrics, crashReplica: kill,
+			name, node, port: front!, readyPort: ready!, log, metrics, kill,
 		};
 	}
 
@@ -308,7 +308,7 @@
 	/** Stops all relays, replicas and the store. */
 	async close(): Promise<void> {
 		this.isClosing = true;
-		await Promise.all(this.relays.map(async ({crashReplica: kill}) => kill()));
+		await Promise.all(this.relays.map(async ({kill}) => kill()));
 		await Promise.all(this.restarts);
 		await Promise.all([...this.replicas.values()].map(async replica => replica.close()));
 		await this.store.close();
@@ -319,7 +319,7 @@
 	 *
 	 * @param id - Id of the replica.
 	 */
-	async end(id: string): Promise<void> {
+	async crashReplica(id: string): Promise<void> {
 		this.restarts = [...this.restarts, this.restart(id)];
 		await this.replicas.get(id)!.close();
 	}
--- a/development/soak/soak-faults.ts
+++ b/development/soak/soak-faults.ts
@@ -291,7 +291,7 @@
 		replica.isLeaving = true;
 		await pause(drainTime + duration);
 		if (replica.isUp && this.installation.replicas.get(id) === replica) {
-			await this.installation.end(id);
+			await this.installation.crashReplica(id);
 		}
 	}
 
@@ -368,7 +368,7 @@
 		}
 
 		if (replica.isUp && this.installation.replicas.get(id) === replica) {
-			await this.installation.end(id);
+			await this.installation.crashReplica(id);
 		}
 	}
 
--- a/src/node/test/odd-entries.test.ts
+++ b/src/node/test/odd-entries.test.ts
@@ -60,7 +60,7 @@
 
 	const lines = running!.log.lines.filter(({eventName, replica}) => eventName === 'replicaUnreadable' && replica === name);
 	assert.equal(lines.length, 1, 'logged once per change');
-	await starting.crashReplica();
+	await starting.kill();
 	installation.unlist(name);
 	installation.unlist(`late-${index}`);
 }
--- a/src/node/test/poison-request.test.ts
+++ b/src/node/test/poison-request.test.ts
@@ -130,7 +130,7 @@
 		await pause(sendPause);
 		// A request that is cut by crash after crash and never served in between looks like their cause, so wait until all are served on a slow machine too.
 		await until(() => served.size === otherClients);
-		await installation.end(replicaIds[index % replicaIds.length]!);
+		await installation.crashReplica(replicaIds[index % replicaIds.length]!);
 		crashCount++;
 		served.clear();
 	}
--- a/src/node/test/relay-configuration.test.ts
+++ b/src/node/test/relay-configuration.test.ts
@@ -56,5 +56,5 @@
 	installation.store.clearFaults();
 	await until(() => late.node.isReady);
 	assert.equal((await installation.call({path: '/calls/x'}, late)).status, 200);
-	await late.crashReplica();
+	await late.kill();
 });
--- a/src/node/test/relay-duties.test.ts
+++ b/src/node/test/relay-duties.test.ts
@@ -56,7 +56,7 @@
 		setTimeout(resolve, 1500);
 	});
 	installation.store.clearFaults();
-	await formerHolder.crashReplica();
+	await formerHolder.kill();
 	installation.relays.splice(installation.relays.indexOf(formerHolder), 1);
 	await until(() => reports().some(call => call.holder !== holder));
 	await Promise.all(installation.relays.map(async relay => installation.call({path: '/calls/x'}, relay)));
--- a/src/node/test/relay-large-fleet.test.ts
+++ b/src/node/test/relay-large-fleet.test.ts
@@ -95,7 +95,7 @@
 
 test('when all aggregators exit, other boxes replace them, and a new configuration still reaches every box', async () => {
 	const formerAggregators = aggregators();
-	await Promise.all(formerAggregators.map(async ({crashReplica: end}) => end()));
+	await Promise.all(formerAggregators.map(async ({kill}) => kill()));
 	for (const relay of formerAggregators) {
 		installation.relays.splice(installation.relays.indexOf(relay), 1);
 	}
--- a/src/node/test/replica-statements.test.ts
+++ b/src/node/test/replica-statements.test.ts
@@ -73,7 +73,7 @@
 	assert.equal(served.length, clients.views.length - before, 'all requests are served');
 	const idle = installation.relays[relayCount]!;
 	assert.ok(idle.log.lines.some(({eventName, source}) => eventName === 'replicaAnnouncedLeaving' && source === 'box'), 'a box without requests learns of it');
-	await installation.end('i-1');
+	await installation.crashReplica('i-1');
 	await until(() => observedReplica().isUp && observedReplica().runs.length > 0);
 });
 
--- a/src/node/test/trial-turns.test.ts
+++ b/src/node/test/trial-turns.test.ts
@@ -31,7 +31,7 @@
 		replica.behave({delay: longRunTime});
 		const views = [first, second].map(async request => installation.call(request!));
 		await until(() => replica.seen.length === 2);
-		await installation.end('i-1');
+		await installation.crashReplica('i-1');
 		await Promise.all(views);
 	}
 
