--- a/development/harness/departure-fleet.ts
+++ b/development/harness/departure-fleet.ts
@@ -137,11 +137,11 @@
 		peers.addMembers(this.addresses);
 		const topology = ExchangeTopology.create(address, peers);
 		const replicas = ReplicaDirectory.create(clock, log);
-		const door = ModelStoreClient.create(this.store);
+		const storeClient = ModelStoreClient.create(this.store);
 		const table = createTable(clock);
 		const availability = StoreAvailability.create(clock, () => lapseTime(heartbeatInterval));
 		const followed = {
-			link: {store: door, names: storeNames} as unknown as PlatformLink, clock, log, availability, followsStore: () => topology.isAggregator,
+			link: {store: storeClient, names: storeNames} as unknown as PlatformLink, clock, log, availability, followsStore: () => topology.isAggregator,
 		};
 		const configuration = ConfigurationRole.create({...followed, table, fallbackDelay: 3000 + (100 * index)});
 		const role = ReplicaRole.create({
@@ -154,7 +154,7 @@
 		} as unknown as ExchangeParts;
 		const fibers = [role.follow(), role.sweep(), configuration.follow(), configuration.prove()].map(effect => Effect.runFork(effect));
 		return {
-			address, clock, peers, topology, replicas, role, state: ExchangeState.create(parts), storeClient: door, fibers, sequence: 0, round: index,
+			address, clock, peers, topology, replicas, role, state: ExchangeState.create(parts), storeClient, fibers, sequence: 0, round: index,
 		};
 	}
 
--- a/development/relay/store-standin.ts
+++ b/development/relay/store-standin.ts
@@ -174,12 +174,12 @@
 	 * @param copy - The backup.
 	 * @param cutsWatches - Whether the connections of waiting watches are closed; otherwise the watches keep waiting for changes after the restore.
 	 */
-	restore({revision, objects, history, discardedUpTo: forgottenUpTo}: StoreBackup, cutsWatches = true): void {
+	restore({revision, objects, history, discardedUpTo}: StoreBackup, cutsWatches = true): void {
 		this.era++;
 		this.revision = revision;
 		this.objects = new Map([...objects].map(([kind, held]) => [kind, new Map(held)]));
 		this.history = history;
-		this.discardedUpTo = forgottenUpTo;
+		this.discardedUpTo = discardedUpTo;
 		if (cutsWatches) {
 			this.cutWatches();
 		}
--- a/development/soak/soak-checker.ts
+++ b/development/soak/soak-checker.ts
@@ -143,7 +143,7 @@
 	private get arrivalsAfterAnnouncement(): readonly string[] {
 		return this.record.replicas.flatMap(({id: replica, seen}) => {
 			const announcedAt = new Map<SoakRelay, number>();
-			for (const {id} of seen.filter(({announcedLeaving: saidLeaving, hasRun}) => saidLeaving && hasRun)) {
+			for (const {id} of seen.filter(({announcedLeaving, hasRun}) => announcedLeaving && hasRun)) {
 				const attempt = this.attemptOf.get(id);
 				if (attempt?.status === 200 && this.runnersOf.get(id)?.at(-1) === replica) {
 					announcedAt.set(attempt.relay, Math.min(attempt.endedAt, announcedAt.get(attempt.relay) ?? Number.POSITIVE_INFINITY));
@@ -161,12 +161,12 @@
 
 	/** Requests that a relay sent to a replica during a pause that the replica had asked it for. */
 	private get arrivalsDuringPauses(): readonly string[] {
-		return this.record.replicas.flatMap(({id: replica, seen}) => seen.flatMap(({id, at, requestedPause: pauseAsked}) => {
+		return this.record.replicas.flatMap(({id: replica, seen}) => seen.flatMap(({id, at, requestedPause}) => {
 			const relay = this.relayOf.get(id);
-			const until = at + (pauseAsked ?? 0);
-			const others = pauseAsked === undefined ? [] : seen.filter(other => other.at > at + pauseGrace && other.at < until && this.relayOf.get(other.id) === relay);
+			const until = at + (requestedPause ?? 0);
+			const others = requestedPause === undefined ? [] : seen.filter(other => other.at > at + pauseGrace && other.at < until && this.relayOf.get(other.id) === relay);
 			return others.length > pauseTolerance && !this.wasInterrupted(id, at, until)
-				? [`${replica} asked ${relay?.name} for ${pauseAsked} ms without requests and got ${others.length}`]
+				? [`${replica} asked ${relay?.name} for ${requestedPause} ms without requests and got ${others.length}`]
 				: [];
 		}));
 	}
--- a/development/soak/soak-streams.ts
+++ b/development/soak/soak-streams.ts
@@ -69,8 +69,8 @@
 
 			case 'stream-misfits': {
 				// Neither the first nor the last event: a relay does not know the first number of a stream, nor its number of events.
-				const leftOut = draw.among(Array.from({length: this.events - 2}, (_, index) => index + 2));
-				return draw.among<Partial<StreamConduct>>([{resumesAt: 'anew'}, {resumesAt: 'too-far'}, {omittedEvent: leftOut}, {eventWithoutId: event}]);
+				const omittedEvent = draw.among(Array.from({length: this.events - 2}, (_, index) => index + 2));
+				return draw.among<Partial<StreamConduct>>([{resumesAt: 'anew'}, {resumesAt: 'too-far'}, {omittedEvent}, {eventWithoutId: event}]);
 			}
 
 			default: {
--- a/src/base/test/http-client.test.ts
+++ b/src/base/test/http-client.test.ts
@@ -34,7 +34,7 @@
 	})));
 	client.close();
 	return Result.match(result, {
-		onFailure: ({mayHaveBeenSent: maySent}) => `failed, ${maySent ? 'may have run' : 'not sent'}`,
+		onFailure: ({mayHaveBeenSent}) => `failed, ${mayHaveBeenSent ? 'may have run' : 'not sent'}`,
 		onSuccess: answer => Buffer.from(answer.body).toString(),
 	});
 }
--- a/src/node/test/departure-model.test.ts
+++ b/src/node/test/departure-model.test.ts
@@ -62,8 +62,8 @@
 	const upTo = async (duration: number) => fleet.advance(random() * duration);
 	for (const [index, replica] of store.replicas.slice(1).entries()) {
 		const losing = random() < 0.5 ? [pick(boxes, random)] : boxes.filter(() => random() < 0.7);
-		for (const {storeClient: door} of losing) {
-			door.injectFault('refused');
+		for (const {storeClient} of losing) {
+			storeClient.injectFault('refused');
 		}
 
 		await upTo(400);
@@ -144,8 +144,8 @@
 		for (const seed of seedsUpTo(histories)) {
 			const {late} = await simulate({boxes, departureBound: contactTime, seed}, async fleet => {
 				await fleet.advance(fleet.random() * contactTime);
-				for (const {storeClient: door} of fleet.boxes) {
-					door.injectFault('silent');
+				for (const {storeClient} of fleet.boxes) {
+					storeClient.injectFault('silent');
 				}
 
 				fleet.store.leave(fleet.store.replicas[1]!, 'removed');
--- a/src/node/test/exchange-load.test.ts
+++ b/src/node/test/exchange-load.test.ts
@@ -21,7 +21,7 @@
 		return fleet.round();
 	});
 	const perSecond = (bytes: number) => bytes * 1000 / (rounds * fleet.interval);
-	return {received: perSecond(sumOf(traffic.map(({received: heard}) => heard))), sent: perSecond(sumOf(traffic.map(({sent}) => sent)))};
+	return {received: perSecond(sumOf(traffic.map(({received}) => received))), sent: perSecond(sumOf(traffic.map(({sent}) => sent)))};
 };
 
 for (const shape of [
--- a/src/node/test/poison-request.test.ts
+++ b/src/node/test/poison-request.test.ts
@@ -164,9 +164,9 @@
 	const isListed = (times: number) => small.relays.every(({log}) => log.lines.filter(({eventName}) => eventName === 'replicaListed').length === times);
 	for (const round of [1, 2, 3]) {
 		await until(() => isListed(round));
-		const {allReplicas: everyReplica} = small;
+		const {allReplicas} = small;
 		const innocentCall = small.call(innocent, first);
-		await until(() => everyReplica.at(-1)!.seen.length === 1);
+		await until(() => allReplicas.at(-1)!.seen.length === 1);
 		// The poison request starts later, so that the two have run for different times at the crash.
 		await pause(150);
 		await small.call(poison, second);
--- a/src/quota/test/quota-ledger.test.ts
+++ b/src/quota/test/quota-ledger.test.ts
@@ -128,12 +128,12 @@
 
 	constructor(boxes: number, startsFull = true, heardPart = 1) {
 		const random = () => 0.5;
-		const burstPart = () => 0.9;
+		const burstFraction = () => 0.9;
 		this.aggregator = QuotaLedger.create({
-			bound: () => bound, reachableFraction: () => heardPart, burstFraction: burstPart, random,
+			bound: () => bound, reachableFraction: () => heardPart, burstFraction, random,
 		}, this.clock, startsFull);
 		this.boxes = Array.from({length: boxes}, () => QuotaLedger.create({
-			bound: () => bound, reachableFraction: () => 1 / boxes, burstFraction: burstPart, random,
+			bound: () => bound, reachableFraction: () => 1 / boxes, burstFraction, random,
 		}, this.clock, startsFull));
 	}
 
--- a/src/relay/replica-attempt.ts
+++ b/src/relay/replica-attempt.ts
@@ -158,7 +158,7 @@
 	}
 
 	private get outgoing(): OutgoingRequest {
-		const {services: {format}, streamForwarder: passage} = this.parts;
+		const {services: {format}, streamForwarder} = this.parts;
 		const {request: {incoming, head, body, clientAccount, deadlineAt, urgency}, replica} = this.plan;
 		const hasBody = body.length > 0 || incoming.headers['content-length'] !== undefined || incoming.headers['transfer-encoding'] !== undefined;
 		return {
@@ -170,7 +170,7 @@
 				clientAccount: clientAccount?.name,
 				deadline: deadlineAt - this.sentAt,
 				urgency,
-				lastEventId: passage.lastEventId,
+				lastEventId: streamForwarder.lastEventId,
 				bodyLength: hasBody ? body.length : undefined,
 			}),
 			body: body.length > 0 ? body : undefined,
@@ -183,9 +183,9 @@
 	}
 
 	private forwardStream(answer: OpenAnswer): Effect.Effect<void, AttemptFailure> {
-		const {services, streamForwarder: passage, suspicion, demandRecorder, choiceRequest} = this.parts;
+		const {services, streamForwarder, suspicion, demandRecorder, choiceRequest} = this.parts;
 		const {replica} = this.plan;
-		return passage.forward(answer, {
+		return streamForwarder.forward(answer, {
 			onBytes() {
 				replica.recordData();
 			},
--- a/src/replicas/service-demand.ts
+++ b/src/replicas/service-demand.ts
@@ -168,16 +168,16 @@
 
 	/** Rounded demand for each service, to be sent to other boxes. */
 	get snapshots(): ReadonlyArray<Demand & {readonly service: string}> {
-		return [...this.demands].map(([service, {current: now}]) => ({
+		return [...this.demands].map(([service, {current}]) => ({
 			service,
-			requests: roundTo(now.requests, 100),
-			reading: Math.round(now.reading),
-			readRate: Math.round(now.readRate),
-			goal: Math.round(now.goal),
-			meanTokens: Math.round(now.meanTokens),
-			meanSquare: Math.round(now.meanSquare),
-			met: roundTo(now.met, 10),
-			missed: roundTo(now.missed, 10),
+			requests: roundTo(current.requests, 100),
+			reading: Math.round(current.reading),
+			readRate: Math.round(current.readRate),
+			goal: Math.round(current.goal),
+			meanTokens: Math.round(current.meanTokens),
+			meanSquare: Math.round(current.meanSquare),
+			met: roundTo(current.met, 10),
+			missed: roundTo(current.missed, 10),
 		}));
 	}
 
--- a/src/replicas/test/service-demand.test.ts
+++ b/src/replicas/test/service-demand.test.ts
@@ -64,7 +64,7 @@
 			demand.recordOutcome(index % 4 !== 0);
 		}
 
-		return pooledDemand(demands.map(({current: now}) => now));
+		return pooledDemand(demands.map(({current}) => current));
 	};
 
 	const one = run(1);
