--- a/src/follow/test/store-position.test.ts
+++ b/src/follow/test/store-position.test.ts
@@ -19,6 +19,6 @@
 });
 
 test('an invalid era or revision has no position', () => {
-	const odd = [[-1, 1], [0.5, 1], [Number.NaN, 1], [2 ** 20, 1], [1, -1], [1, 0.5], [1, 2 ** 36], [1, Number.NaN]] as const;
-	assert.deepEqual(odd.map(([one, other]) => positionOf(one, other)), odd.map(() => undefined));
+	const invalidPairs = [[-1, 1], [0.5, 1], [Number.NaN, 1], [2 ** 20, 1], [1, -1], [1, 0.5], [1, 2 ** 36], [1, Number.NaN]] as const;
+	assert.deepEqual(invalidPairs.map(([one, other]) => positionOf(one, other)), invalidPairs.map(() => undefined));
 });
--- a/src/relay/test/crash-detector.test.ts
+++ b/src/relay/test/crash-detector.test.ts
@@ -16,15 +16,15 @@
 const first = {fingerprint: Fingerprint('first-first-'), ranFor: 60};
 const second = {fingerprint: Fingerprint('second-secon'), ranFor: 60};
 
-type Watched = {
+type DetectorSetup = {
 	readonly standin: ReplicaStandin;
 	readonly replica: Replica;
-	readonly watch: CrashDetector;
+	readonly detector: CrashDetector;
 	readonly log: RecordingLog;
 	readonly close: () => Promise<void>;
 };
 
-async function watched(): Promise<Watched> {
+async function setUpDetector(): Promise<DetectorSetup> {
 	const standin = await ReplicaStandin.start('i-1');
 	const replica = Replica.create({
 		id: 'i-1', bornAt: 7, software: '1', revision: 1, service: 's', host: '127.0.0.1', port: standin.port, dataCentre: 'a', slots: 8, isDraining: false, isReclaimable: false, leavesIn: undefined,
@@ -35,7 +35,7 @@
 	const quarantine = Quarantine.create({
 		clock, log, replicas, isOwner: () => true, released: () => [],
 	});
-	const watch = CrashDetector.create({
+	const detector = CrashDetector.create({
 		clock, log, metrics: RelayMetrics.create(), connections, quarantine,
 	});
 	const close = async () => {
@@ -44,45 +44,45 @@
 	};
 
 	return {
-		standin, replica, watch, log, close,
+		standin, replica, detector, log, close,
 	};
 }
 
 const crashesIn = ({lines}: RecordingLog): readonly unknown[] => lines.filter(({eventName}) => eventName === 'replicaEnded').map(({suspects}) => suspects);
 
 test('a cut connection is not reported as a crash while the replica still listens', async () => {
-	const {standin, replica, watch, log, close} = await watched();
-	watch.recordCut(replica, first);
+	const {standin, replica, detector, log, close} = await setUpDetector();
+	detector.recordCut(replica, first);
 	await until(() => standin.connections === 1);
 	await pause(20);
-	watch.recordGone(replica);
+	detector.recordGone(replica);
 	assert.deepEqual(crashesIn(log), []);
 	await close();
 });
 
 test('a replica that refuses the probe is reported as crashed, with all requests that were cut there', async () => {
-	const {standin, replica, watch, log} = await watched();
+	const {standin, replica, detector, log} = await setUpDetector();
 	await standin.close();
-	watch.recordCut(replica, first);
-	watch.recordCut(replica, second);
+	detector.recordCut(replica, first);
+	detector.recordCut(replica, second);
 	await until(() => crashesIn(log).length > 0);
 	assert.deepEqual(crashesIn(log), [`${first.fingerprint} ${second.fingerprint}`]);
 });
 
 test('a replica that is leaving exits as planned, and no request is suspected', async () => {
-	const {standin, replica, watch, log} = await watched();
+	const {standin, replica, detector, log} = await setUpDetector();
 	await standin.close();
 	replica.markLeaving();
-	watch.recordCut(replica, first);
+	detector.recordCut(replica, first);
 	await pause(60);
 	assert.deepEqual(crashesIn(log), []);
 });
 
 test('a replica whose entry is removed after a cut is reported as crashed, without a result of the probe', async () => {
-	const {standin, replica, watch, log, close} = await watched();
-	watch.recordCut(replica, first);
+	const {standin, replica, detector, log, close} = await setUpDetector();
+	detector.recordCut(replica, first);
 	// The probe has not completed yet.
-	watch.recordGone(replica);
+	detector.recordGone(replica);
 	assert.deepEqual(crashesIn(log), [first.fingerprint]);
 	await pause(40);
 	assert.equal(standin.connections, 0, 'a replica whose entry is removed is not probed');
--- a/src/relay/test/stream-forwarder.test.ts
+++ b/src/relay/test/stream-forwarder.test.ts
@@ -51,16 +51,16 @@
 }
 
 /** One client's stream, and counts of the notifications about it. */
-const startPassage = (lastEventId?: string) => {
+const startForwarding = (lastEventId?: string) => {
 	const connection = new Connection();
-	const passage = StreamForwarder.create({
+	const forwarder = StreamForwarder.create({
 		client: ClientAnswer.create(connection as unknown as ServerResponse, () => false), format: PlatformRelayFormat.create(), metrics: RelayMetrics.create(), lastEventId,
 	});
 	const counts = {firstEvents: 0, abandoned: 0};
 	/** @returns The failure of a run that sends these pieces; `undefined` if it succeeds. */
 	const run = async (pieces: ReadonlyArray<string | Uint8Array>): Promise<AttemptFailure | undefined> => {
 		const message = Object.assign(new PassThrough(), {rawHeaders: []});
-		const passing = Effect.runPromise(passage.forward({
+		const forwarding = Effect.runPromise(forwarder.forward({
 			message: message as unknown as IncomingMessage, head, status: 200, isWhole: () => true, abandon() {
 				counts.abandoned++;
 			},
@@ -75,70 +75,70 @@
 		}
 
 		message.end();
-		return passing;
+		return forwarding;
 	};
 
 	return {
-		connection, passage, run, told: counts,
+		connection, forwarder, run, counts,
 	};
 };
 
 test('the bytes of a stream reach the client unchanged, including bytes that are not valid text', async () => {
-	const {connection, run} = startPassage();
+	const {connection, run} = startForwarding();
 	const event = Buffer.concat([Buffer.from('id: 1\ndata: ü'), Buffer.from([0xFF, 0xC3, 0x00, 0x80]), Buffer.from('\n\n')]);
 	assert.equal(await run([event.subarray(0, 13), event.subarray(13)]), undefined);
 	assert.deepEqual(Buffer.from(connection.bytes), event);
 });
 
 test('an incomplete first event sends no head and does not count as the first event', async () => {
-	const {connection, run, told} = startPassage();
+	const {connection, run, counts} = startForwarding();
 	const failure = await run(['i']);
 	assert.deepEqual([failure?.reason, failure?.verdict], ['cut', 'may-have-run']);
-	assert.deepEqual([connection.headersSent, told.firstEvents], [false, 0]);
+	assert.deepEqual([connection.headersSent, counts.firstEvents], [false, 0]);
 });
 
 test('comments are forwarded to keep the connection alive, but do not count as events', async () => {
-	const {connection, run, told} = startPassage();
+	const {connection, run, counts} = startForwarding();
 	const text = ': still there\n\nid: 1\ndata: a\n\n: and there\n: still\n\nid: 2\ndata: b\n\n';
 	assert.equal(await run([text.slice(0, 15)]), undefined);
-	assert.equal(told.firstEvents, 0);
+	assert.equal(counts.firstEvents, 0);
 	assert.equal(await run([text.slice(15, 40), text.slice(40)]), undefined);
-	assert.deepEqual([Buffer.from(connection.bytes).toString(), told.firstEvents], [text, 1]);
+	assert.deepEqual([Buffer.from(connection.bytes).toString(), counts.firstEvents], [text, 1]);
 });
 
 test('nothing is forwarded after an event that is not the next one, even if a later event would be', async () => {
-	const {connection, passage, run, told} = startPassage();
+	const {connection, forwarder, run, counts} = startForwarding();
 	const failure = await run(['id: 4\n\nid: 5\n\nid: 5\n\nid: 6\n\n', 'id: 7\n\n']);
 	assert.deepEqual([failure?.reason, failure?.verdict], ['garbled', 'may-have-run']);
-	assert.deepEqual([Buffer.from(connection.bytes).toString(), passage.lastEventId, told.abandoned], ['id: 4\n\nid: 5\n\n', '5', 1]);
+	assert.deepEqual([Buffer.from(connection.bytes).toString(), forwarder.lastEventId, counts.abandoned], ['id: 4\n\nid: 5\n\n', '5', 1]);
 	assert.equal(connection.hasEnded, false);
 });
 
 test('a client that resumes after an event receives the next one first', async () => {
-	const fitting = startPassage('7');
+	const fitting = startForwarding('7');
 	assert.equal(await fitting.run(['id: 8\n\n']), undefined);
-	const anew = startPassage('7');
-	assert.equal((await anew.run(['id: 1\n\n']))?.reason, 'garbled');
-	assert.equal(anew.connection.headersSent, false);
+	const restarted = startForwarding('7');
+	assert.equal((await restarted.run(['id: 1\n\n']))?.reason, 'garbled');
+	assert.equal(restarted.connection.headersSent, false);
 });
 
 test('an event that exceeds the size limit fails the run and resets its connection', async () => {
-	const {connection, run, told} = startPassage();
+	const {connection, run, counts} = startForwarding();
 	const failure = await run(['id: 1\n\nid: 2\ndata: ', ...Array.from({length: 17}, () => 'x'.repeat(65_536)), '\n\n']);
-	assert.deepEqual([failure?.reason, told.abandoned], ['garbled', 1]);
+	assert.deepEqual([failure?.reason, counts.abandoned], ['garbled', 1]);
 	assert.deepEqual([Buffer.from(connection.bytes).toString(), connection.hasEnded], ['id: 1\n\n', false]);
 });
 
 test('a client that reads slowly pauses its replica, also before the end, and receives all events', async () => {
-	const {connection, run} = startPassage();
+	const {connection, run} = startForwarding();
 	connection.writableNeedDrain = true;
-	const passing = run(['id: 1\n\n', 'id: 2\n\n']);
+	const forwarding = run(['id: 1\n\n', 'id: 2\n\n']);
 	await turn();
 	assert.deepEqual([Buffer.from(connection.bytes).toString(), connection.hasEnded], ['id: 1\n\n', false]);
 	connection.drain();
 	await turn();
 	connection.writableNeedDrain = false;
 	connection.drain();
-	assert.equal(await passing, undefined);
+	assert.equal(await forwarding, undefined);
 	assert.deepEqual([Buffer.from(connection.bytes).toString(), connection.hasEnded], ['id: 1\n\nid: 2\n\n', true]);
 });
