--- a/development/harness/exchange-fleet.ts
+++ b/development/harness/exchange-fleet.ts
@@ -11,7 +11,7 @@
 import type {GossipMessage, MemberAddress} from '../../src/gossip/gossip-message.js';
 import {PeerTable} from '../../src/gossip/peer-table.js';
 import {ExchangeState, type ExchangeParts} from '../../src/node/exchange-state.js';
-import {LimitStretches} from '../../src/node/limit-stretches.js';
+import {SlotRanges} from '../../src/node/slot-ranges.js';
 import {Fingerprint, fingerprintLength} from '../../src/quarantine/fingerprint.js';
 import {Quarantine} from '../../src/quarantine/quarantine.js';
 import {QuotaLedger} from '../../src/quota/quota-ledger.js';
@@ -159,11 +159,11 @@
 			bound: () => ({rate: 100_000, burst: 200_000}), reachableFraction: () => topology.isAggregator ? peers.heardPart : 1 / peers.boxes, burstFraction: () => 0.9,
 		}, clock, true);
 		const demands = ServiceDemands.create(clock);
-		const stretches = LimitStretches.create({
+		const slotRanges = SlotRanges.create({
 			self: address.name, clock, peers, topology, demands,
 		});
 		const limits = ReplicaLimits.create({
-			clock, log, commonTime: () => peers.commonTime, slotRange: service => stretches.of(service), listed: start => replicas.byStart(start),
+			clock, log, commonTime: () => peers.commonTime, slotRange: service => slotRanges.of(service), listed: start => replicas.byStart(start),
 		});
 		const statements = ReplicaStatements.create({
 			clock, log, limits, replicas,
@@ -187,7 +187,7 @@
 		const parts = {
 			clock, log, peers, topology, services: {
 				replicas, quota, demands, usage, table, quarantine, limits, statements,
-			}, availability, configuration, replicaRole, stretches, isStopping: () => false,
+			}, availability, configuration, replicaRole, slotRanges, isStopping: () => false,
 		};
 		// Contains only the members that the exchange uses.
 		return {
--- a/development/harness/limit-fleet.ts
+++ b/development/harness/limit-fleet.ts
@@ -7,7 +7,7 @@
 import {roundsBetweenWholeStates} from '../../src/gossip/gossip.js';
 import type {GossipMessage, MemberAddress} from '../../src/gossip/gossip-message.js';
 import {PeerTable} from '../../src/gossip/peer-table.js';
-import {LimitStretches} from '../../src/node/limit-stretches.js';
+import {SlotRanges} from '../../src/node/slot-ranges.js';
 import type {Slot} from '../../src/replicas/limit-slots.js';
 import type {Replica} from '../../src/replicas/replica.js';
 import {ReplicaDirectory} from '../../src/replicas/replica-directory.js';
@@ -42,7 +42,7 @@
 	readonly peers: PeerTable;
 	readonly topology: ExchangeTopology;
 	readonly demands: ServiceDemands;
-	readonly stretches: LimitStretches;
+	readonly slotRanges: SlotRanges;
 	readonly replicas: ReplicaDirectory;
 	readonly limits: ReplicaLimits;
 	readonly statements: ReplicaStatements;
@@ -130,7 +130,7 @@
 		peers.addMembers(this.addresses);
 		const topology = ExchangeTopology.create(address, peers);
 		const demands = ServiceDemands.create(clock);
-		const stretches = LimitStretches.create({
+		const slotRanges = SlotRanges.create({
 			self: address.name, clock, peers, topology, demands,
 		});
 		const replicas = ReplicaDirectory.create(clock, log);
@@ -139,13 +139,13 @@
 			isDraining: false, isReclaimable: true, leavesIn: undefined,
 		});
 		const limits = ReplicaLimits.create({
-			clock, log, commonTime: () => peers.commonTime, slotRange: name => stretches.of(name), listed: start => replicas.byStart(start),
+			clock, log, commonTime: () => peers.commonTime, slotRange: name => slotRanges.of(name), listed: start => replicas.byStart(start),
 		});
 		const statements = ReplicaStatements.create({
 			clock, log, limits, replicas,
 		});
 		return {
-			index, address, clock, peers, topology, demands, stretches, replicas, limits, statements,
+			index, address, clock, peers, topology, demands, slotRanges, replicas, limits, statements,
 			incarnation: String(this.now), limitReceivedAt: Number.POSITIVE_INFINITY, sequence: 0, round: index, nextRoundAt: this.now + (this.random() * 200),
 		};
 	}
@@ -235,7 +235,7 @@
 
 	private receiveGossip(box: Box, sender: Box, message: GossipMessage, isAsked: boolean): void {
 		const {
-			peers, limits, statements, stretches, topology,
+			peers, limits, statements, slotRanges, topology,
 		} = box;
 		if (peers.recordMessage(message) === undefined) {
 			return;
@@ -244,7 +244,7 @@
 		statements.merge(sender.address.name, message.statements ?? [], message.digest ? 'digest' : 'box');
 		if (message.digest) {
 			peers.recordFleetSize(message.digest.boxes);
-			stretches.applyReceived(message.digest.stretches ?? []);
+			slotRanges.applyReceived(message.digest.stretches ?? []);
 			return;
 		}
 
@@ -253,7 +253,7 @@
 			const answer = this.messageOf(box, {
 				wall: peers.commonTime,
 				...(updates ? {statements: updates} : {}),
-				digest: {boxes: peers.knownBoxes, ...(topology.isAggregator ? {stretches: stretches.stretchesFor(sender.address.name, limits.services)} : {})},
+				digest: {boxes: peers.knownBoxes, ...(topology.isAggregator ? {stretches: slotRanges.rangesFor(sender.address.name, limits.services)} : {})},
 			});
 			this.deliver(box, sender, () => {
 				this.receiveGossip(sender, box, answer, false);
--- a/src/gossip/gossip-codec.ts
+++ b/src/gossip/gossip-codec.ts
@@ -35,7 +35,7 @@
 const StatementRow = Schema.Tuple([Schema.String, Schema.NullOr(Schema.Number), Schema.Number]);
 const StatementRows = Schema.Array(StatementRow);
 /** Service, start of the ring range, its length. */
-const StretchRow = Schema.Tuple([Schema.String, Schema.Number, Schema.Number]);
+const RangeRow = Schema.Tuple([Schema.String, Schema.Number, Schema.Number]);
 
 const ReplicaChange = Schema.Struct({
 	object: Schema.Struct({name: Schema.String, revision: Schema.Number, spec: Schema.Unknown}),
@@ -46,7 +46,7 @@
 	boxes: Schema.Number,
 	quota: Schema.optionalKey(Schema.Array(LevelRow)),
 	work: Schema.optionalKey(Schema.Array(WorkRow)),
-	stretches: Schema.optionalKey(Schema.Array(StretchRow)),
+	stretches: Schema.optionalKey(Schema.Array(RangeRow)),
 	changes: Schema.optionalKey(Schema.Struct({at: Schema.Number, from: Schema.optionalKey(Schema.Number), changes: Schema.Array(ReplicaChange)})),
 });
 
--- a/src/gossip/gossip-message.ts
+++ b/src/gossip/gossip-message.ts
@@ -31,7 +31,7 @@
 export type ReplicaLoad = ReplicaWork & {readonly replica: string};
 
 /** The receiver's share of the slots at replicas of a service that have announced a concurrency limit. */
-export type ServiceStretch = RingRange & {readonly service: string};
+export type ServiceRange = RingRange & {readonly service: string};
 
 /** Demand for one service at the sender. */
 export type ServiceLoad = Demand & {readonly service: string};
@@ -74,7 +74,7 @@
 	/** Work of all boxes except the receiver; absent where the receiver did not ask for a digest. */
 	readonly work?: readonly ReplicaLoad[];
 	/** The receiver's shares, for services that have replicas with a limit; absent where there are none. */
-	readonly stretches?: readonly ServiceStretch[];
+	readonly stretches?: readonly ServiceRange[];
 	/** Changes of the replica list that the receiver does not have yet; absent where the sender does not have them. */
 	readonly changes?: Changes;
 };
--- a/src/node/exchange-state.ts
+++ b/src/node/exchange-state.ts
@@ -14,7 +14,7 @@
 import {maxStatementsPerMessage, recentWindow, type StatementSource} from '../replicas/replica-statement.js';
 import type {RelayServices} from '../relay/relay-services.js';
 import type {ConfigurationRole} from './configuration-role.js';
-import type {LimitStretches} from './limit-stretches.js';
+import type {SlotRanges} from './slot-ranges.js';
 import type {ReplicaRole} from './replica-role.js';
 
 /** Milliseconds for which the sum of the work of all boxes is cached. */
@@ -32,7 +32,7 @@
 	readonly availability: StoreAvailability;
 	readonly configuration: ConfigurationRole;
 	readonly replicaRole: ReplicaRole;
-	readonly stretches: LimitStretches;
+	readonly slotRanges: SlotRanges;
 	readonly isStopping: () => boolean;
 };
 
@@ -104,11 +104,11 @@
 	 * @returns The state of the fleet as this box knows it, without the peer's own work.
 	 */
 	digestFor({last, address}: Peer, isWhole: boolean): FleetDigest {
-		const {services: {quota, limits}, peers, topology, replicaRole, stretches} = this.parts;
+		const {services: {quota, limits}, peers, topology, replicaRole, slotRanges} = this.parts;
 		const changes = replicaRole.changesSince(last?.replicas?.at ?? Number.NEGATIVE_INFINITY);
 		const limited = topology.isLarge && topology.isAggregator ? limits.services : [];
 		const update = {
-			...(limited.length > 0 ? {stretches: stretches.stretchesFor(address.name, limited)} : {}),
+			...(limited.length > 0 ? {stretches: slotRanges.rangesFor(address.name, limited)} : {}),
 			boxes: topology.isAggregator ? peers.knownBoxes : peers.boxes,
 			...(changes ? {changes} : {}),
 		};
@@ -128,7 +128,7 @@
 	 * Applies a message that a box sent about itself.
 	 *
 	 * @param message - The message.
-	 * @param meeting - How the sender was known before; see `QuotaLedger.takeCounts`.
+	 * @param meeting - How the sender was known before; see `QuotaLedger.applyCounts`.
 	 */
 	applyMessage(message: GossipMessage, meeting: SenderRelation): void {
 		const {services: {replicas, quota, usage}, topology, peers} = this.parts;
@@ -166,7 +166,7 @@
 			return;
 		}
 
-		this.parts.stretches.applyReceived(digest.stretches ?? []);
+		this.parts.slotRanges.applyReceived(digest.stretches ?? []);
 		const {isAggregator} = topology;
 		if (!isAggregator || peers.uptime < quotaAdoptionTime) {
 			quota.adopt(digest.quota ?? []);
--- a/src/node/relay-node.ts
+++ b/src/node/relay-node.ts
@@ -38,7 +38,7 @@
 import {listen, openControlListener, type ControlResponse} from './control-listeners.js';
 import {createDutyRoles} from './duty-roles.js';
 import {ExchangeState} from './exchange-state.js';
-import {LimitStretches} from './limit-stretches.js';
+import {SlotRanges} from './slot-ranges.js';
 import {MemberRole} from './member-role.js';
 import type {PlatformLink} from './platform-link.js';
 import {lapseTime, ReplicaRole, replicasPath} from './replica-role.js';
@@ -97,7 +97,7 @@
 	private readonly topology: ExchangeTopology;
 	private readonly services: RelayServices;
 	private readonly availability: StoreAvailability;
-	private readonly stretches: LimitStretches;
+	private readonly slotRanges: SlotRanges;
 	private readonly configuration: ConfigurationRole;
 	private readonly replicaRole: ReplicaRole;
 	private readonly exchange: ExchangeState;
@@ -114,7 +114,7 @@
 		this.peers = PeerTable.create(node, this.clock, log);
 		this.topology = ExchangeTopology.create(this.self, this.peers);
 		this.services = this.createServices();
-		this.stretches = LimitStretches.create({
+		this.slotRanges = SlotRanges.create({
 			self: node, clock: this.clock, peers: this.peers, topology: this.topology, demands: this.services.demands,
 		});
 		const {table, replicas} = this.services;
@@ -142,7 +142,7 @@
 			availability,
 			configuration: this.configuration,
 			replicaRole: this.replicaRole,
-			stretches: this.stretches,
+			slotRanges: this.slotRanges,
 			isStopping: () => this.stoppingSince !== undefined,
 		});
 		this.frontEnd = FrontEnd.create(this.services, {
@@ -218,7 +218,7 @@
 			metrics.configurationVersion.set(version);
 		});
 		const limits = ReplicaLimits.create({
-			clock, log, commonTime: () => peers.commonTime, slotRange: service => this.stretches.of(service), listed: start => replicas.byStart(start),
+			clock, log, commonTime: () => peers.commonTime, slotRange: service => this.slotRanges.of(service), listed: start => replicas.byStart(start),
 		});
 		const bounds = () => settings().bounds;
 		return {
--- a/src/node/limit-stretches.ts
+++ b/src/node/slot-ranges.ts
@@ -1,18 +1,18 @@
 /**
- * Divides the requests that limited replicas allow among the boxes. Each allowed request is a time slot with a place on a line from 0 to 1, and each box may
- * use the slots on its stretch of the line. The lengths of the stretches are in proportion to the demand at each box where that is known, otherwise equal.
+ * Divides the requests that limited replicas allow among the boxes. Each allowed request is a time slot with a position on a ring of length one, and each
+ * box may use the slots on its range of the ring. The lengths of the ranges are in proportion to the demand at each box where that is known, otherwise equal.
  */
 import type {Clock} from '../base/clock.js';
 import {hashFraction} from '../base/rendezvous.js';
 import {sumOf} from '../base/sum.js';
 import type {ExchangeTopology} from '../gossip/exchange-topology.js';
-import type {ServiceStretch} from '../gossip/gossip-message.js';
+import type {ServiceRange} from '../gossip/gossip-message.js';
 import type {PeerTable} from '../gossip/peer-table.js';
 import {divideRing, type RingRange} from '../replicas/limit-slots.js';
 import type {Demand, ServiceDemands} from '../replicas/service-demand.js';
 
-/** Dependencies of the stretches. */
-export type LimitStretchServices = {
+/** Dependencies of the slot ranges. */
+export type SlotRangeServices = {
 	readonly self: string;
 	readonly clock: Clock;
 	readonly peers: PeerTable;
@@ -20,73 +20,73 @@
 	readonly demands: ServiceDemands;
 };
 
-/** Milliseconds since its start in which a box owns no stretch, since it may know of few other boxes. */
+/** Milliseconds since its start in which a box owns no range, since it may know of few other boxes. */
 const settlingTime = 2000;
-/** Milliseconds for which a stretch received from an aggregator is valid: for as long, the other boxes reserve the stretch of a box that is silent. */
+/** Milliseconds for which a range received from an aggregator is valid: for as long, the other boxes reserve the range of a box that is silent. */
 const receivedLifetime = 15_000;
-/** Milliseconds for which the division of the line is cached. */
+/** Milliseconds for which the division of the ring is cached. */
 const divisionLifetime = 100;
 /** Minimum weight of a box, as a part of the mean demand of all boxes: a box without demand may get requests in the next second. */
 const minWeightPart = 0.2;
-const emptyStretch: RingRange = {from: 0, length: 0};
+const emptyRange: RingRange = {from: 0, length: 0};
 
-type Division = {readonly stretches: ReadonlyMap<string, RingRange>; readonly at: number};
+type Division = {readonly ranges: ReadonlyMap<string, RingRange>; readonly at: number};
 
-/** The stretches of one box. */
-export class LimitStretches {
+/** The slot ranges of one box, one for each service. */
+export class SlotRanges {
 	/**
-	 * @param services - Dependencies of the stretches.
-	 * @returns Stretches of which none was received yet.
+	 * @param services - Dependencies of the slot ranges.
+	 * @returns Ranges of which none was received yet.
 	 */
-	static create(services: LimitStretchServices): LimitStretches {
-		return new LimitStretches(services);
+	static create(services: SlotRangeServices): SlotRanges {
+		return new SlotRanges(services);
 	}
 
-	private readonly received = new Map<string, {readonly stretch: RingRange; readonly at: number}>();
+	private readonly received = new Map<string, {readonly range: RingRange; readonly at: number}>();
 	private readonly divisions = new Map<string, Division>();
 
-	private constructor(private readonly services: LimitStretchServices) {}
+	private constructor(private readonly services: SlotRangeServices) {}
 
 	/**
 	 * @param service - Name of a service.
-	 * @returns The stretch of this box.
+	 * @returns The range of this box.
 	 */
 	of(service: string): RingRange {
 		const {self, clock, peers, topology} = this.services;
 		if (peers.uptime < settlingTime) {
-			return emptyStretch;
+			return emptyRange;
 		}
 
 		if (topology.isAggregator) {
-			return this.stretchOf(self, service);
+			return this.rangeOf(self, service);
 		}
 
 		const received = this.received.get(service);
 		return received && clock.monotonic() - received.at < receivedLifetime
-			? received.stretch
+			? received.range
 			: {from: hashFraction(self), length: 1 / peers.boxes};
 	}
 
 	/**
 	 * @param box - Name of a box of a large fleet that is no aggregator, so that it does not know the demand at the other boxes.
 	 * @param services - Names of services that have limited replicas.
-	 * @returns The stretches to send to it.
+	 * @returns The ranges to send to it.
 	 */
-	stretchesFor(box: string, services: readonly string[]): readonly ServiceStretch[] {
-		return services.map(service => ({service, ...this.stretchOf(box, service)}));
+	rangesFor(box: string, services: readonly string[]): readonly ServiceRange[] {
+		return services.map(service => ({service, ...this.rangeOf(box, service)}));
 	}
 
-	/** @param stretches - The stretches of this box, received from an aggregator. */
-	applyReceived(stretches: readonly ServiceStretch[]): void {
-		for (const {service, from, length} of stretches) {
-			this.received.set(service, {stretch: {from, length}, at: this.services.clock.monotonic()});
+	/** @param ranges - The ranges of this box, received from an aggregator. */
+	applyReceived(ranges: readonly ServiceRange[]): void {
+		for (const {service, from, length} of ranges) {
+			this.received.set(service, {range: {from, length}, at: this.services.clock.monotonic()});
 		}
 	}
 
-	/** Shortens the stretch where the fleet has more boxes than this box knows by name, so that those keep their part. */
-	private stretchOf(box: string, service: string): RingRange {
+	/** Shortens the range where the fleet has more boxes than this box knows by name, so that those keep their part. */
+	private rangeOf(box: string, service: string): RingRange {
 		const {peers} = this.services;
-		const {from, length} = this.divisionFor(service).get(box) ?? emptyStretch;
+		const {from, length} = this.divisionFor(service).get(box) ?? emptyRange;
 		return {from, length: length * peers.knownBoxes / peers.boxes};
 	}
 
@@ -94,12 +94,12 @@
 		const now = this.services.clock.monotonic();
 		const known = this.divisions.get(service);
 		if (known && now - known.at < divisionLifetime) {
-			return known.stretches;
+			return known.ranges;
 		}
 
-		const stretches = divideRing(this.weightsOf(service));
-		this.divisions.set(service, {stretches, at: now});
-		return stretches;
+		const ranges = divideRing(this.weightsOf(service));
+		this.divisions.set(service, {ranges, at: now});
+		return ranges;
 	}
 
 	/** Silent boxes keep their part: they may only be cut off from this box. */
